--- a/springspread/core/loop.py
+++ b/springspread/core/loop.py
@@ -578,7 +578,7 @@
         held, endpoint = self._held.get(send.message), self._endpoints.by_number.get(send.route)
         if held is None or endpoint is None:
             return None
-        attempt = self._module.held[send.message].attempts - 1
+        attempt = self._module.pending[send.message].attempts - 1
         # An answer within the margin would be too late: not waited for, so that the end is told in time.
         left = held.deadline - self._limits.deadline_margin_ms - now
         wait = min(send.timeout_ms, left) if send.timeout_ms > 0 else left
--- a/springspread/policy.py
+++ b/springspread/policy.py
@@ -75,7 +75,7 @@
         self.now, self.calls = 0.0, 0
         self.dests: dict[int, Destination] = {}
         self.routes: dict[int, Route] = {}
-        self.held: dict[int, Message] = {}
+        self.pending: dict[int, Message] = {}
         self.lines: dict[Destination, None] = {}  # those with messages waiting, in order of the first
         self.flights: dict[tuple[int, int], tuple[Message, Call]] = {}
         self.turns: dict[int, Turn] = {}
@@ -97,8 +97,8 @@
                 self._taken(event)
             elif isinstance(event, i.Ended):
                 self._ended(event)
-            elif isinstance(event, i.Withdrawn) and event.message in self.held:
-                m = self.held[event.message]
+            elif isinstance(event, i.Withdrawn) and event.message in self.pending:
+                m = self.pending[event.message]
                 if m.flying and self.set.may_cancel:
                     self.out.append(i.Cancel(m.id, m.attempts - 1))
                 self._finish(m)
@@ -170,14 +170,14 @@
         return seen.rate(self.now, limit / max(limit + rest, 0.01), equal, FADE_MS / 4)
 
     def _taken(self, event: i.Taken) -> None:
-        if event.message in self.held:
+        if event.message in self.pending:
             return
         cls = min(event.cls, len(self.set.classes) - 1)
         spec = self.set.classes[cls]
         aim_at = event.deadline_ms - spec.deadline_ms + spec.aim_ms
         dest = self._dest(event.destination)
         m = Message(event.message, dest, cls, spec, event.key, aim_at, event.deadline_ms)
-        self.held[m.id] = m
+        self.pending[m.id] = m
         m.attempts = event.attempts  # guards the cap on attempts across a restart
         if not event.again:  # a client's further try is no new demand
             dest.demand.add(self.now, FADE_MS)
@@ -189,7 +189,7 @@
         if event.key and spec.in_order:
             m.turn = self.turns.setdefault(event.key, Turn())
             m.turn.line.append(m)
-        if len(self.held) >= self.set.max_held:  # hand back what is worth least where the line is longest
+        if len(self.pending) >= self.set.max_held:  # hand back what is worth least where the line is longest
             line = max((dest.queue for dest in self.lines), key=len)
             self._give_up(min(line, key=lambda other: self._stake(other, other.spec.aim_ms)))
 
@@ -552,7 +552,7 @@
         return wait if wait >= expected else left
 
     def _finish(self, m: Message) -> None:
-        if self.held.pop(m.id, None) is not None:
+        if self.pending.pop(m.id, None) is not None:
             m.finished = True
             m.leave(self.lines)
         if m.turn and not m.flying and m.turn.leave(m, self.now):
@@ -566,7 +566,7 @@
 
     def _overdue(self) -> None:
         while self.dues and self.dues[0][0] <= self.now:
-            m = self.held.get(heappop(self.dues)[1])
+            m = self.pending.get(heappop(self.dues)[1])
             if m is not None and not m.flying:
                 self._give_up(m)
 
--- a/tests/test_apart.py
+++ b/tests/test_apart.py
@@ -81,7 +81,7 @@
             events = [i.Woken(0)]
         for action in self.sender.handle(self.now, events):
             if isinstance(action, i.Send):
-                self.out.append((action.message, self.sender.held[action.message].attempts - 1))
+                self.out.append((action.message, self.sender.pending[action.message].attempts - 1))
             self.log.append(repr(action))
 
 
--- a/tests/test_core.py
+++ b/tests/test_core.py
@@ -263,7 +263,7 @@
     def sizes() -> list[int]:
         endpoints = sender._endpoints
         known = (endpoints.by_number, endpoints._numbers)
-        tables = (*known, sender._held, sender._numbers, sender._calls, module.held)
+        tables = (*known, sender._held, sender._numbers, sender._calls, module.pending)
         more = (module.routes, module.dests, module.flights, module.lines, module.dues, rig.journal.owed)
         return [len(table) for table in (*tables, *more, rig.clearance._bars, module.dests[7].routes)]
 
@@ -312,7 +312,7 @@
     late = t.clock() + 401.0
     rig.sender.step([t.AttemptEnd(call, call.attempts[0], t.Result.DELIVERED, late)])
     assert [(notice.id, notice.deferred) for notice in rig.drivers.told] == [("a", False)]
-    assert not rig.sender._module.held
+    assert not rig.sender._module.pending
 
 
 def test_a_message_whose_call_is_out_is_owed_its_end_though_the_client_left(tmp_path: Path) -> None:
@@ -469,7 +469,7 @@
     assert message("c", "new").verdict is t.Verdict.TAKEN
     owed = {one.id: (one.cls, one.policy) for one in journal.owed.values()}
     assert owed == {"a": ("pay", 1), "c": ("new", 2)}
-    assert sender._module.held[1].spec.name == "pay"  # still owed, as it was taken on
+    assert sender._module.pending[1].spec.name == "pay"  # still owed, as it was taken on
 
 
 def test_no_call_is_waited_for_into_the_last_moments_of_its_message(tmp_path: Path) -> None:
--- a/tests/test_grown_fleet.py
+++ b/tests/test_grown_fleet.py
@@ -77,7 +77,7 @@
                     taken, refused = taken + good, refused + (not good)
                     outcome = i.Outcome.SERVED if good else i.Outcome.FULL
                     report = i.Report(bucket.left(), rate)
-                    attempt = sender.held[action.message].attempts - 1
+                    attempt = sender.pending[action.message].attempts - 1
                     ended = i.Ended(action.message, attempt, 10, outcome, 40.0, good, 0.0, report)
                     waiting.append((now + 40.0, ended))
     return taken, refused
--- a/tests/test_lifetimes.py
+++ b/tests/test_lifetimes.py
@@ -211,7 +211,7 @@
         for life in self.lives.values():
             assert life.left or life.delivered or life.told, "no end"
         assert not self.journal.owed and not self.sender._held and not self.sender._calls
-        assert not self.sender._numbers and not self.sender._module.held
+        assert not self.sender._numbers and not self.sender._module.pending
         self.journal.close()
         shutil.rmtree(self.folder)
 
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -52,7 +52,7 @@
     world.step([take(world, 1)])
     world.run(1000)
     assert len(world.sends()) == 1
-    assert not world.sender.held
+    assert not world.sender.pending
 
 
 def test_a_fault_moves_a_message_down_its_list() -> None:
@@ -61,7 +61,7 @@
     for n in range(20):
         world.step([take(world, n)])
         world.run(400)
-    assert not world.sender.held
+    assert not world.sender.pending
     assert {send.route for _, send in world.sends()} == {10, 11}
     assert not world.finals()
 
@@ -71,7 +71,7 @@
     world.mood = {10: i.Outcome.TIMEOUT, 11: i.Outcome.TIMEOUT}
     world.step([take(world, n, n % 4) for n in range(12)])
     world.run(20000)
-    assert not world.sender.held
+    assert not world.sender.pending
 
 
 def test_rule_two_an_unsafe_message_that_may_have_run_is_failed_at_once() -> None:
@@ -91,7 +91,7 @@
     world.step([take(world, 1, 1)])
     world.run(15000)
     assert len({send.route % 2 for _, send in world.sends()}) == 1
-    assert not world.sender.held
+    assert not world.sender.pending
 
 
 def test_rule_three_nothing_new_to_a_draining_route() -> None:
@@ -135,7 +135,7 @@
     world.mood = {10: i.Outcome.RESET}
     world.step([take(world, n, 2, key=7) for n in range(5)])
     world.run(14000)
-    assert not world.sender.held
+    assert not world.sender.pending
     assert len(world.sends()) >= 5
 
 
@@ -222,7 +222,7 @@
         world.step(events)
         world.run(pause)
     world.run(30000)
-    assert not world.sender.held
+    assert not world.sender.pending
     assert world.sender.calls == 0
 
 
@@ -501,7 +501,7 @@
         world.step([take(world, n, n % 4)])
         world.run(400)
     world.run(15000)
-    assert not world.sender.held
+    assert not world.sender.pending
     assert len(world.sends()) >= 2
 
 
@@ -643,6 +643,6 @@
     world = World(make_settings(must_ask=True), 1, entries((1, 1, 0)))
     outdated(world, world.now, world.now + 1e6)
     world.step([take(world, 1)])
-    deadline = world.sender.held[1].deadline
+    deadline = world.sender.pending[1].deadline
     world.run(deadline - world.now)
-    assert 1 not in world.sender.held
+    assert 1 not in world.sender.pending
--- a/tests/test_slots.py
+++ b/tests/test_slots.py
@@ -46,7 +46,7 @@
                 times = took[action.route]
                 wait = times[min(out[action.route], len(times) - 1)]
                 out[action.route] += 1
-                attempt = sender.held[action.message].attempts - 1
+                attempt = sender.pending[action.message].attempts - 1
                 end = i.Ended(action.message, attempt, action.route, i.Outcome.SERVED, wait, True)
                 heappush(due, (now + wait, number * 100 + len(due), end))
         if now > 5000.0:
@@ -91,7 +91,7 @@
         return i.Taken(self.number, 1, 0, self.now + 12_000.0)
 
     def end(self, send: i.Send, outcome: i.Outcome, took: float = 40.0) -> i.Ended:
-        attempt = self.sender.held[send.message].attempts - 1
+        attempt = self.sender.pending[send.message].attempts - 1
         return i.Ended(send.message, attempt, send.route, outcome, took, outcome is i.Outcome.SERVED)
 
     def serve(self, count: int) -> int:
--- a/tests/test_spoilt.py
+++ b/tests/test_spoilt.py
@@ -166,7 +166,7 @@
         ended = []
         for send in actions:
             if isinstance(send, i.Send):
-                attempt = sender.held[send.message].attempts - 1
+                attempt = sender.pending[send.message].attempts - 1
                 spoilt = send.message % 20 == 7 and attempt == 0
                 outcome = i.Outcome.SPOILT if spoilt else i.Outcome.SERVED
                 served += not spoilt
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -175,9 +175,9 @@
 def test_a_restart_in_one_batch_starts_with_no_state() -> None:
     host = b.Host()
     host.answer(frame(1, 0.0, *born(3), CENSUS, TOPOLOGY, NEW))
-    assert host.instances[3].held
+    assert host.instances[3].pending
     host.answer(frame(2, 5.0, "18 04000000 03000000", "12 00000000", *born(3)[1:], CENSUS, TOPOLOGY))
-    assert not host.instances[3].held
+    assert not host.instances[3].pending
 
 
 @pytest.mark.parametrize(
