--- a/springspread/policy.py
+++ b/springspread/policy.py
@@ -77,7 +77,7 @@
         self.routes: dict[int, Route] = {}
         self.pending: dict[int, Message] = {}
         self.lines: dict[Destination, None] = {}  # those with messages waiting, in order of the first
-        self.flights: dict[tuple[int, int], tuple[Message, Call]] = {}
+        self.in_flight: dict[tuple[int, int], tuple[Message, Call]] = {}
         self.turns: dict[int, Turn] = {}
         self.dues: list[tuple[float, int]] = []
         self.last_pause = RECHECK_MS * max(1.0, log2(settings.senders))  # as doublings thin out all senders
@@ -203,9 +203,9 @@
         return within + (1.0 - within) * self.set.over_share_worth
 
     def _ended(self, event: i.Ended) -> None:
-        if (event.message, event.attempt) not in self.flights:
+        if (event.message, event.attempt) not in self.in_flight:
             return
-        m, call = self.flights.pop((event.message, event.attempt))
+        m, call = self.in_flight.pop((event.message, event.attempt))
         m.flying, m.dest.look_at = False, 0.0
         self.calls -= call.end(self.now)
         if not call.judged:
@@ -537,7 +537,7 @@
         self.calls += call.begin()
         for m in batch:
             m.leave(self.lines)
-            self.flights[m.id, m.attempts] = (m, call)
+            self.in_flight[m.id, m.attempts] = (m, call)
             m.sent(route, self.now)
             self.out.append(i.Send(m.id, route.id, wait))
 
--- a/tests/test_apart.py
+++ b/tests/test_apart.py
@@ -66,7 +66,7 @@
             events = [i.Taken(self.number, to, cls, self.now + float(str(c)), tenant=cls)]
         elif kind == "ended" and self.out:
             message, attempt = self.out.pop(0)
-            _, call = self.sender.flights.get((message, attempt), (None, None))
+            _, call = self.sender.in_flight.get((message, attempt), (None, None))
             route = call.route.id if call else 1
             assert isinstance(a, i.Outcome)
             over = a is i.Outcome.SERVED
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -387,7 +387,7 @@
 def test_a_clock_that_starts_late_is_no_fault() -> None:
     sender = World(make_settings(), 1, entries((1, 1, 0))).sender
     sender.handle(1.2e9, [i.Taken(1, 1, 0, 1.2e9 + 8000.0)])
-    assert sender.flights
+    assert sender.in_flight
     sender.handle(1.2e9 + 60, [i.Ended(1, 0, 10, i.Outcome.SERVED, 60.0, True)])
     again = sender.handle(1.2e9 + 9000, [i.Taken(2, 1, 0, 1.2e9 + 17000.0)])
     assert [action for action in again if isinstance(action, i.Send)]
@@ -402,9 +402,9 @@
     for n in range(0, 120, 2):
         for number, cls in ((n, 0), (n + 1, 3)):
             world.step([take(world, number, cls)])
-            sends = [(m, k) for m, k in sender.flights if m == number]
+            sends = [(m, k) for m, k in sender.in_flight if m == number]
             for key in sends:
-                route = sender.flights[key][1].route
+                route = sender.in_flight[key][1].route
                 bad = route.id == 10 and cls == 0 and n > 40
                 outcome = i.Outcome.ERROR if bad else i.Outcome.SERVED
                 world.coming = [c for c in world.coming if getattr(c[2], "message", None) != number]
--- a/tests/test_whole_call.py
+++ b/tests/test_whole_call.py
@@ -72,7 +72,7 @@
     calls: dict[int, list[i.Send]] = {}
     for action in sender.handle(0.0, list(events)):
         if isinstance(action, i.Send):
-            calls.setdefault(id(sender.flights[action.message, 0][1]), []).append(action)
+            calls.setdefault(id(sender.in_flight[action.message, 0][1]), []).append(action)
     for sends in calls.values():
         assert len({send.timeout_ms for send in sends}) == 1  # given up at one moment
         for send in sends:
@@ -92,4 +92,4 @@
     sender.handle(0.0, [i.Listed(i.ListScope.WHOLE, 1, (entry,))])
     events = [i.Taken(n, 7, n % 2, 8000.0 + 20_000.0 * (n % 2)) for n in range(5)]
     sends = [action for action in sender.handle(0.0, list(events)) if isinstance(action, i.Send)]
-    assert len(sends) == 5 and len({id(call) for _, call in sender.flights.values()}) == 1
+    assert len(sends) == 5 and len({id(call) for _, call in sender.in_flight.values()}) == 1
