--- a/springspread/policy.py
+++ b/springspread/policy.py
@@ -76,7 +76,7 @@
         self.dests: dict[int, Destination] = {}
         self.routes: dict[int, Route] = {}
         self.pending: dict[int, Message] = {}
-        self.lines: dict[Destination, None] = {}  # those with messages waiting, in order of the first
+        self.queued_dests: dict[Destination, None] = {}  # those with messages waiting, in order of the first
         self.in_flight: dict[tuple[int, int], tuple[Message, Call]] = {}
         self.turns: dict[int, Turn] = {}
         self.dues: list[tuple[float, int]] = []
@@ -190,7 +190,7 @@
             m.turn = self.turns.setdefault(event.key, Turn())
             m.turn.line.append(m)
         if len(self.pending) >= self.set.max_held:  # hand back what is worth least where the line is longest
-            line = max((dest.queue for dest in self.lines), key=len)
+            line = max((dest.queue for dest in self.queued_dests), key=len)
             self._give_up(min(line, key=lambda other: self._stake(other, other.spec.aim_ms)))
 
     def _part(self, tenant: int) -> float:
@@ -228,7 +228,7 @@
             self._enqueue(m)
 
     def _enqueue(self, m: Message) -> None:
-        m.join(self.lines)
+        m.join(self.queued_dests)
         heappush(self.dues, (self._last_chance(m), m.id))
 
     def _last_chance(self, m: Message) -> float:
@@ -497,7 +497,7 @@
 
     def _dispatch(self) -> None:
         outdated = self.list_retry.outdated(self.now)
-        dests = self.lines if self.calls < self.set.slots and not outdated else ()
+        dests = self.queued_dests if self.calls < self.set.slots and not outdated else ()
         picks = [pick for dest in dests if dest.look_at <= self.now and (pick := self._pick(dest))]
         while picks and self.calls < self.set.slots:
             best = max(picks, key=self._yield)
@@ -536,7 +536,7 @@
         self._spend(route.gate, 1.0 + ITEM_WEIGHT * (len(batch) - 1) * self._ramps(route.gate))
         self.calls += call.begin()
         for m in batch:
-            m.leave(self.lines)
+            m.leave(self.queued_dests)
             self.in_flight[m.id, m.attempts] = (m, call)
             m.sent(route, self.now)
             self.out.append(i.Send(m.id, route.id, wait))
@@ -554,7 +554,7 @@
     def _finish(self, m: Message) -> None:
         if self.pending.pop(m.id, None) is not None:
             m.finished = True
-            m.leave(self.lines)
+            m.leave(self.queued_dests)
         if m.turn and not m.flying and m.turn.leave(m, self.now):
             self.turns.pop(m.key, None)
 
@@ -574,8 +574,8 @@
         if self.list_retry.due(self.now):
             self.out.append(i.Watch())
         due = self.list_retry.next_at
-        if self.lines:
-            looks = [dest.look_at for dest in self.lines if self.calls < self.set.slots]
+        if self.queued_dests:
+            looks = [dest.look_at for dest in self.queued_dests if self.calls < self.set.slots]
             if self.list_retry.outdated(self.now):
                 looks = [self.list_retry.outdated_until]
             due = max(min([due, self.dues[0][0], *looks]), self.now + self.set.tick_ms)
--- a/springspread/state.py
+++ b/springspread/state.py
@@ -130,18 +130,18 @@
     walk: list[Route] = field(default_factory=list)
     tried: list[Route] = field(default_factory=list)
 
-    def join(self, lines: dict[Destination, None]) -> None:
+    def join(self, queued_dests: dict[Destination, None]) -> None:
         """Wait at the destination, which has something to look at now."""
         self.dest.queue.append(self)
         self.dest.look_at = 0.0
-        lines[self.dest] = None
+        queued_dests[self.dest] = None
 
-    def leave(self, lines: dict[Destination, None]) -> None:
+    def leave(self, queued_dests: dict[Destination, None]) -> None:
         """Wait no more."""
         if self in self.dest.queue:
             self.dest.queue.remove(self)
         if not self.dest.queue:
-            lines.pop(self.dest, None)
+            queued_dests.pop(self.dest, None)
 
     def sent(self, route: Route, now: float) -> None:
         """An attempt is out."""
--- a/tests/test_core.py
+++ b/tests/test_core.py
@@ -264,7 +264,14 @@
         endpoints = sender._endpoints
         known = (endpoints.by_number, endpoints._numbers)
         tables = (*known, sender._held, sender._numbers, sender._calls, module.pending)
-        more = (module.routes, module.dests, module.in_flight, module.lines, module.dues, rig.journal.owed)
+        more = (
+            module.routes,
+            module.dests,
+            module.in_flight,
+            module.queued_dests,
+            module.dues,
+            rig.journal.owed,
+        )
         return [len(table) for table in (*tables, *more, rig.clearance._bars, module.dests[7].routes)]
 
     def round(n: int) -> None:
--- a/tests/test_grown_fleet.py
+++ b/tests/test_grown_fleet.py
@@ -68,7 +68,7 @@
             next_at += rng.expovariate(demand / 1000)
         for sender, waiting in zip(fleet, due, strict=True):
             ready = [event for at, event in waiting if at <= now]
-            if not ready and not (sender.lines and round(now) % 50 == 0):
+            if not ready and not (sender.queued_dests and round(now) % 50 == 0):
                 continue
             waiting[:] = [(at, event) for at, event in waiting if at > now]
             for action in sender.handle(now, ready):
