--- a/springspread/policy.py
+++ b/springspread/policy.py
@@ -79,7 +79,7 @@
         self.queued_dests: dict[Destination, None] = {}  # those with messages waiting, in order of the first
         self.in_flight: dict[tuple[int, int], tuple[Message, Call]] = {}
         self.turns: dict[int, Turn] = {}
-        self.dues: list[tuple[float, int]] = []
+        self.expiries: list[tuple[float, int]] = []
         self.last_pause = RECHECK_MS * max(1.0, log2(settings.senders))  # as doublings thin out all senders
         self.use = [Fading(0.0, USE_LEAST) for _ in settings.tenants]
         self.mean_ms = min(spec.aim_ms for spec in settings.classes) / 4
@@ -229,7 +229,7 @@
 
     def _enqueue(self, m: Message) -> None:
         m.join(self.queued_dests)
-        heappush(self.dues, (self._last_chance(m), m.id))
+        heappush(self.expiries, (self._last_chance(m), m.id))
 
     def _last_chance(self, m: Message) -> float:
         """When a waiting message is given up: too late for another attempt to be of use."""
@@ -565,8 +565,8 @@
         self._finish(m)
 
     def _overdue(self) -> None:
-        while self.dues and self.dues[0][0] <= self.now:
-            m = self.pending.get(heappop(self.dues)[1])
+        while self.expiries and self.expiries[0][0] <= self.now:
+            m = self.pending.get(heappop(self.expiries)[1])
             if m is not None and not m.flying:
                 self._give_up(m)
 
@@ -578,7 +578,7 @@
             looks = [dest.look_at for dest in self.queued_dests if self.calls < self.set.slots]
             if self.list_retry.outdated(self.now):
                 looks = [self.list_retry.outdated_until]
-            due = max(min([due, self.dues[0][0], *looks]), self.now + self.set.tick_ms)
+            due = max(min([due, self.expiries[0][0], *looks]), self.now + self.set.tick_ms)
         if due < inf and (self.wake_at <= self.now + self.set.tick_ms / 2 or due < self.wake_at):
             self.wake_at = due
             self.out.append(i.Wake(due - self.now))
--- a/tests/test_core.py
+++ b/tests/test_core.py
@@ -269,7 +269,7 @@
             module.dests,
             module.in_flight,
             module.queued_dests,
-            module.dues,
+            module.expiries,
             rig.journal.owed,
         )
         return [len(table) for table in (*tables, *more, rig.clearance._bars, module.dests[7].routes)]
