--- a/springspread/policy.py
+++ b/springspread/policy.py
@@ -131,7 +131,7 @@
         for entry in event.entries:
             route = self.routes.get(entry.route) or self._add(entry)
             route.state, route.dest.look_at = entry.state, 0.0
-            route.gate.rating = entry.rating
+            route.limiter.rating = entry.rating
         whole = event.scope is not i.ListScope.CHANGES
         kept = {entry.route for entry in event.entries} if whole else self.routes
         for route in list(self.routes.values()):
@@ -148,9 +148,9 @@
     def _add(self, entry: i.RouteEntry) -> Route:
         kind = self.set.kinds[entry.kind] if entry.kind < len(self.set.kinds) else i.KindSpec("")
         dest = self._dest(entry.destination)
-        gate = self._gate() if kind.separate_routes else dest.shared
+        limiter = self._gate() if kind.separate_routes else dest.shared
         classes = tuple(Health() for _ in self.set.classes)
-        route = Route(entry.route, entry.zone, kind, dest, gate, classes, self.rng.random())
+        route = Route(entry.route, entry.zone, kind, dest, limiter, classes, self.rng.random())
         dest.routes.append(route)
         self.routes[route.id] = route
         return route
@@ -164,8 +164,8 @@
         return Gate(1.0 / self.set.senders, filled_at=self.now)  # all first parts sum to the limit
 
     def _own(self, route: Route, seen: Fading) -> float:
-        rest = sum(self._limit(r.gate) for r in route.dest.routes if r.gate is not route.gate)
-        limit = self._limit(route.gate)
+        rest = sum(self._limit(r.limiter) for r in route.dest.routes if r.limiter is not route.limiter)
+        limit = self._limit(route.limiter)
         equal = limit / self.set.senders  # what is held for the demand before any is seen
         return seen.rate(self.now, limit / max(limit + rest, 0.01), equal, FADE_MS / 4)
 
@@ -236,8 +236,8 @@
         return min(m.deadline - self.mean_ms / 2, inf if m.ran_at is None else m.window_ends(m.ran_at))
 
     def _judge(self, m: Message, call: Call, event: i.Ended) -> None:
-        route, gate, outcome, rules = call.route, call.route.gate, event.outcome, self.set.rules
-        gate.told_limit = event.report.limit_per_s or gate.told_limit
+        route, limiter, outcome, rules = call.route, call.route.limiter, event.outcome, self.set.rules
+        limiter.told_limit = event.report.limit_per_s or limiter.told_limit
         if outcome in (i.Outcome.MOOT, i.Outcome.UNKNOWN):
             return
         self.resets += RESETS_LEARN * ((outcome is i.Outcome.RESET) - self.resets)
@@ -257,11 +257,11 @@
             self._fault(route, healths, call)
             return
         if outcome is i.Outcome.SERVED:
-            route.dest.served_at = gate.served_at = self.now
+            route.dest.served_at = limiter.served_at = self.now
             self.mean_ms += LEARN / 4 * (event.took_ms - self.mean_ms)
-            if gate.out_at == inf and call.sent_at >= gate.sign_at:
+            if limiter.out_at == inf and call.sent_at >= limiter.sign_at:
                 # Known to be back: since a time between the last sign and this call, so on average half-way.
-                gate.out_at, gate.doubt = (gate.sign_at + self.now) / 2, 0.0
+                limiter.out_at, limiter.doubt = (limiter.sign_at + self.now) / 2, 0.0
             route.dest.served.add(self.now, FADE_MS, 1.0 + ITEM_WEIGHT * (call.size - 1))
             if route.health.flagged:
                 self.out.append(i.Log(f"route {route.id}: recheck served"))
@@ -272,14 +272,14 @@
                 route.window = min(route.window + 1.0, self.set.slots)
             for health in healths:
                 health.note(True, call.sent_at, LEARN)
-            gate.refusals, gate.doubt = gate.refusals // 2, gate.doubt * 0.5
+            limiter.refusals, limiter.doubt = limiter.refusals // 2, limiter.doubt * 0.5
             left = event.report.left_share if event.report.limit_per_s else None
             room = (2 * LEAVE if left is None else left) - LEAVE
-            if gate.tokens < 1.0 or room < 0.0:
-                self._part_to(gate, gate.share * (1.0 + GROW * room))
+            if limiter.tokens < 1.0 or room < 0.0:
+                self._part_to(limiter, limiter.share * (1.0 + GROW * room))
             return
         # A call sent later was served: this one was slow, no outage. Could harm as a route dies.
-        recent = self.now - gate.served_at <= WELL_MS
+        recent = self.now - limiter.served_at <= WELL_MS
         sign = 1.0 if outcome in BROKEN and not recent else DOUBT
         sign = RESET_DOUBT if outcome is i.Outcome.RESET and recent else sign
         sign *= route.health.served_at <= call.sent_at
@@ -293,17 +293,17 @@
             route.rests_until = self.now + self._jitter(BACK_OFF_MS)
             sign = 0.0
         elif outcome is i.Outcome.FULL:
-            own = self._own(route, route.dest.demand) / max(self._limit(gate), 0.01)
+            own = self._own(route, route.dest.demand) / max(self._limit(limiter), 0.01)
             own = max(own, 1.0 / self.set.senders)
-            self._part_to(gate, min(gate.share, OWN_ROOM * own) * CUT)
-            gate.refusals += 1
+            self._part_to(limiter, min(limiter.share, OWN_ROOM * own) * CUT)
+            limiter.refusals += 1
             # Doubled, also beyond a told wait, whose end all hear; none may cut short a wait told before.
-            pause = self._jitter(min(BACK_OFF_MS * 2.0 ** (gate.refusals - 1), self.last_pause))
-            pause = event.wait_ms + (pause if gate.refusals > 1 else 0.0) if event.wait_ms else pause
-            gate.shut_until = max(gate.shut_until, self.now + pause)
+            pause = self._jitter(min(BACK_OFF_MS * 2.0 ** (limiter.refusals - 1), self.last_pause))
+            pause = event.wait_ms + (pause if limiter.refusals > 1 else 0.0) if event.wait_ms else pause
+            limiter.shut_until = max(limiter.shut_until, self.now + pause)
             # Likely the limit's own refusal, or too few senders to push it over by a call each.
             used_up = left is not None and left < USED_UP
-            budget = self._limit(gate) * rules.fall_multiple * rules.cold_share * RAMP_MARGIN
+            budget = self._limit(limiter) * rules.fall_multiple * rules.cold_share * RAMP_MARGIN
             few = self.set.senders * 1000 <= budget * rules.fall_ms
             shut = event.wait_ms > OUTAGE_WAIT_MS
             sign = 1.0 if shut else (DOUBT if used_up or few else 1.0) * (not recent)
@@ -311,19 +311,19 @@
             self._fault(route, healths, call)
         kept = 1.0 - (1.0 - SHRINK) * telling
         route.window = 1.0 if route.health.flagged else max(1.0, route.window * kept)
-        gate.doubt = min(gate.doubt + sign, 3.0)
-        if sign and gate.doubt >= 1.0:
-            self._out(route, gate.shut_until if event.wait_ms else inf)
+        limiter.doubt = min(limiter.doubt + sign, 3.0)
+        if sign and limiter.doubt >= 1.0:
+            self._out(route, limiter.shut_until if event.wait_ms else inf)
 
     def _absolve(self, route: Route) -> None:
         """A route is gone: an outage that was seen there alone was none of the destination."""
-        gate = route.gate
-        if gate.blamed and gate.blamed <= {route}:
-            gate.out_at, gate.sign_at, gate.doubt, gate.signs = -inf, -inf, 0.0, 0
-        gate.blamed.discard(route)
+        limiter = route.limiter
+        if limiter.blamed and limiter.blamed <= {route}:
+            limiter.out_at, limiter.sign_at, limiter.doubt, limiter.signs = -inf, -inf, 0.0, 0
+        limiter.blamed.discard(route)
 
-    def _part_to(self, gate: Gate, part: float) -> None:
-        gate.share = min(max(part, LEAST_PART / self.set.senders), ROUGH)
+    def _part_to(self, limiter: Gate, part: float) -> None:
+        limiter.share = min(max(part, LEAST_PART / self.set.senders), ROUGH)
 
     def _fault(self, route: Route, healths: list[Health], call: Call) -> None:
         for health in healths:
@@ -357,21 +357,21 @@
 
     def _out(self, route: Route, back_at: float) -> None:
         """A sign of an outage, over at a told time or at none known."""
-        gate = route.gate
-        gate.signs = gate.signs + 1 if self._ramps(gate) else 0
-        if not gate.signs:
-            gate.blamed.clear()
+        limiter = route.limiter
+        limiter.signs = limiter.signs + 1 if self._ramps(limiter) else 0
+        if not limiter.signs:
+            limiter.blamed.clear()
             route.dest.served.add(self.now, FADE_MS, 0.0)
-            gate.own = max(self._own(route, route.dest.served), self._limit(gate) / self.set.senders)
-            gate.tokens = 1.0 - self.rng.expovariate(1.0)
-        gate.out_at, gate.sign_at = back_at, self.now
-        gate.blamed.add(route)
+            limiter.own = max(self._own(route, route.dest.served), self._limit(limiter) / self.set.senders)
+            limiter.tokens = 1.0 - self.rng.expovariate(1.0)
+        limiter.out_at, limiter.sign_at = back_at, self.now
+        limiter.blamed.add(route)
 
     def _jitter(self, pause: float) -> float:
         return pause * (0.75 + self.rng.random() / 2)
 
-    def _limit(self, gate: Gate) -> float:
-        return gate.told_limit or gate.rating / (ROUGH if self.set.rating is i.Rating.ROUGH else 1.0)
+    def _limit(self, limiter: Gate) -> float:
+        return limiter.told_limit or limiter.rating / (ROUGH if self.set.rating is i.Rating.ROUGH else 1.0)
 
     def _fill(self, route: Route) -> None:
         # Rule 4. Half a part is what this sender was served, half 1 / senders: parts sum to the limit, so all
@@ -379,40 +379,40 @@
         # that is near none, there is a chance of a call in the warm time W, 2 W after the next sign and so
         # on: T into an outage L ln(1 + T / W) of all, under twice what the unaware send till most know, then
         # senders / (W + T). Chances lapse, none are saved up. Could harm: partners found late.
-        gate, rules = route.gate, self.set.rules
-        limit = self._limit(gate)
-        gate.pace = max(limit * gate.share, 0.001)
-        earned = max(self.now - gate.filled_at, 0.0) / 1000
-        if self._ramps(gate):
-            since = max(self.now - gate.out_at, 0.0) / rules.warm_within_ms
+        limiter, rules = route.limiter, self.set.rules
+        limit = self._limit(limiter)
+        limiter.pace = max(limit * limiter.share, 0.001)
+        earned = max(self.now - limiter.filled_at, 0.0) / 1000
+        if self._ramps(limiter):
+            since = max(self.now - limiter.out_at, 0.0) / rules.warm_within_ms
             warm = rules.cold_share + (1.0 - rules.cold_share) * since
-            part = gate.own * rules.fall_multiple * warm * RAMP_MARGIN
-            chance = 0.0 if since else 1000 / rules.warm_within_ms * exp2(-gate.signs)
-            gate.pace = min(gate.pace, max(part, chance))
-            gate.tokens += gate.pace * earned
-            if gate.tokens > 1.0 + gate.pace * CHANCE_MS / 1000:
-                gate.tokens = 1.0
-                self._spend(gate, 1.0)
+            part = limiter.own * rules.fall_multiple * warm * RAMP_MARGIN
+            chance = 0.0 if since else 1000 / rules.warm_within_ms * exp2(-limiter.signs)
+            limiter.pace = min(limiter.pace, max(part, chance))
+            limiter.tokens += limiter.pace * earned
+            if limiter.tokens > 1.0 + limiter.pace * CHANCE_MS / 1000:
+                limiter.tokens = 1.0
+                self._spend(limiter, 1.0)
         else:
-            depth = max(1.0, gate.pace * BURST_MS / 1000)
-            gate.tokens = min(depth, gate.tokens + gate.pace * earned)
-        gate.filled_at = max(gate.filled_at, self.now)
+            depth = max(1.0, limiter.pace * BURST_MS / 1000)
+            limiter.tokens = min(depth, limiter.tokens + limiter.pace * earned)
+        limiter.filled_at = max(limiter.filled_at, self.now)
 
-    def _spend(self, gate: Gate, much: float) -> None:
+    def _spend(self, limiter: Gate, much: float) -> None:
         """A call is gone; in a ramp, where one takes longer than a fall span to earn, the next is drawn."""
-        if self._ramps(gate) and gate.pace * self.set.rules.fall_ms < 1000:
+        if self._ramps(limiter) and limiter.pace * self.set.rules.fall_ms < 1000:
             much *= self.rng.expovariate(1.0)
-        gate.tokens -= much
+        limiter.tokens -= much
 
-    def _ramps(self, gate: Gate) -> bool:
-        warming = self.now - gate.out_at < self.set.rules.warm_within_ms
-        return warming and self.now - gate.sign_at < FORGET_MS and self.set.rules.warm_within_ms > 0
+    def _ramps(self, limiter: Gate) -> bool:
+        warming = self.now - limiter.out_at < self.set.rules.warm_within_ms
+        return warming and self.now - limiter.sign_at < FORGET_MS and self.set.rules.warm_within_ms > 0
 
     def _open(self, route: Route) -> bool:
         if route.state is not i.RouteState.READY or self._filled(route) >= int(route.window):
             return False
         self._fill(route)
-        return self.now >= max(route.gate.shut_until, route.rests_until) and route.gate.tokens >= 1.0
+        return self.now >= max(route.limiter.shut_until, route.rests_until) and route.limiter.tokens >= 1.0
 
     def _stuck_at(self, route: Route, call: Call) -> float:
         return call.sent_at + max(PATIENCE * (route.alone_ms or self.mean_ms), STUCK_MS)
@@ -463,7 +463,7 @@
         return m.worth(served, self.set.fade) - STAKE_LOST * m.worth(served + horizon, self.set.fade)
 
     def _drain_ms(self, dest: Destination) -> float:
-        pace = sum(self._limit(r.gate) * r.gate.share * r.kind.per_call for r in dest.routes)
+        pace = sum(self._limit(r.limiter) * r.limiter.share * r.kind.per_call for r in dest.routes)
         return 1000 * len(dest.queue) / max(pace, 0.1)
 
     def _ready(self, m: Message) -> bool:
@@ -478,9 +478,11 @@
         ready = [route for route in dest.routes if self._open(route)]
         dest.look_at = self.now + LOOK_MS
         if not ready or dest.calls >= self._cap(dest):
-            gates = [r.gate for r in dest.routes if not ready and self._filled(r) < int(r.window)]
-            full_at = [self.now + 1000 * (1.0 - gate.tokens) / max(gate.pace, 0.001) for gate in gates]
-            opens = [max(at, gate.shut_until) for at, gate in zip(full_at, gates, strict=True)]
+            limiters = [r.limiter for r in dest.routes if not ready and self._filled(r) < int(r.window)]
+            full_at = [
+                self.now + 1000 * (1.0 - limiter.tokens) / max(limiter.pace, 0.001) for limiter in limiters
+            ]
+            opens = [max(at, limiter.shut_until) for at, limiter in zip(full_at, limiters, strict=True)]
             dest.look_at = min([dest.look_at, *(at for at in opens if at > self.now)])
             return None
         horizon = max(self.mean_ms, self._drain_ms(dest))
@@ -513,7 +515,7 @@
         return stake * size / float(max(route.mean_ms or self.mean_ms, 1.0) ** SLOT_LEAN)
 
     def _room(self, route: Route) -> int:
-        return 1 if route.health.flagged or route.gate.out_at == inf else route.kind.per_call
+        return 1 if route.health.flagged or route.limiter.out_at == inf else route.kind.per_call
 
     def _send(self, first: Message, route: Route) -> None:
         rest = [m for m in route.dest.queue if m is not first and self._ready(m) and self._allowed(m, route)]
@@ -533,7 +535,7 @@
         call = Call(route, self.now, len(batch), len(batch), idle)
         for health in (route.health, route.classes[first.cls]):
             health.recheck_at = self.now + self._jitter(RECHECK_MS)
-        self._spend(route.gate, 1.0 + ITEM_WEIGHT * (len(batch) - 1) * self._ramps(route.gate))
+        self._spend(route.limiter, 1.0 + ITEM_WEIGHT * (len(batch) - 1) * self._ramps(route.limiter))
         self.calls += call.begin()
         for m in batch:
             m.leave(self.queued_dests)
@@ -559,7 +561,7 @@
             self.turns.pop(m.key, None)
 
     def _give_up(self, m: Message) -> None:
-        opens = min((route.gate.shut_until for route in m.dest.routes), default=inf) - self.now
+        opens = min((route.limiter.shut_until for route in m.dest.routes), default=inf) - self.now
         back = min(max(opens, self._drain_ms(m.dest)), self.set.max_retry_after_ms)
         self.out.append(i.Refuse(m.id, back) if m.harmless() else i.Fail(m.id))
         self._finish(m)
--- a/springspread/state.py
+++ b/springspread/state.py
@@ -78,7 +78,7 @@
     zone: int
     kind: KindSpec
     dest: Destination
-    gate: Gate
+    limiter: Gate
     classes: tuple[Health, ...]  # what calls of each class ended in
     tie: float
     state: RouteState = RouteState.READY
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -319,7 +319,7 @@
     world.step([take(world, n) for n in range(2)])
     sender = world.sender
     sender.routes[10].window = 9.0
-    sender.routes[10].gate.tokens = 9.0
+    sender.routes[10].limiter.tokens = 9.0
     world.run(5)
     world.step([take(world, 2)])
     long = i.Ended(0, 0, 10, i.Outcome.FULL, 5.0, False, 4000.0)
@@ -327,7 +327,7 @@
     assert {send.message for _, send in world.sends()} >= {0}
     sender.handle(world.now, [long])
     sender.handle(world.now + 5, [short])
-    assert sender.routes[10].gate.shut_until >= world.now + 4000.0
+    assert sender.routes[10].limiter.shut_until >= world.now + 4000.0
     late = sender.handle(world.now + 3900, [])
     assert not [action for action in late if isinstance(action, i.Send)]
 
@@ -337,7 +337,7 @@
     route = world.sender.routes[10]
     route.window = 9.0
     for n in range(8):
-        route.gate.tokens = 2.0
+        route.limiter.tokens = 2.0
         world.step([take(world, 2 * n), take(world, 2 * n + 1)])
         first, second = [send.message for _, send in world.sends()[-2:]]
         attempts = [len(world.monitor.sends[m]) - 1 for m in (first, second)]
@@ -348,7 +348,7 @@
         served = i.Ended(second, attempts[1], 10, i.Outcome.SERVED, 100, True)
         world.step([lost, served])
     assert not route.health.flagged
-    assert route.gate.out_at < 0
+    assert route.limiter.out_at < 0
 
 
 def test_keyed_time_outs_leave_room_for_another_try() -> None:
@@ -601,14 +601,14 @@
     world.mood = {10: i.Outcome.CONNECT_FAILED}
     world.step([take(world, 0)])
     world.run(200)
-    gate = world.sender.routes[10].gate
+    limiter = world.sender.routes[10].limiter
     world.run(3 * RULES.warm_within_ms)
-    assert world.sender._ramps(gate)
+    assert world.sender._ramps(limiter)
     world.mood = {}
     for n in range(1, 60):
         world.step([take(world, n)])
         world.run(2000)
-    assert not world.sender._ramps(gate)
+    assert not world.sender._ramps(limiter)
 
 
 def outdated(world: World, begin: float, end: float) -> None:
