--- a/springspread/policy.py
+++ b/springspread/policy.py
@@ -148,7 +148,7 @@
     def _add(self, entry: i.RouteEntry) -> Route:
         kind = self.set.kinds[entry.kind] if entry.kind < len(self.set.kinds) else i.KindSpec("")
         dest = self._dest(entry.destination)
-        limiter = self._gate() if kind.separate_routes else dest.shared
+        limiter = self._gate() if kind.separate_routes else dest.shared_limiter
         classes = tuple(Health() for _ in self.set.classes)
         route = Route(entry.route, entry.zone, kind, dest, limiter, classes, self.rng.random())
         dest.routes.append(route)
--- a/springspread/state.py
+++ b/springspread/state.py
@@ -182,7 +182,7 @@
 class Destination:
     """A destination: its routes, and the messages waiting for it."""
 
-    shared: Gate
+    shared_limiter: Gate
     demand: Fading
     served: Fading  # calls served
     routes: list[Route] = field(default_factory=list)
