--- a/springspread/policy.py
+++ b/springspread/policy.py
@@ -259,9 +259,9 @@
         if outcome is i.Outcome.SERVED:
             route.dest.served_at = limiter.served_at = self.now
             self.mean_ms += LEARN / 4 * (event.took_ms - self.mean_ms)
-            if limiter.out_at == inf and call.sent_at >= limiter.sign_at:
+            if limiter.recovered_at == inf and call.sent_at >= limiter.sign_at:
                 # Known to be back: since a time between the last sign and this call, so on average half-way.
-                limiter.out_at, limiter.doubt = (limiter.sign_at + self.now) / 2, 0.0
+                limiter.recovered_at, limiter.doubt = (limiter.sign_at + self.now) / 2, 0.0
             route.dest.served.add(self.now, FADE_MS, 1.0 + ITEM_WEIGHT * (call.size - 1))
             if route.health.flagged:
                 self.out.append(i.Log(f"route {route.id}: recheck served"))
@@ -319,7 +319,7 @@
         """A route is gone: an outage that was seen there alone was none of the destination."""
         limiter = route.limiter
         if limiter.blamed and limiter.blamed <= {route}:
-            limiter.out_at, limiter.sign_at, limiter.doubt, limiter.signs = -inf, -inf, 0.0, 0
+            limiter.recovered_at, limiter.sign_at, limiter.doubt, limiter.signs = -inf, -inf, 0.0, 0
         limiter.blamed.discard(route)
 
     def _part_to(self, limiter: Gate, part: float) -> None:
@@ -364,7 +364,7 @@
             route.dest.served.add(self.now, FADE_MS, 0.0)
             limiter.own = max(self._own(route, route.dest.served), self._limit(limiter) / self.set.senders)
             limiter.tokens = 1.0 - self.rng.expovariate(1.0)
-        limiter.out_at, limiter.sign_at = back_at, self.now
+        limiter.recovered_at, limiter.sign_at = back_at, self.now
         limiter.blamed.add(route)
 
     def _jitter(self, pause: float) -> float:
@@ -384,7 +384,7 @@
         limiter.pace = max(limit * limiter.share, 0.001)
         earned = max(self.now - limiter.filled_at, 0.0) / 1000
         if self._ramps(limiter):
-            since = max(self.now - limiter.out_at, 0.0) / rules.warm_within_ms
+            since = max(self.now - limiter.recovered_at, 0.0) / rules.warm_within_ms
             warm = rules.cold_share + (1.0 - rules.cold_share) * since
             part = limiter.own * rules.fall_multiple * warm * RAMP_MARGIN
             chance = 0.0 if since else 1000 / rules.warm_within_ms * exp2(-limiter.signs)
@@ -405,7 +405,7 @@
         limiter.tokens -= much
 
     def _ramps(self, limiter: Gate) -> bool:
-        warming = self.now - limiter.out_at < self.set.rules.warm_within_ms
+        warming = self.now - limiter.recovered_at < self.set.rules.warm_within_ms
         return warming and self.now - limiter.sign_at < FORGET_MS and self.set.rules.warm_within_ms > 0
 
     def _open(self, route: Route) -> bool:
@@ -515,7 +515,7 @@
         return stake * size / float(max(route.mean_ms or self.mean_ms, 1.0) ** SLOT_LEAN)
 
     def _room(self, route: Route) -> int:
-        return 1 if route.health.flagged or route.limiter.out_at == inf else route.kind.per_call
+        return 1 if route.health.flagged or route.limiter.recovered_at == inf else route.kind.per_call
 
     def _send(self, first: Message, route: Route) -> None:
         rest = [m for m in route.dest.queue if m is not first and self._ready(m) and self._allowed(m, route)]
--- a/springspread/state.py
+++ b/springspread/state.py
@@ -41,7 +41,9 @@
     shut_until: float = 0.0
     refusals: int = 0
     doubt: float = 0.0
-    out_at: float = float("-inf")  # since when it is known to be back from an outage; inf while it is not
+    recovered_at: float = float(
+        "-inf"
+    )  # since when it is known to be back from an outage; inf while it is not
     sign_at: float = float("-inf")  # the latest sign of an outage
     signs: int = 0  # how many came after the first one
     own: float = 0.0  # what this sender may count as its own of the limit, as the first one came
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -348,7 +348,7 @@
         served = i.Ended(second, attempts[1], 10, i.Outcome.SERVED, 100, True)
         world.step([lost, served])
     assert not route.health.flagged
-    assert route.limiter.out_at < 0
+    assert route.limiter.recovered_at < 0
 
 
 def test_keyed_time_outs_leave_room_for_another_try() -> None:
