--- a/springspread/policy.py
+++ b/springspread/policy.py
@@ -84,7 +84,7 @@
         self.use = [Fading(0.0, USE_LEAST) for _ in settings.tenants]
         self.mean_ms = min(spec.aim_ms for spec in settings.classes) / 4
         self.wake_at, self.list_retry = 0.0, ListRetry(settings, self.rng)
-        self.safe_ms, self.safe_at, self.idle_bad = inf, 0.0, 0.0
+        self.safe_ms, self.safe_at, self.idle_failures = inf, 0.0, 0.0
         self.resets = 0.0  # the share of all calls whose connections break
         self.out: list[i.Action] = []
 
@@ -339,10 +339,10 @@
         worked = event.took_ms > QUICK_PART * (call.route.alone_ms or self.mean_ms)
         if outcome is i.Outcome.SERVED:
             if dest.suspect_ms:
-                self.idle_bad += 1.0
+                self.idle_failures += 1.0
                 self.safe_ms, self.safe_at = min(self._safe_ms(), dest.suspect_ms * IDLE_PART), self.now
             elif call.idle_ms > self.safe_ms:
-                self.idle_bad = max(self.idle_bad - 1.0, 0.0)
+                self.idle_failures = max(self.idle_failures - 1.0, 0.0)
             dest.suspect_ms = 0.0
         elif outcome is i.Outcome.RESET and (worked or call.idle_ms < IDLE_LEAST_MS):
             return  # it breaks now and then, whether idle before or not
@@ -529,7 +529,7 @@
         waits = [self._timeout(m, route, len(batch)) for m in batch]
         wait = min(waits) if max(waits) <= ALIKE * min(waits) else min(whole, *(left[m.id] for m in batch))
         idle = self.now - route.used_at if route.used_at and not route.calls else 0.0
-        if idle > self._safe_ms() and self.idle_bad >= 1.0:
+        if idle > self._safe_ms() and self.idle_failures >= 1.0:
             self.out.append(i.CloseIdle(route.id))
             idle = 0.0
         call = Call(route, self.now, len(batch), len(batch), idle)
--- a/tests/test_slots.py
+++ b/tests/test_slots.py
@@ -154,4 +154,4 @@
     while not again:
         again = line.step()
     line.step(line.end(again[0], i.Outcome.SERVED))
-    assert (line.sender.idle_bad > 0.0) == doubted
+    assert (line.sender.idle_failures > 0.0) == doubted
--- a/tests/test_spoilt.py
+++ b/tests/test_spoilt.py
@@ -173,4 +173,4 @@
                 ended.append(i.Ended(send.message, attempt, send.route, outcome, 40.0, not spoilt))
     limiters = [route.limiter for route in sender.routes.values()]
     assert served >= 395 and all(limiter.recovered_at == float("-inf") for limiter in limiters)
-    assert sender.idle_bad == 0.0
+    assert sender.idle_failures == 0.0
