--- a/springspread/policy.py
+++ b/springspread/policy.py
@@ -358,7 +358,7 @@
     def _out(self, route: Route, back_at: float) -> None:
         """A sign of an outage, over at a told time or at none known."""
         limiter = route.limiter
-        limiter.signs = limiter.signs + 1 if self._ramps(limiter) else 0
+        limiter.signs = limiter.signs + 1 if self._is_ramping(limiter) else 0
         if not limiter.signs:
             limiter.blamed.clear()
             route.dest.served.add(self.now, FADE_MS, 0.0)
@@ -383,7 +383,7 @@
         limit = self._limit(limiter)
         limiter.pace = max(limit * limiter.share, 0.001)
         earned = max(self.now - limiter.filled_at, 0.0) / 1000
-        if self._ramps(limiter):
+        if self._is_ramping(limiter):
             since = max(self.now - limiter.recovered_at, 0.0) / rules.warm_within_ms
             warm = rules.cold_share + (1.0 - rules.cold_share) * since
             part = limiter.own * rules.fall_multiple * warm * RAMP_MARGIN
@@ -400,11 +400,11 @@
 
     def _spend(self, limiter: Gate, much: float) -> None:
         """A call is gone; in a ramp, where one takes longer than a fall span to earn, the next is drawn."""
-        if self._ramps(limiter) and limiter.pace * self.set.rules.fall_ms < 1000:
+        if self._is_ramping(limiter) and limiter.pace * self.set.rules.fall_ms < 1000:
             much *= self.rng.expovariate(1.0)
         limiter.tokens -= much
 
-    def _ramps(self, limiter: Gate) -> bool:
+    def _is_ramping(self, limiter: Gate) -> bool:
         warming = self.now - limiter.recovered_at < self.set.rules.warm_within_ms
         return warming and self.now - limiter.sign_at < FORGET_MS and self.set.rules.warm_within_ms > 0
 
@@ -535,7 +535,7 @@
         call = Call(route, self.now, len(batch), len(batch), idle)
         for health in (route.health, route.classes[first.cls]):
             health.recheck_at = self.now + self._jitter(RECHECK_MS)
-        self._spend(route.limiter, 1.0 + ITEM_WEIGHT * (len(batch) - 1) * self._ramps(route.limiter))
+        self._spend(route.limiter, 1.0 + ITEM_WEIGHT * (len(batch) - 1) * self._is_ramping(route.limiter))
         self.calls += call.begin()
         for m in batch:
             m.leave(self.queued_dests)
--- a/tests/test_grown_fleet.py
+++ b/tests/test_grown_fleet.py
@@ -159,10 +159,10 @@
     for attempt in range(2):
         ended = i.Ended(1, attempt, sends[0].route, i.Outcome.CONNECT_FAILED, 2.0, over=False)
         sends = [a for a in sender.handle(3.0 + attempt, [ended]) if isinstance(a, i.Send)] or sends
-    assert sender._ramps(sender.dests[1].shared_limiter)
+    assert sender._is_ramping(sender.dests[1].shared_limiter)
     gone = [replace(entry, state=i.RouteState.GONE) for entry in old]
     sender.handle(1000.0, [i.Listed(i.ListScope.CHANGES, 2, (*gone, replace(old[0], route=12)))])
-    assert not sender._ramps(sender.dests[1].shared_limiter)
+    assert not sender._is_ramping(sender.dests[1].shared_limiter)
 
 
 def test_a_full_line_with_much_of_the_limit_left_shuts_one_endpoint_not_all() -> None:
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -603,12 +603,12 @@
     world.run(200)
     limiter = world.sender.routes[10].limiter
     world.run(3 * RULES.warm_within_ms)
-    assert world.sender._ramps(limiter)
+    assert world.sender._is_ramping(limiter)
     world.mood = {}
     for n in range(1, 60):
         world.step([take(world, n)])
         world.run(2000)
-    assert not world.sender._ramps(limiter)
+    assert not world.sender._is_ramping(limiter)
 
 
 def outdated(world: World, begin: float, end: float) -> None:
