--- a/springspread/policy.py
+++ b/springspread/policy.py
@@ -47,7 +47,9 @@
 RESET_DOUBT = 0.34  # of a route that is, connections break now and then; three in a row may be an outage
 RESETS_USUAL = 0.02  # where more of all calls than this break, a break tells that much less of an outage
 RESETS_LEARN = 0.01  # weight of a new call in that share: about a hundred calls
-STUCK_MS = 400.0  # a call that has no answer after this, and PATIENCE, is stuck, as its connection may be
+STUCK_MS = (
+    400.0  # a call that has no answer after this, and TIMEOUT_MULTIPLE, is stuck, as its connection may be
+)
 CLASS_LEAN = 3.0  # a route's own served share weighs as much as this many calls of one class
 QUICK_PART = 0.4  # a reset after less than this part of a call's time came as the call was written
 IDLE_LEAST_MS = 100.0  # nobody closes connections as idle sooner than this
@@ -57,7 +59,7 @@
 CHANCE_MS = 200.0  # a ramping gate's unused call lapses after this: longer than the time between two looks
 ITEM_WEIGHT = 0.25  # a further message in a call weighs so much of a call
 ALIKE = 2.0  # a message joins a call that waits at least its part of this of what it has left, or it needs
-PATIENCE = 6.0  # time-out in multiples of the route's mean response time
+TIMEOUT_MULTIPLE = 6.0  # time-out in multiples of the route's mean response time
 AIM_PART = 0.5  # but this part of the class's aim at least
 REWALK_MS = 300.0  # pause before a message starts a new list
 STAKE_LOST = 0.8  # what a message keeps by waiting counts off its stake by this, so some of it stays
@@ -242,7 +244,7 @@
             return
         self.resets += RESETS_LEARN * ((outcome is i.Outcome.RESET) - self.resets)
         # A call sent later was served: this one's connection broke or fell silent, not the route.
-        long = event.took_ms > 2 * PATIENCE * (route.alone_ms or self.mean_ms)
+        long = event.took_ms > 2 * TIMEOUT_MULTIPLE * (route.alone_ms or self.mean_ms)
         lost = outcome is i.Outcome.RESET or (outcome is i.Outcome.TIMEOUT and long)
         lost = lost and route.health.served_at > call.sent_at
         if outcome in (i.Outcome.SERVED, i.Outcome.TIMEOUT) and not lost:
@@ -415,7 +417,7 @@
         return self.now >= max(route.limiter.shut_until, route.rests_until) and route.limiter.tokens >= 1.0
 
     def _stuck_at(self, route: Route, call: Call) -> float:
-        return call.sent_at + max(PATIENCE * (route.alone_ms or self.mean_ms), STUCK_MS)
+        return call.sent_at + max(TIMEOUT_MULTIPLE * (route.alone_ms or self.mean_ms), STUCK_MS)
 
     def _filled(self, route: Route) -> int:
         """What fills the window. Guards it against calls whose connections fell silent."""
@@ -520,7 +522,9 @@
     def _send(self, first: Message, route: Route) -> None:
         rest = [m for m in route.dest.queue if m is not first and self._ready(m) and self._allowed(m, route)]
         # A call is given up whole: nobody joins one that waits less than it needs, or far past its own end.
-        slow = PATIENCE * (route.mean_ms or self.mean_ms) * (1.0 + ITEM_WEIGHT * (self._room(route) - 1))
+        slow = (
+            TIMEOUT_MULTIPLE * (route.mean_ms or self.mean_ms) * (1.0 + ITEM_WEIGHT * (self._room(route) - 1))
+        )
         needs = {m.id: max(slow, AIM_PART * m.spec.aim_ms) for m in (first, *rest)}
         left = {m.id: m.deadline - self.now for m in (first, *rest)}
         whole = min(left[first.id], max(needs.values()))
@@ -550,7 +554,7 @@
         expected = (route.mean_ms or self.mean_ms) * (1.0 + ITEM_WEIGHT * (size - 1))
         usable = min(m.deadline, m.window_ends(self.now)) - self.now
         # Room for another try after a hang. Could harm where all routes are slow: work is done twice.
-        wait = min(max(PATIENCE * expected, AIM_PART * m.spec.aim_ms), usable - expected)
+        wait = min(max(TIMEOUT_MULTIPLE * expected, AIM_PART * m.spec.aim_ms), usable - expected)
         return wait if wait >= expected else left
 
     def _finish(self, m: Message) -> None:
--- a/tests/experiments/test_lab.py
+++ b/tests/experiments/test_lab.py
@@ -39,7 +39,7 @@
 load = [0.5, 1.0]
 [arms.plain]
 [arms.patient]
-module = { PATIENCE = 12.0 }
+module = { TIMEOUT_MULTIPLE = 12.0 }
 """
 
 
