--- a/springspread/policy.py
+++ b/springspread/policy.py
@@ -17,7 +17,7 @@
 W_SERVED = 0.5  # the suitability score's weights: being served matters most
 W_TIME = 0.3  # then how fast
 W_COST = 0.2  # then the fee, so that of routes alike the cheaper one leads
-LEARN = 0.2  # weight of a new sample in served share and response time: about five calls
+EWMA_WEIGHT = 0.2  # weight of a new sample in served share and response time: about five calls
 FLAG_RUN = 3  # faults in a row that flag a route (the design page's count)
 RECHECK_MS = 1500.0  # a flagged route is rechecked this often by a real message, an untold pause no longer
 SHRINK = 0.6  # a fault or refusal shrinks a route's window to this; a served call widens it by one
@@ -249,10 +249,10 @@
         lost = lost and route.health.served_at > call.sent_at
         if outcome in (i.Outcome.SERVED, i.Outcome.TIMEOUT) and not lost:
             mean = route.mean_ms or event.took_ms
-            route.mean_ms = mean + LEARN * (event.took_ms - mean)
+            route.mean_ms = mean + EWMA_WEIGHT * (event.took_ms - mean)
             if call.alone:
                 alone = route.alone_ms or event.took_ms
-                route.alone_ms = alone + LEARN * (event.took_ms - alone)
+                route.alone_ms = alone + EWMA_WEIGHT * (event.took_ms - alone)
         self._idle(call, event)
         healths = [route.health, route.classes[m.cls]]
         if lost or outcome is i.Outcome.SPOILT:  # it took the call: no outage, no limit, no idle connection
@@ -260,7 +260,7 @@
             return
         if outcome is i.Outcome.SERVED:
             route.dest.served_at = limiter.served_at = self.now
-            self.mean_ms += LEARN / 4 * (event.took_ms - self.mean_ms)
+            self.mean_ms += EWMA_WEIGHT / 4 * (event.took_ms - self.mean_ms)
             if limiter.recovered_at == inf and call.sent_at >= limiter.sign_at:
                 # Known to be back: since a time between the last sign and this call, so on average half-way.
                 limiter.recovered_at, limiter.doubt = (limiter.sign_at + self.now) / 2, 0.0
@@ -273,7 +273,7 @@
             elif route.calls + 1 >= route.window:
                 route.window = min(route.window + 1.0, self.set.slots)
             for health in healths:
-                health.note(True, call.sent_at, LEARN)
+                health.note(True, call.sent_at, EWMA_WEIGHT)
             limiter.refusals, limiter.doubt = limiter.refusals // 2, limiter.doubt * 0.5
             left = event.report.left_share if event.report.limit_per_s else None
             room = (2 * LEAVE if left is None else left) - LEAVE
@@ -329,7 +329,7 @@
 
     def _fault(self, route: Route, healths: list[Health], call: Call) -> None:
         for health in healths:
-            health.note(False, call.sent_at, LEARN)
+            health.note(False, call.sent_at, EWMA_WEIGHT)
             if health.run >= FLAG_RUN and not health.flagged:
                 health.flagged = True
                 self.out.append(i.Log(f"route {route.id}: flagged"))
