--- a/springspread/policy.py
+++ b/springspread/policy.py
@@ -18,7 +18,7 @@
 W_TIME = 0.3  # then how fast
 W_COST = 0.2  # then the fee, so that of routes alike the cheaper one leads
 EWMA_WEIGHT = 0.2  # weight of a new sample in served share and response time: about five calls
-FLAG_RUN = 3  # faults in a row that flag a route (the design page's count)
+FLAG_AFTER_FAULTS = 3  # faults in a row that flag a route (the design page's count)
 RECHECK_MS = 1500.0  # a flagged route is rechecked this often by a real message, an untold pause no longer
 SHRINK = 0.6  # a fault or refusal shrinks a route's window to this; a served call widens it by one
 SLOT_LEAN = 0.7  # the power of a call's time by which stakes count; with 1 a slow destination gets too little
@@ -330,7 +330,7 @@
     def _fault(self, route: Route, healths: list[Health], call: Call) -> None:
         for health in healths:
             health.note(False, call.sent_at, EWMA_WEIGHT)
-            if health.run >= FLAG_RUN and not health.flagged:
+            if health.run >= FLAG_AFTER_FAULTS and not health.flagged:
                 health.flagged = True
                 self.out.append(i.Log(f"route {route.id}: flagged"))
             health.recheck_at = self.now + self._jitter(RECHECK_MS)
