--- a/springspread/policy.py
+++ b/springspread/policy.py
@@ -20,7 +20,7 @@
 EWMA_WEIGHT = 0.2  # weight of a new sample in served share and response time: about five calls
 FLAG_AFTER_FAULTS = 3  # faults in a row that flag a route (the design page's count)
 RECHECK_MS = 1500.0  # a flagged route is rechecked this often by a real message, an untold pause no longer
-SHRINK = 0.6  # a fault or refusal shrinks a route's window to this; a served call widens it by one
+WINDOW_DECREASE = 0.6  # a fault or refusal shrinks a route's window to this; a served call widens it by one
 SLOT_LEAN = 0.7  # the power of a call's time by which stakes count; with 1 a slow destination gets too little
 CROWDED = 2.0  # a route that takes so many times as long as for a call alone has enough of them
 CROWDED_SHRINK = 0.9  # and a served call there shrinks its window to this
@@ -311,7 +311,7 @@
             sign = 1.0 if shut else (DOUBT if used_up or few else 1.0) * (not recent)
         else:
             self._fault(route, healths, call)
-        kept = 1.0 - (1.0 - SHRINK) * telling
+        kept = 1.0 - (1.0 - WINDOW_DECREASE) * telling
         route.window = 1.0 if route.health.flagged else max(1.0, route.window * kept)
         limiter.doubt = min(limiter.doubt + sign, 3.0)
         if sign and limiter.doubt >= 1.0:
--- a/tests/experiments/test_lab.py
+++ b/tests/experiments/test_lab.py
@@ -113,13 +113,13 @@
 
 def test_an_arm_sets_numbers_of_the_decision_module_for_its_days_alone() -> None:
     base = {**PLAN["base"], "troubles": 3}
-    arms = {"a": {}, "b": {"module": {"FLAG_AFTER_FAULTS": 1.0, "SHRINK": 0.1}}}
+    arms = {"a": {}, "b": {"module": {"FLAG_AFTER_FAULTS": 1.0, "WINDOW_DECREASE": 0.1}}}
     plan = check_plan({**PLAN, "base": base, "arms": arms})
-    before = policy.FLAG_AFTER_FAULTS, policy.SHRINK
+    before = policy.FLAG_AFTER_FAULTS, policy.WINDOW_DECREASE
     runs = [one for one in plan.runs() if one.seed == 1 and one.knobs.load == 1.0]
     rows = [play(one)[0] for one in runs]
     assert rows[0]["digest"] != rows[1]["digest"]
-    assert before == (policy.FLAG_AFTER_FAULTS, policy.SHRINK)
+    assert before == (policy.FLAG_AFTER_FAULTS, policy.WINDOW_DECREASE)
 
 
 def test_report_and_comparison(table: Path, tmp_path: Path) -> None:
