--- a/springspread/policy.py
+++ b/springspread/policy.py
@@ -25,7 +25,7 @@
 CROWDED = 2.0  # a route that takes so many times as long as for a call alone has enough of them
 CROWDED_SHRINK = 0.9  # and a served call there shrinks its window to this
 UNSAFE_SHARE = 0.8  # an unsafe message waits rather than take a route served less often than this
-CAP_SHARE = 0.75  # a destination's calls stay under this share of the slots
+DESTINATION_SLOT_SHARE = 0.75  # a destination's calls stay under this share of the slots
 SICK_SHARE = 0.5  # and within this share unless it served one lately
 WELL_MS = 1500.0  # how long a served call counts as lately
 ROUGH = 1.5  # a rough rating may be this factor too high
@@ -474,7 +474,9 @@
 
     def _cap(self, dest: Destination) -> int:
         well = self.now - dest.served_at <= WELL_MS
-        return max(1, ceil(self.set.slots * CAP_SHARE) - 1 if well else int(self.set.slots * SICK_SHARE))
+        return max(
+            1, ceil(self.set.slots * DESTINATION_SLOT_SHARE) - 1 if well else int(self.set.slots * SICK_SHARE)
+        )
 
     def _pick(self, dest: Destination) -> tuple[float, Message, Route] | None:
         ready = [route for route in dest.routes if self._open(route)]
