--- a/springspread/policy.py
+++ b/springspread/policy.py
@@ -26,7 +26,7 @@
 CROWDED_SHRINK = 0.9  # and a served call there shrinks its window to this
 UNSAFE_SHARE = 0.8  # an unsafe message waits rather than take a route served less often than this
 DESTINATION_SLOT_SHARE = 0.75  # a destination's calls stay under this share of the slots
-SICK_SHARE = 0.5  # and within this share unless it served one lately
+FAILING_SLOT_SHARE = 0.5  # and within this share unless it served one lately
 WELL_MS = 1500.0  # how long a served call counts as lately
 ROUGH = 1.5  # a rough rating may be this factor too high
 BURST_MS = 600.0  # what a gate may send at once, in time at its pace
@@ -475,7 +475,10 @@
     def _cap(self, dest: Destination) -> int:
         well = self.now - dest.served_at <= WELL_MS
         return max(
-            1, ceil(self.set.slots * DESTINATION_SLOT_SHARE) - 1 if well else int(self.set.slots * SICK_SHARE)
+            1,
+            ceil(self.set.slots * DESTINATION_SLOT_SHARE) - 1
+            if well
+            else int(self.set.slots * FAILING_SLOT_SHARE),
         )
 
     def _pick(self, dest: Destination) -> tuple[float, Message, Route] | None:
