--- a/springspread/policy.py
+++ b/springspread/policy.py
@@ -36,7 +36,7 @@
 GROW = 0.3  # a served call that needed it raises the part by this, times the told share left over LEAVE
 LEAVE = 0.25  # the share of a limit that all senders together leave; each cuts its part where less is told
 USED_UP = 0.6  # a refusal with less than this left may be the limit's; a partner that shut takes no calls on
-CUT = 0.6  # a refusal cuts it to this
+SHARE_DECREASE = 0.6  # a refusal cuts it to this
 LEAST_PART = 0.5  # but not below this of an equal part, so that all can reach the limit again
 OWN_ROOM = 2.0  # and at once to this multiple of the sender's own demand, as too many parts overlap
 FADE_MS = 20000.0  # a count of demand fades over this, and the time an idle connection is safe doubles
@@ -297,7 +297,7 @@
         elif outcome is i.Outcome.FULL:
             own = self._own(route, route.dest.demand) / max(self._limit(limiter), 0.01)
             own = max(own, 1.0 / self.set.senders)
-            self._part_to(limiter, min(limiter.share, OWN_ROOM * own) * CUT)
+            self._part_to(limiter, min(limiter.share, OWN_ROOM * own) * SHARE_DECREASE)
             limiter.refusals += 1
             # Doubled, also beyond a told wait, whose end all hear; none may cut short a wait told before.
             pause = self._jitter(min(BACK_OFF_MS * 2.0 ** (limiter.refusals - 1), self.last_pause))
