--- a/springspread/policy.py
+++ b/springspread/policy.py
@@ -33,7 +33,9 @@
 USE_MS = 6000.0  # a tenant's use is counted over about this long; clumps for one destination are shorter
 USE_SLACK = 2.0  # and may be this much over the middle tenant's use of its share
 USE_LEAST = 20.0  # a sender starts as if it had seen this many messages; fewer tell nothing of shares
-GROW = 0.3  # a served call that needed it raises the part by this, times the told share left over LEAVE
+SHARE_INCREASE = (
+    0.3  # a served call that needed it raises the part by this, times the told share left over LEAVE
+)
 LEAVE = 0.25  # the share of a limit that all senders together leave; each cuts its part where less is told
 USED_UP = 0.6  # a refusal with less than this left may be the limit's; a partner that shut takes no calls on
 SHARE_DECREASE = 0.6  # a refusal cuts it to this
@@ -278,7 +280,7 @@
             left = event.report.left_share if event.report.limit_per_s else None
             room = (2 * LEAVE if left is None else left) - LEAVE
             if limiter.tokens < 1.0 or room < 0.0:
-                self._part_to(limiter, limiter.share * (1.0 + GROW * room))
+                self._part_to(limiter, limiter.share * (1.0 + SHARE_INCREASE * room))
             return
         # A call sent later was served: this one was slow, no outage. Could harm as a route dies.
         recent = self.now - limiter.served_at <= WELL_MS
