--- a/springspread/policy.py
+++ b/springspread/policy.py
@@ -65,7 +65,7 @@
 AIM_PART = 0.5  # but this part of the class's aim at least
 REWALK_MS = 300.0  # pause before a message starts a new list
 STAKE_LOST = 0.8  # what a message keeps by waiting counts off its stake by this, so some of it stays
-LOOK_MS = 100.0  # waiting messages are looked at again after this, if nothing happens there sooner
+RESCAN_MS = 100.0  # waiting messages are looked at again after this, if nothing happens there sooner
 
 
 NEVER_RAN = (i.Outcome.FULL, i.Outcome.CONNECT_FAILED, i.Outcome.MOOT)
@@ -485,7 +485,7 @@
 
     def _pick(self, dest: Destination) -> tuple[float, Message, Route] | None:
         ready = [route for route in dest.routes if self._open(route)]
-        dest.look_at = self.now + LOOK_MS
+        dest.look_at = self.now + RESCAN_MS
         if not ready or dest.calls >= self._cap(dest):
             limiters = [r.limiter for r in dest.routes if not ready and self._filled(r) < int(r.window)]
             full_at = [
