--- a/springspread/policy.py
+++ b/springspread/policy.py
@@ -63,7 +63,7 @@
 ALIKE = 2.0  # a message joins a call that waits at least its part of this of what it has left, or it needs
 TIMEOUT_MULTIPLE = 6.0  # time-out in multiples of the route's mean response time
 AIM_PART = 0.5  # but this part of the class's aim at least
-REWALK_MS = 300.0  # pause before a message starts a new list
+NEXT_ROUND_MS = 300.0  # pause before a message starts a new list
 STAKE_LOST = 0.8  # what a message keeps by waiting counts off its stake by this, so some of it stays
 RESCAN_MS = 100.0  # waiting messages are looked at again after this, if nothing happens there sooner
 
@@ -224,7 +224,7 @@
             return
         m.tried.append(call.route)
         if all(r in m.tried for r in m.dest.routes if r.state is i.RouteState.READY):
-            m.walk, m.tried, m.not_before = [], [], self.now + REWALK_MS
+            m.walk, m.tried, m.not_before = [], [], self.now + NEXT_ROUND_MS
         lost = m.ran_at is not None and m.spec.effect is i.Effect.UNSAFE
         if lost or m.attempts >= self.set.max_attempts or self.now >= self._last_chance(m):
             self._give_up(m)
