--- a/springspread/policy.py
+++ b/springspread/policy.py
@@ -14,58 +14,57 @@
 from springspread.list_retry import ListRetry
 from springspread.state import Call, Destination, Fading, Gate, Health, Message, Route, Turn
 
-W_SERVED = 0.5  # the suitability score's weights: being served matters most
-W_TIME = 0.3  # then how fast
-W_COST = 0.2  # then the fee, so that of routes alike the cheaper one leads
-EWMA_WEIGHT = 0.2  # weight of a new sample in served share and response time: about five calls
-FLAG_AFTER_FAULTS = 3  # faults in a row that flag a route (the design page's count)
-RECHECK_MS = 1500.0  # a flagged route is rechecked this often by a real message, an untold pause no longer
-WINDOW_DECREASE = 0.6  # a fault or refusal shrinks a route's window to this; a served call widens it by one
-SLOT_LEAN = 0.7  # the power of a call's time by which stakes count; with 1 a slow destination gets too little
-CROWDED = 2.0  # a route that takes so many times as long as for a call alone has enough of them
-CROWDED_SHRINK = 0.9  # and a served call there shrinks its window to this
-UNSAFE_SHARE = 0.8  # an unsafe message waits rather than take a route served less often than this
-DESTINATION_SLOT_SHARE = 0.75  # a destination's calls stay under this share of the slots
-FAILING_SLOT_SHARE = 0.5  # and within this share unless it served one lately
-WELL_MS = 1500.0  # how long a served call counts as lately
-ROUGH = 1.5  # a rough rating may be this factor too high
-BURST_MS = 600.0  # what a gate may send at once, in time at its pace
-USE_MS = 6000.0  # a tenant's use is counted over about this long; clumps for one destination are shorter
-USE_SLACK = 2.0  # and may be this much over the middle tenant's use of its share
-USE_LEAST = 20.0  # a sender starts as if it had seen this many messages; fewer tell nothing of shares
-SHARE_INCREASE = (
-    0.3  # a served call that needed it raises the part by this, times the told share left over LEAVE
-)
-LEAVE = 0.25  # the share of a limit that all senders together leave; each cuts its part where less is told
-USED_UP = 0.6  # a refusal with less than this left may be the limit's; a partner that shut takes no calls on
-SHARE_DECREASE = 0.6  # a refusal cuts it to this
-LEAST_PART = 0.5  # but not below this of an equal part, so that all can reach the limit again
-OWN_ROOM = 2.0  # and at once to this multiple of the sender's own demand, as too many parts overlap
-FADE_MS = 20000.0  # a count of demand fades over this, and the time an idle connection is safe doubles
-OUTAGE_WAIT_MS = 2000.0  # a told wait over this is an outage's: limits count over shorter spans
-BACK_OFF_MS = 300.0  # first pause after a refusal that told no wait, doubled by each further one
-DOUBT = 0.5  # how much of an outage a fault or refusal suggests: two in a row may be one
-BROKEN = (i.Outcome.RESET, i.Outcome.CONNECT_FAILED)  # each may be one by itself where none is served lately
-RESET_DOUBT = 0.34  # of a route that is, connections break now and then; three in a row may be an outage
-RESETS_USUAL = 0.02  # where more of all calls than this break, a break tells that much less of an outage
-RESETS_LEARN = 0.01  # weight of a new call in that share: about a hundred calls
-STUCK_MS = (
-    400.0  # a call that has no answer after this, and TIMEOUT_MULTIPLE, is stuck, as its connection may be
-)
-CLASS_LEAN = 3.0  # a route's own served share weighs as much as this many calls of one class
-QUICK_PART = 0.4  # a reset after less than this part of a call's time came as the call was written
-IDLE_LEAST_MS = 100.0  # nobody closes connections as idle sooner than this
-IDLE_PART = 0.5  # a connection is taken to be safe for this part of the idle time after which one failed
-RAMP_MARGIN = 0.7  # share of the fail-back budget that all senders together take
-FORGET_MS = 600000.0  # a sign of an outage tells nothing after this; an outage may last longer than that
-CHANCE_MS = 200.0  # a ramping gate's unused call lapses after this: longer than the time between two looks
-ITEM_WEIGHT = 0.25  # a further message in a call weighs so much of a call
-ALIKE = 2.0  # a message joins a call that waits at least its part of this of what it has left, or it needs
-TIMEOUT_MULTIPLE = 6.0  # time-out in multiples of the route's mean response time
-AIM_PART = 0.5  # but this part of the class's aim at least
-NEXT_ROUND_MS = 300.0  # pause before a message starts a new list
-STAKE_LOST = 0.8  # what a message keeps by waiting counts off its stake by this, so some of it stays
-RESCAN_MS = 100.0  # waiting messages are looked at again after this, if nothing happens there sooner
+SUCCESS_WEIGHT = 0.5  # weights of the suitability score
+LATENCY_WEIGHT = 0.3
+FEE_WEIGHT = 0.2
+EWMA_WEIGHT = 0.2  # of a new sample in a route's success share and response time
+FLAG_AFTER_FAULTS = 3  # successive faults
+RECHECK_MS = 1500.0  # how often a flagged route gets a message; also the longest backoff of one sender
+WINDOW_DECREASE = 0.6  # factor on a route's window after a fault or refusal
+SLOT_TIME_EXPONENT = 0.7  # below 1, so that slow destinations still get slots
+CONGESTED_RATIO = 2.0  # response time over that of an unloaded route
+CONGESTED_DECREASE = 0.9  # factor on a congested route's window after a served call
+UNSAFE_MIN_SUCCESS = 0.8  # unsafe messages avoid routes with a lower success share
+DESTINATION_SLOT_SHARE = 0.75  # most slots that the calls of one destination may take
+FAILING_SLOT_SHARE = 0.5  # the same for a destination without a recent success
+RECENT_SUCCESS_MS = 1500.0
+ROUGH_RATING_FACTOR = 1.5  # a rough rating may be this factor too high
+BURST_MS = 600.0  # depth of a token bucket, as time at its rate
+TENANT_USAGE_DECAY_MS = 6000.0
+TENANT_USAGE_SLACK = 2.0  # allowed multiple of the median tenant's use
+TENANT_USAGE_MIN = 20.0  # messages below which use is not compared
+SHARE_INCREASE = 0.3  # gain on the limit share after a served call
+LIMIT_HEADROOM = 0.25  # share of a limit that all senders together leave unused
+LIMIT_EXHAUSTED = 0.6  # a refusal with less than this left may be the limit's
+SHARE_DECREASE = 0.6  # factor on the limit share after a refusal
+MIN_SHARE = 0.5  # of an equal limit share
+MAX_DEMAND_MULTIPLE = 2.0  # after a refusal the share is at most this multiple of the sender's own demand
+DECAY_MS = 20000.0  # of demand counts; the safe idle time doubles in the same period
+OUTAGE_RETRY_AFTER_MS = 2000.0  # a longer retry-after means an outage; limits count over shorter periods
+BACK_OFF_MS = 300.0  # first pause after a refusal without retry-after; doubles
+FAULT_SUSPICION = 0.5  # added per fault or refusal; at 1 an outage is assumed
+CONNECTION_FAULTS = (
+    i.Outcome.RESET,
+    i.Outcome.CONNECT_FAILED,
+)  # without a recent success one suggests an outage
+RESET_SUSPICION = 0.34  # added per reset on a route with recent successes
+USUAL_RESET_SHARE = 0.02  # resets count less where more of all calls than this are reset
+RESET_EWMA_WEIGHT = 0.01
+MIN_STUCK_MS = 400.0  # a call without an answer for less than this is not stuck
+ROUTE_PRIOR_CALLS = 3.0  # the route's success share weighs as much as this many calls of one class
+QUICK_RESET_SHARE = 0.4  # a reset within this share of the response time came as the call was written
+MIN_IDLE_TIMEOUT_MS = 100.0  # no peer closes idle connections sooner
+SAFE_IDLE_SHARE = 0.5  # of the idle time after which a connection failed
+RAMP_MARGIN = 0.7  # share of the fail-back budget that all senders together use
+FORGET_AFTER_MS = 600000.0  # since the last sign of an outage, or since a destination was last active
+RAMP_TOKEN_LAPSE_MS = 200.0  # an unused token lapses in a ramp; longer than RESCAN_MS
+BATCH_ITEM_WEIGHT = 0.25  # cost of each further message in a call, in calls
+BATCH_TIMEOUT_RATIO = 2.0  # by which a call's time-out may differ from the time that a message in it has left
+TIMEOUT_MULTIPLE = 6.0  # of the route's mean response time
+MIN_TIMEOUT_AIM_SHARE = 0.5  # of the class's aim
+NEXT_ROUND_MS = 300.0  # pause before a message that tried all routes starts over
+WAITING_DISCOUNT = 0.8  # on what a message keeps by waiting; below 1, as one that loses nothing counts too
+RESCAN_MS = 100.0  # waiting messages are examined at least this often
 
 
 NEVER_RAN = (i.Outcome.FULL, i.Outcome.CONNECT_FAILED, i.Outcome.MOOT)
@@ -85,7 +84,7 @@
         self.turns: dict[int, Turn] = {}
         self.expiries: list[tuple[float, int]] = []
         self.last_pause = RECHECK_MS * max(1.0, log2(settings.senders))  # as doublings thin out all senders
-        self.use = [Fading(0.0, USE_LEAST) for _ in settings.tenants]
+        self.use = [Fading(0.0, TENANT_USAGE_MIN) for _ in settings.tenants]
         self.mean_ms = min(spec.aim_ms for spec in settings.classes) / 4
         self.wake_at, self.list_retry = 0.0, ListRetry(settings, self.rng)
         self.safe_ms, self.safe_at, self.idle_failures = inf, 0.0, 0.0
@@ -121,7 +120,7 @@
         for route in self.routes.values():
             route.classes += tuple(Health() for _ in range(more))
         if len(new.tenants) != len(self.set.tenants):
-            self.use = [Fading(self.now, USE_LEAST) for _ in new.tenants]
+            self.use = [Fading(self.now, TENANT_USAGE_MIN) for _ in new.tenants]
         self.set = self.list_retry.settings = new
         for dest in self.dests.values():
             dest.look_at = 0.0
@@ -146,7 +145,7 @@
         for number, dest in list(self.dests.items()):
             if dest.routes or dest.queue or dest.calls:
                 dest.left_at = self.now
-            elif self.now - dest.left_at > FORGET_MS:
+            elif self.now - dest.left_at > FORGET_AFTER_MS:
                 del self.dests[number]
 
     def _add(self, entry: i.RouteEntry) -> Route:
@@ -171,7 +170,7 @@
         rest = sum(self._limit(r.limiter) for r in route.dest.routes if r.limiter is not route.limiter)
         limit = self._limit(route.limiter)
         equal = limit / self.set.senders  # what is held for the demand before any is seen
-        return seen.rate(self.now, limit / max(limit + rest, 0.01), equal, FADE_MS / 4)
+        return seen.rate(self.now, limit / max(limit + rest, 0.01), equal, DECAY_MS / 4)
 
     def _taken(self, event: i.Taken) -> None:
         if event.message in self.pending:
@@ -184,7 +183,7 @@
         self.pending[m.id] = m
         m.attempts = event.attempts  # guards the cap on attempts across a restart
         if not event.again:  # a client's further try is no new demand
-            dest.demand.add(self.now, FADE_MS)
+            dest.demand.add(self.now, DECAY_MS)
         m.part = self._part(event.tenant) if event.tenant < len(self.use) else 1.0
         if m.attempts >= self.set.max_attempts:
             self._give_up(m)
@@ -200,10 +199,14 @@
     def _part(self, tenant: int) -> float:
         # Guards other tenants against one's burst. Could harm one whose traffic moves to this sender.
         for number, use in enumerate(self.use):
-            use.add(self.now, USE_MS, (number == tenant) / max(self.set.tenants[number].share, 0.01))
+            use.add(
+                self.now,
+                TENANT_USAGE_DECAY_MS,
+                (number == tenant) / max(self.set.tenants[number].share, 0.01),
+            )
         counts = sorted(use.count for use in self.use)
-        middle = max((counts[(len(counts) - 1) // 2] + counts[len(counts) // 2]) / 2, USE_LEAST)
-        within = min(USE_SLACK * middle / self.use[tenant].count, 1.0)
+        middle = max((counts[(len(counts) - 1) // 2] + counts[len(counts) // 2]) / 2, TENANT_USAGE_MIN)
+        within = min(TENANT_USAGE_SLACK * middle / self.use[tenant].count, 1.0)
         return within + (1.0 - within) * self.set.over_share_worth
 
     def _ended(self, event: i.Ended) -> None:
@@ -244,7 +247,7 @@
         limiter.told_limit = event.report.limit_per_s or limiter.told_limit
         if outcome in (i.Outcome.MOOT, i.Outcome.UNKNOWN):
             return
-        self.resets += RESETS_LEARN * ((outcome is i.Outcome.RESET) - self.resets)
+        self.resets += RESET_EWMA_WEIGHT * ((outcome is i.Outcome.RESET) - self.resets)
         # A call sent later was served: this one's connection broke or fell silent, not the route.
         long = event.took_ms > 2 * TIMEOUT_MULTIPLE * (route.alone_ms or self.mean_ms)
         lost = outcome is i.Outcome.RESET or (outcome is i.Outcome.TIMEOUT and long)
@@ -266,32 +269,32 @@
             if limiter.recovered_at == inf and call.sent_at >= limiter.sign_at:
                 # Known to be back: since a time between the last sign and this call, so on average half-way.
                 limiter.recovered_at, limiter.doubt = (limiter.sign_at + self.now) / 2, 0.0
-            route.dest.served.add(self.now, FADE_MS, 1.0 + ITEM_WEIGHT * (call.size - 1))
+            route.dest.served.add(self.now, DECAY_MS, 1.0 + BATCH_ITEM_WEIGHT * (call.size - 1))
             if route.health.flagged:
                 self.out.append(i.Log(f"route {route.id}: recheck served"))
                 healths = [route.health, *route.classes]
-            elif route.alone_ms and (route.mean_ms or 0.0) > CROWDED * route.alone_ms:
-                route.window = max(1.0, route.window * CROWDED_SHRINK)  # more would wait in its own line
+            elif route.alone_ms and (route.mean_ms or 0.0) > CONGESTED_RATIO * route.alone_ms:
+                route.window = max(1.0, route.window * CONGESTED_DECREASE)  # more would wait in its own line
             elif route.calls + 1 >= route.window:
                 route.window = min(route.window + 1.0, self.set.slots)
             for health in healths:
                 health.note(True, call.sent_at, EWMA_WEIGHT)
             limiter.refusals, limiter.doubt = limiter.refusals // 2, limiter.doubt * 0.5
             left = event.report.left_share if event.report.limit_per_s else None
-            room = (2 * LEAVE if left is None else left) - LEAVE
+            room = (2 * LIMIT_HEADROOM if left is None else left) - LIMIT_HEADROOM
             if limiter.tokens < 1.0 or room < 0.0:
                 self._part_to(limiter, limiter.share * (1.0 + SHARE_INCREASE * room))
             return
         # A call sent later was served: this one was slow, no outage. Could harm as a route dies.
-        recent = self.now - limiter.served_at <= WELL_MS
-        sign = 1.0 if outcome in BROKEN and not recent else DOUBT
-        sign = RESET_DOUBT if outcome is i.Outcome.RESET and recent else sign
+        recent = self.now - limiter.served_at <= RECENT_SUCCESS_MS
+        sign = 1.0 if outcome in CONNECTION_FAULTS and not recent else FAULT_SUSPICION
+        sign = RESET_SUSPICION if outcome is i.Outcome.RESET and recent else sign
         sign *= route.health.served_at <= call.sent_at
         # Guards healthy partners where connections break everywhere. Could harm as one resets all calls.
-        telling = min(1.0, RESETS_USUAL / max(self.resets, 0.001)) if outcome is i.Outcome.RESET else 1.0
+        telling = min(1.0, USUAL_RESET_SHARE / max(self.resets, 0.001)) if outcome is i.Outcome.RESET else 1.0
         sign *= telling
         left = event.report.left_share or 0.0 if event.report.limit_per_s else None
-        roomy = left is not None and left >= USED_UP and not event.wait_ms
+        roomy = left is not None and left >= LIMIT_EXHAUSTED and not event.wait_ms
         if outcome is i.Outcome.FULL and roomy and recent:
             # Its own line is full, and not the limit of all: others of the destination may have room.
             route.rests_until = self.now + self._jitter(BACK_OFF_MS)
@@ -299,18 +302,18 @@
         elif outcome is i.Outcome.FULL:
             own = self._own(route, route.dest.demand) / max(self._limit(limiter), 0.01)
             own = max(own, 1.0 / self.set.senders)
-            self._part_to(limiter, min(limiter.share, OWN_ROOM * own) * SHARE_DECREASE)
+            self._part_to(limiter, min(limiter.share, MAX_DEMAND_MULTIPLE * own) * SHARE_DECREASE)
             limiter.refusals += 1
             # Doubled, also beyond a told wait, whose end all hear; none may cut short a wait told before.
             pause = self._jitter(min(BACK_OFF_MS * 2.0 ** (limiter.refusals - 1), self.last_pause))
             pause = event.wait_ms + (pause if limiter.refusals > 1 else 0.0) if event.wait_ms else pause
             limiter.shut_until = max(limiter.shut_until, self.now + pause)
             # Likely the limit's own refusal, or too few senders to push it over by a call each.
-            used_up = left is not None and left < USED_UP
+            used_up = left is not None and left < LIMIT_EXHAUSTED
             budget = self._limit(limiter) * rules.fall_multiple * rules.cold_share * RAMP_MARGIN
             few = self.set.senders * 1000 <= budget * rules.fall_ms
-            shut = event.wait_ms > OUTAGE_WAIT_MS
-            sign = 1.0 if shut else (DOUBT if used_up or few else 1.0) * (not recent)
+            shut = event.wait_ms > OUTAGE_RETRY_AFTER_MS
+            sign = 1.0 if shut else (FAULT_SUSPICION if used_up or few else 1.0) * (not recent)
         else:
             self._fault(route, healths, call)
         kept = 1.0 - (1.0 - WINDOW_DECREASE) * telling
@@ -327,7 +330,7 @@
         limiter.blamed.discard(route)
 
     def _part_to(self, limiter: Gate, part: float) -> None:
-        limiter.share = min(max(part, LEAST_PART / self.set.senders), ROUGH)
+        limiter.share = min(max(part, MIN_SHARE / self.set.senders), ROUGH_RATING_FACTOR)
 
     def _fault(self, route: Route, healths: list[Health], call: Call) -> None:
         for health in healths:
@@ -340,15 +343,15 @@
     def _idle(self, call: Call, event: i.Ended) -> None:
         # A fault after idleness was the connection's where the next call is served. May cost handshakes.
         dest, outcome = call.route.dest, event.outcome
-        worked = event.took_ms > QUICK_PART * (call.route.alone_ms or self.mean_ms)
+        worked = event.took_ms > QUICK_RESET_SHARE * (call.route.alone_ms or self.mean_ms)
         if outcome is i.Outcome.SERVED:
             if dest.suspect_ms:
                 self.idle_failures += 1.0
-                self.safe_ms, self.safe_at = min(self._safe_ms(), dest.suspect_ms * IDLE_PART), self.now
+                self.safe_ms, self.safe_at = min(self._safe_ms(), dest.suspect_ms * SAFE_IDLE_SHARE), self.now
             elif call.idle_ms > self.safe_ms:
                 self.idle_failures = max(self.idle_failures - 1.0, 0.0)
             dest.suspect_ms = 0.0
-        elif outcome is i.Outcome.RESET and (worked or call.idle_ms < IDLE_LEAST_MS):
+        elif outcome is i.Outcome.RESET and (worked or call.idle_ms < MIN_IDLE_TIMEOUT_MS):
             return  # it breaks now and then, whether idle before or not
         elif outcome in (i.Outcome.RESET, i.Outcome.TIMEOUT) and call.idle_ms and not call.route.health.run:
             dest.suspect_ms = call.idle_ms
@@ -357,7 +360,7 @@
             dest.suspect_ms = 0.0
 
     def _safe_ms(self) -> float:
-        return self.safe_ms * exp2(min((self.now - self.safe_at) / FADE_MS, 9.0))
+        return self.safe_ms * exp2(min((self.now - self.safe_at) / DECAY_MS, 9.0))
 
     def _out(self, route: Route, back_at: float) -> None:
         """A sign of an outage, over at a told time or at none known."""
@@ -365,7 +368,7 @@
         limiter.signs = limiter.signs + 1 if self._is_ramping(limiter) else 0
         if not limiter.signs:
             limiter.blamed.clear()
-            route.dest.served.add(self.now, FADE_MS, 0.0)
+            route.dest.served.add(self.now, DECAY_MS, 0.0)
             limiter.own = max(self._own(route, route.dest.served), self._limit(limiter) / self.set.senders)
             limiter.tokens = 1.0 - self.rng.expovariate(1.0)
         limiter.recovered_at, limiter.sign_at = back_at, self.now
@@ -375,7 +378,9 @@
         return pause * (0.75 + self.rng.random() / 2)
 
     def _limit(self, limiter: Gate) -> float:
-        return limiter.told_limit or limiter.rating / (ROUGH if self.set.rating is i.Rating.ROUGH else 1.0)
+        return limiter.told_limit or limiter.rating / (
+            ROUGH_RATING_FACTOR if self.set.rating is i.Rating.ROUGH else 1.0
+        )
 
     def _fill(self, route: Route) -> None:
         # Rule 4. Half a part is what this sender was served, half 1 / senders: parts sum to the limit, so all
@@ -394,7 +399,7 @@
             chance = 0.0 if since else 1000 / rules.warm_within_ms * exp2(-limiter.signs)
             limiter.pace = min(limiter.pace, max(part, chance))
             limiter.tokens += limiter.pace * earned
-            if limiter.tokens > 1.0 + limiter.pace * CHANCE_MS / 1000:
+            if limiter.tokens > 1.0 + limiter.pace * RAMP_TOKEN_LAPSE_MS / 1000:
                 limiter.tokens = 1.0
                 self._spend(limiter, 1.0)
         else:
@@ -410,7 +415,7 @@
 
     def _is_ramping(self, limiter: Gate) -> bool:
         warming = self.now - limiter.recovered_at < self.set.rules.warm_within_ms
-        return warming and self.now - limiter.sign_at < FORGET_MS and self.set.rules.warm_within_ms > 0
+        return warming and self.now - limiter.sign_at < FORGET_AFTER_MS and self.set.rules.warm_within_ms > 0
 
     def _open(self, route: Route) -> bool:
         if route.state is not i.RouteState.READY or self._filled(route) >= int(route.window):
@@ -419,7 +424,7 @@
         return self.now >= max(route.limiter.shut_until, route.rests_until) and route.limiter.tokens >= 1.0
 
     def _stuck_at(self, route: Route, call: Call) -> float:
-        return call.sent_at + max(TIMEOUT_MULTIPLE * (route.alone_ms or self.mean_ms), STUCK_MS)
+        return call.sent_at + max(TIMEOUT_MULTIPLE * (route.alone_ms or self.mean_ms), MIN_STUCK_MS)
 
     def _filled(self, route: Route) -> int:
         """What fills the window. Guards it against calls whose connections fell silent."""
@@ -436,7 +441,9 @@
 
     def _served(self, route: Route, m: Message) -> float:
         own = route.classes[m.cls]
-        return (CLASS_LEAN * route.health.served + own.weight * own.served) / (CLASS_LEAN + own.weight)
+        return (ROUTE_PRIOR_CALLS * route.health.served + own.weight * own.served) / (
+            ROUTE_PRIOR_CALLS + own.weight
+        )
 
     def _rank(self, m: Message) -> list[Route]:
         dest = m.dest
@@ -446,7 +453,7 @@
             cost = round(5 - 4 * self.set.prices.fee_part(route.zone))
             served = round(1 + 4 * self._served(route, m))
             time = round(1 + 4 * fastest / (route.mean_ms or fastest))
-            return (-(W_SERVED * served + W_TIME * time + W_COST * cost), route.tie)
+            return (-(SUCCESS_WEIGHT * served + LATENCY_WEIGHT * time + FEE_WEIGHT * cost), route.tie)
 
         return sorted(dest.routes, key=suitability)
 
@@ -459,12 +466,12 @@
         flags = [health for health in (route.health, route.classes[m.cls]) if health.flagged]
         if flags:
             return all(self.now >= h.recheck_at + (RECHECK_MS if unsafe else 0.0) for h in flags)
-        healthy = not unsafe or self._served(route, m) >= UNSAFE_SHARE
+        healthy = not unsafe or self._served(route, m) >= UNSAFE_MIN_SUCCESS
         return healthy or self.now > m.deadline - m.spec.aim_ms
 
     def _stake(self, m: Message, horizon: float) -> float:
         served = self.now + self.mean_ms
-        return m.worth(served, self.set.fade) - STAKE_LOST * m.worth(served + horizon, self.set.fade)
+        return m.worth(served, self.set.fade) - WAITING_DISCOUNT * m.worth(served + horizon, self.set.fade)
 
     def _drain_ms(self, dest: Destination) -> float:
         pace = sum(self._limit(r.limiter) * r.limiter.share * r.kind.per_call for r in dest.routes)
@@ -475,7 +482,7 @@
         return self.now >= m.not_before and (not turn or turn.line[0] is m and self.now >= turn.rests_until)
 
     def _cap(self, dest: Destination) -> int:
-        well = self.now - dest.served_at <= WELL_MS
+        well = self.now - dest.served_at <= RECENT_SUCCESS_MS
         return max(
             1,
             ceil(self.set.slots * DESTINATION_SLOT_SHARE) - 1
@@ -521,7 +528,7 @@
         """What a call keeps, by the time that it takes a slot: slots are what all destinations share."""
         stake, m, route = pick
         size = min(self._room(route), len(m.dest.queue))
-        return stake * size / float(max(route.mean_ms or self.mean_ms, 1.0) ** SLOT_LEAN)
+        return stake * size / float(max(route.mean_ms or self.mean_ms, 1.0) ** SLOT_TIME_EXPONENT)
 
     def _room(self, route: Route) -> int:
         return 1 if route.health.flagged or route.limiter.recovered_at == inf else route.kind.per_call
@@ -530,15 +537,25 @@
         rest = [m for m in route.dest.queue if m is not first and self._ready(m) and self._allowed(m, route)]
         # A call is given up whole: nobody joins one that waits less than it needs, or far past its own end.
         slow = (
-            TIMEOUT_MULTIPLE * (route.mean_ms or self.mean_ms) * (1.0 + ITEM_WEIGHT * (self._room(route) - 1))
+            TIMEOUT_MULTIPLE
+            * (route.mean_ms or self.mean_ms)
+            * (1.0 + BATCH_ITEM_WEIGHT * (self._room(route) - 1))
         )
-        needs = {m.id: max(slow, AIM_PART * m.spec.aim_ms) for m in (first, *rest)}
+        needs = {m.id: max(slow, MIN_TIMEOUT_AIM_SHARE * m.spec.aim_ms) for m in (first, *rest)}
         left = {m.id: m.deadline - self.now for m in (first, *rest)}
         whole = min(left[first.id], max(needs.values()))
-        fits = [m for m in rest if ALIKE * left[m.id] >= whole >= min(needs[m.id], left[m.id] / ALIKE)]
+        fits = [
+            m
+            for m in rest
+            if BATCH_TIMEOUT_RATIO * left[m.id] >= whole >= min(needs[m.id], left[m.id] / BATCH_TIMEOUT_RATIO)
+        ]
         batch = [first, *fits][: self._room(route)]
         waits = [self._timeout(m, route, len(batch)) for m in batch]
-        wait = min(waits) if max(waits) <= ALIKE * min(waits) else min(whole, *(left[m.id] for m in batch))
+        wait = (
+            min(waits)
+            if max(waits) <= BATCH_TIMEOUT_RATIO * min(waits)
+            else min(whole, *(left[m.id] for m in batch))
+        )
         idle = self.now - route.used_at if route.used_at and not route.calls else 0.0
         if idle > self._safe_ms() and self.idle_failures >= 1.0:
             self.out.append(i.CloseIdle(route.id))
@@ -546,7 +563,9 @@
         call = Call(route, self.now, len(batch), len(batch), idle)
         for health in (route.health, route.classes[first.cls]):
             health.recheck_at = self.now + self._jitter(RECHECK_MS)
-        self._spend(route.limiter, 1.0 + ITEM_WEIGHT * (len(batch) - 1) * self._is_ramping(route.limiter))
+        self._spend(
+            route.limiter, 1.0 + BATCH_ITEM_WEIGHT * (len(batch) - 1) * self._is_ramping(route.limiter)
+        )
         self.calls += call.begin()
         for m in batch:
             m.leave(self.queued_dests)
@@ -558,10 +577,10 @@
         left = m.deadline - self.now
         if m.spec.effect is i.Effect.UNSAFE or m.attempts + 1 >= self.set.max_attempts:
             return left
-        expected = (route.mean_ms or self.mean_ms) * (1.0 + ITEM_WEIGHT * (size - 1))
+        expected = (route.mean_ms or self.mean_ms) * (1.0 + BATCH_ITEM_WEIGHT * (size - 1))
         usable = min(m.deadline, m.window_ends(self.now)) - self.now
         # Room for another try after a hang. Could harm where all routes are slow: work is done twice.
-        wait = min(max(TIMEOUT_MULTIPLE * expected, AIM_PART * m.spec.aim_ms), usable - expected)
+        wait = min(max(TIMEOUT_MULTIPLE * expected, MIN_TIMEOUT_AIM_SHARE * m.spec.aim_ms), usable - expected)
         return wait if wait >= expected else left
 
     def _finish(self, m: Message) -> None:
--- a/tests/test_whole_call.py
+++ b/tests/test_whole_call.py
@@ -14,7 +14,7 @@
 from springspread.config import Limits
 from springspread.core.types import Attempt, AttemptEnd, Call, CoreEvent, Endpoint, Result, clock
 from springspread.net.endpoints import Workers
-from springspread.policy import AIM_PART, ALIKE, Dispatcher
+from springspread.policy import BATCH_TIMEOUT_RATIO, MIN_TIMEOUT_AIM_SHARE, Dispatcher
 from tests.peer import until
 from tests.test_spoilt import Free, Silent, read_request
 
@@ -80,7 +80,11 @@
             spec = PAY if pay else NOTE
             # It joined one that waits for what it needs, or for a part of what it has; then another one, with
             # less time left, may have cut that by the same factor, no more.
-            assert min(AIM_PART * spec.aim_ms, left / ALIKE) / ALIKE <= send.timeout_ms <= left
+            assert (
+                min(MIN_TIMEOUT_AIM_SHARE * spec.aim_ms, left / BATCH_TIMEOUT_RATIO) / BATCH_TIMEOUT_RATIO
+                <= send.timeout_ms
+                <= left
+            )
 
 
 def test_classes_share_a_call_of_a_destination_whose_line_is_short() -> None:
