--- a/springspread/policy.py
+++ b/springspread/policy.py
@@ -12,7 +12,7 @@
 
 from springspread import interface as i
 from springspread.list_retry import ListRetry
-from springspread.state import Call, Destination, Fading, Gate, Health, Message, Route, Turn
+from springspread.state import Call, DecayingCount, Destination, Health, KeyQueue, Message, RateLimiter, Route
 
 SUCCESS_WEIGHT = 0.5  # weights of the suitability score
 LATENCY_WEIGHT = 0.3
@@ -81,10 +81,10 @@
         self.pending: dict[int, Message] = {}
         self.queued_dests: dict[Destination, None] = {}  # those with messages waiting, in order of the first
         self.in_flight: dict[tuple[int, int], tuple[Message, Call]] = {}
-        self.turns: dict[int, Turn] = {}
+        self.turns: dict[int, KeyQueue] = {}
         self.expiries: list[tuple[float, int]] = []
         self.last_pause = RECHECK_MS * max(1.0, log2(settings.senders))  # as doublings thin out all senders
-        self.use = [Fading(0.0, TENANT_USAGE_MIN) for _ in settings.tenants]
+        self.use = [DecayingCount(0.0, TENANT_USAGE_MIN) for _ in settings.tenants]
         self.mean_ms = min(spec.aim_ms for spec in settings.classes) / 4
         self.wake_at, self.list_retry = 0.0, ListRetry(settings, self.rng)
         self.safe_ms, self.safe_at, self.idle_failures = inf, 0.0, 0.0
@@ -102,7 +102,7 @@
                 self._ended(event)
             elif isinstance(event, i.Withdrawn) and event.message in self.pending:
                 m = self.pending[event.message]
-                if m.flying and self.set.may_cancel:
+                if m.in_flight and self.set.may_cancel:
                     self.out.append(i.Cancel(m.id, m.attempts - 1))
                 self._finish(m)
             elif isinstance(event, i.Listed):
@@ -120,10 +120,10 @@
         for route in self.routes.values():
             route.classes += tuple(Health() for _ in range(more))
         if len(new.tenants) != len(self.set.tenants):
-            self.use = [Fading(self.now, TENANT_USAGE_MIN) for _ in new.tenants]
+            self.use = [DecayingCount(self.now, TENANT_USAGE_MIN) for _ in new.tenants]
         self.set = self.list_retry.settings = new
         for dest in self.dests.values():
-            dest.look_at = 0.0
+            dest.next_scan_at = 0.0
 
     def _listed(self, event: i.Listed) -> None:
         if event.scope is i.ListScope.FAILED:
@@ -133,7 +133,7 @@
             self.list_retry.answered()
         for entry in event.entries:
             route = self.routes.get(entry.route) or self._add(entry)
-            route.state, route.dest.look_at = entry.state, 0.0
+            route.state, route.dest.next_scan_at = entry.state, 0.0
             route.limiter.rating = entry.rating
         whole = event.scope is not i.ListScope.CHANGES
         kept = {entry.route for entry in event.entries} if whole else self.routes
@@ -144,8 +144,8 @@
                 self._absolve(route)
         for number, dest in list(self.dests.items()):
             if dest.routes or dest.queue or dest.calls:
-                dest.left_at = self.now
-            elif self.now - dest.left_at > FORGET_AFTER_MS:
+                dest.last_active_at = self.now
+            elif self.now - dest.last_active_at > FORGET_AFTER_MS:
                 del self.dests[number]
 
     def _add(self, entry: i.RouteEntry) -> Route:
@@ -160,13 +160,13 @@
 
     def _dest(self, number: int) -> Destination:
         if number not in self.dests:
-            self.dests[number] = Destination(self._gate(), Fading(self.now), Fading(self.now))
+            self.dests[number] = Destination(self._gate(), DecayingCount(self.now), DecayingCount(self.now))
         return self.dests[number]
 
-    def _gate(self) -> Gate:
-        return Gate(1.0 / self.set.senders, filled_at=self.now)  # all first parts sum to the limit
+    def _gate(self) -> RateLimiter:
+        return RateLimiter(1.0 / self.set.senders, refilled_at=self.now)  # all first parts sum to the limit
 
-    def _own(self, route: Route, seen: Fading) -> float:
+    def _own(self, route: Route, seen: DecayingCount) -> float:
         rest = sum(self._limit(r.limiter) for r in route.dest.routes if r.limiter is not route.limiter)
         limit = self._limit(route.limiter)
         equal = limit / self.set.senders  # what is held for the demand before any is seen
@@ -184,14 +184,14 @@
         m.attempts = event.attempts  # guards the cap on attempts across a restart
         if not event.again:  # a client's further try is no new demand
             dest.demand.add(self.now, DECAY_MS)
-        m.part = self._part(event.tenant) if event.tenant < len(self.use) else 1.0
+        m.tenant_weight = self._part(event.tenant) if event.tenant < len(self.use) else 1.0
         if m.attempts >= self.set.max_attempts:
             self._give_up(m)
             return
         self._enqueue(m)
         if event.key and spec.in_order:
-            m.turn = self.turns.setdefault(event.key, Turn())
-            m.turn.line.append(m)
+            m.key_queue = self.turns.setdefault(event.key, KeyQueue())
+            m.key_queue.messages.append(m)
         if len(self.pending) >= self.set.max_held:  # hand back what is worth least where the line is longest
             line = max((dest.queue for dest in self.queued_dests), key=len)
             self._give_up(min(line, key=lambda other: self._stake(other, other.spec.aim_ms)))
@@ -213,21 +213,21 @@
         if (event.message, event.attempt) not in self.in_flight:
             return
         m, call = self.in_flight.pop((event.message, event.attempt))
-        m.flying, m.dest.look_at = False, 0.0
+        m.in_flight, m.dest.next_scan_at = False, 0.0
         self.calls -= call.end(self.now)
-        if not call.judged:
-            call.judged = True
+        if not call.recorded:
+            call.recorded = True
             self._judge(m, call, event)
         if event.outcome in NEVER_RAN and m.ran_at == call.sent_at:
             m.ran_at = m.ran_route = None
         elif event.outcome not in (i.Outcome.SERVED, i.Outcome.ERROR, i.Outcome.SPOILT):
-            m.rest_until = self.now + self.set.rules.order_settle_ms
+            m.settled_at = self.now + self.set.rules.order_settle_ms
         if event.over or m.finished:
             self._finish(m)
             return
         m.tried.append(call.route)
         if all(r in m.tried for r in m.dest.routes if r.state is i.RouteState.READY):
-            m.walk, m.tried, m.not_before = [], [], self.now + NEXT_ROUND_MS
+            m.candidates, m.tried, m.not_before = [], [], self.now + NEXT_ROUND_MS
         lost = m.ran_at is not None and m.spec.effect is i.Effect.UNSAFE
         if lost or m.attempts >= self.set.max_attempts or self.now >= self._last_chance(m):
             self._give_up(m)
@@ -235,7 +235,7 @@
             self._enqueue(m)
 
     def _enqueue(self, m: Message) -> None:
-        m.join(self.queued_dests)
+        m.enqueue(self.queued_dests)
         heappush(self.expiries, (self._last_chance(m), m.id))
 
     def _last_chance(self, m: Message) -> float:
@@ -244,20 +244,20 @@
 
     def _judge(self, m: Message, call: Call, event: i.Ended) -> None:
         route, limiter, outcome, rules = call.route, call.route.limiter, event.outcome, self.set.rules
-        limiter.told_limit = event.report.limit_per_s or limiter.told_limit
+        limiter.reported_limit = event.report.limit_per_s or limiter.reported_limit
         if outcome in (i.Outcome.MOOT, i.Outcome.UNKNOWN):
             return
         self.resets += RESET_EWMA_WEIGHT * ((outcome is i.Outcome.RESET) - self.resets)
         # A call sent later was served: this one's connection broke or fell silent, not the route.
-        long = event.took_ms > 2 * TIMEOUT_MULTIPLE * (route.alone_ms or self.mean_ms)
+        long = event.took_ms > 2 * TIMEOUT_MULTIPLE * (route.unloaded_ms or self.mean_ms)
         lost = outcome is i.Outcome.RESET or (outcome is i.Outcome.TIMEOUT and long)
-        lost = lost and route.health.served_at > call.sent_at
+        lost = lost and route.health.served_sent_at > call.sent_at
         if outcome in (i.Outcome.SERVED, i.Outcome.TIMEOUT) and not lost:
             mean = route.mean_ms or event.took_ms
             route.mean_ms = mean + EWMA_WEIGHT * (event.took_ms - mean)
-            if call.alone:
-                alone = route.alone_ms or event.took_ms
-                route.alone_ms = alone + EWMA_WEIGHT * (event.took_ms - alone)
+            if call.unloaded:
+                alone = route.unloaded_ms or event.took_ms
+                route.unloaded_ms = alone + EWMA_WEIGHT * (event.took_ms - alone)
         self._idle(call, event)
         healths = [route.health, route.classes[m.cls]]
         if lost or outcome is i.Outcome.SPOILT:  # it took the call: no outage, no limit, no idle connection
@@ -266,20 +266,20 @@
         if outcome is i.Outcome.SERVED:
             route.dest.served_at = limiter.served_at = self.now
             self.mean_ms += EWMA_WEIGHT / 4 * (event.took_ms - self.mean_ms)
-            if limiter.recovered_at == inf and call.sent_at >= limiter.sign_at:
+            if limiter.recovered_at == inf and call.sent_at >= limiter.outage_seen_at:
                 # Known to be back: since a time between the last sign and this call, so on average half-way.
-                limiter.recovered_at, limiter.doubt = (limiter.sign_at + self.now) / 2, 0.0
-            route.dest.served.add(self.now, DECAY_MS, 1.0 + BATCH_ITEM_WEIGHT * (call.size - 1))
+                limiter.recovered_at, limiter.suspicion = (limiter.outage_seen_at + self.now) / 2, 0.0
+            route.dest.served_count.add(self.now, DECAY_MS, 1.0 + BATCH_ITEM_WEIGHT * (call.size - 1))
             if route.health.flagged:
                 self.out.append(i.Log(f"route {route.id}: recheck served"))
                 healths = [route.health, *route.classes]
-            elif route.alone_ms and (route.mean_ms or 0.0) > CONGESTED_RATIO * route.alone_ms:
+            elif route.unloaded_ms and (route.mean_ms or 0.0) > CONGESTED_RATIO * route.unloaded_ms:
                 route.window = max(1.0, route.window * CONGESTED_DECREASE)  # more would wait in its own line
             elif route.calls + 1 >= route.window:
                 route.window = min(route.window + 1.0, self.set.slots)
             for health in healths:
-                health.note(True, call.sent_at, EWMA_WEIGHT)
-            limiter.refusals, limiter.doubt = limiter.refusals // 2, limiter.doubt * 0.5
+                health.record(True, call.sent_at, EWMA_WEIGHT)
+            limiter.refusals, limiter.suspicion = limiter.refusals // 2, limiter.suspicion * 0.5
             left = event.report.left_share if event.report.limit_per_s else None
             room = (2 * LIMIT_HEADROOM if left is None else left) - LIMIT_HEADROOM
             if limiter.tokens < 1.0 or room < 0.0:
@@ -289,7 +289,7 @@
         recent = self.now - limiter.served_at <= RECENT_SUCCESS_MS
         sign = 1.0 if outcome in CONNECTION_FAULTS and not recent else FAULT_SUSPICION
         sign = RESET_SUSPICION if outcome is i.Outcome.RESET and recent else sign
-        sign *= route.health.served_at <= call.sent_at
+        sign *= route.health.served_sent_at <= call.sent_at
         # Guards healthy partners where connections break everywhere. Could harm as one resets all calls.
         telling = min(1.0, USUAL_RESET_SHARE / max(self.resets, 0.001)) if outcome is i.Outcome.RESET else 1.0
         sign *= telling
@@ -297,7 +297,7 @@
         roomy = left is not None and left >= LIMIT_EXHAUSTED and not event.wait_ms
         if outcome is i.Outcome.FULL and roomy and recent:
             # Its own line is full, and not the limit of all: others of the destination may have room.
-            route.rests_until = self.now + self._jitter(BACK_OFF_MS)
+            route.paused_until = self.now + self._jitter(BACK_OFF_MS)
             sign = 0.0
         elif outcome is i.Outcome.FULL:
             own = self._own(route, route.dest.demand) / max(self._limit(limiter), 0.01)
@@ -318,24 +318,29 @@
             self._fault(route, healths, call)
         kept = 1.0 - (1.0 - WINDOW_DECREASE) * telling
         route.window = 1.0 if route.health.flagged else max(1.0, route.window * kept)
-        limiter.doubt = min(limiter.doubt + sign, 3.0)
-        if sign and limiter.doubt >= 1.0:
+        limiter.suspicion = min(limiter.suspicion + sign, 3.0)
+        if sign and limiter.suspicion >= 1.0:
             self._out(route, limiter.shut_until if event.wait_ms else inf)
 
     def _absolve(self, route: Route) -> None:
         """A route is gone: an outage that was seen there alone was none of the destination."""
         limiter = route.limiter
-        if limiter.blamed and limiter.blamed <= {route}:
-            limiter.recovered_at, limiter.sign_at, limiter.doubt, limiter.signs = -inf, -inf, 0.0, 0
-        limiter.blamed.discard(route)
+        if limiter.outage_routes and limiter.outage_routes <= {route}:
+            limiter.recovered_at, limiter.outage_seen_at, limiter.suspicion, limiter.outage_signs = (
+                -inf,
+                -inf,
+                0.0,
+                0,
+            )
+        limiter.outage_routes.discard(route)
 
-    def _part_to(self, limiter: Gate, part: float) -> None:
+    def _part_to(self, limiter: RateLimiter, part: float) -> None:
         limiter.share = min(max(part, MIN_SHARE / self.set.senders), ROUGH_RATING_FACTOR)
 
     def _fault(self, route: Route, healths: list[Health], call: Call) -> None:
         for health in healths:
-            health.note(False, call.sent_at, EWMA_WEIGHT)
-            if health.run >= FLAG_AFTER_FAULTS and not health.flagged:
+            health.record(False, call.sent_at, EWMA_WEIGHT)
+            if health.consecutive_faults >= FLAG_AFTER_FAULTS and not health.flagged:
                 health.flagged = True
                 self.out.append(i.Log(f"route {route.id}: flagged"))
             health.recheck_at = self.now + self._jitter(RECHECK_MS)
@@ -343,21 +348,28 @@
     def _idle(self, call: Call, event: i.Ended) -> None:
         # A fault after idleness was the connection's where the next call is served. May cost handshakes.
         dest, outcome = call.route.dest, event.outcome
-        worked = event.took_ms > QUICK_RESET_SHARE * (call.route.alone_ms or self.mean_ms)
+        worked = event.took_ms > QUICK_RESET_SHARE * (call.route.unloaded_ms or self.mean_ms)
         if outcome is i.Outcome.SERVED:
-            if dest.suspect_ms:
+            if dest.suspect_idle_ms:
                 self.idle_failures += 1.0
-                self.safe_ms, self.safe_at = min(self._safe_ms(), dest.suspect_ms * SAFE_IDLE_SHARE), self.now
+                self.safe_ms, self.safe_at = (
+                    min(self._safe_ms(), dest.suspect_idle_ms * SAFE_IDLE_SHARE),
+                    self.now,
+                )
             elif call.idle_ms > self.safe_ms:
                 self.idle_failures = max(self.idle_failures - 1.0, 0.0)
-            dest.suspect_ms = 0.0
+            dest.suspect_idle_ms = 0.0
         elif outcome is i.Outcome.RESET and (worked or call.idle_ms < MIN_IDLE_TIMEOUT_MS):
             return  # it breaks now and then, whether idle before or not
-        elif outcome in (i.Outcome.RESET, i.Outcome.TIMEOUT) and call.idle_ms and not call.route.health.run:
-            dest.suspect_ms = call.idle_ms
+        elif (
+            outcome in (i.Outcome.RESET, i.Outcome.TIMEOUT)
+            and call.idle_ms
+            and not call.route.health.consecutive_faults
+        ):
+            dest.suspect_idle_ms = call.idle_ms
             self.out.extend(i.CloseIdle(route.id) for route in dest.routes)
         elif outcome is not i.Outcome.FULL:
-            dest.suspect_ms = 0.0
+            dest.suspect_idle_ms = 0.0
 
     def _safe_ms(self) -> float:
         return self.safe_ms * exp2(min((self.now - self.safe_at) / DECAY_MS, 9.0))
@@ -365,20 +377,22 @@
     def _out(self, route: Route, back_at: float) -> None:
         """A sign of an outage, over at a told time or at none known."""
         limiter = route.limiter
-        limiter.signs = limiter.signs + 1 if self._is_ramping(limiter) else 0
-        if not limiter.signs:
-            limiter.blamed.clear()
-            route.dest.served.add(self.now, DECAY_MS, 0.0)
-            limiter.own = max(self._own(route, route.dest.served), self._limit(limiter) / self.set.senders)
+        limiter.outage_signs = limiter.outage_signs + 1 if self._is_ramping(limiter) else 0
+        if not limiter.outage_signs:
+            limiter.outage_routes.clear()
+            route.dest.served_count.add(self.now, DECAY_MS, 0.0)
+            limiter.own_rate = max(
+                self._own(route, route.dest.served_count), self._limit(limiter) / self.set.senders
+            )
             limiter.tokens = 1.0 - self.rng.expovariate(1.0)
-        limiter.recovered_at, limiter.sign_at = back_at, self.now
-        limiter.blamed.add(route)
+        limiter.recovered_at, limiter.outage_seen_at = back_at, self.now
+        limiter.outage_routes.add(route)
 
     def _jitter(self, pause: float) -> float:
         return pause * (0.75 + self.rng.random() / 2)
 
-    def _limit(self, limiter: Gate) -> float:
-        return limiter.told_limit or limiter.rating / (
+    def _limit(self, limiter: RateLimiter) -> float:
+        return limiter.reported_limit or limiter.rating / (
             ROUGH_RATING_FACTOR if self.set.rating is i.Rating.ROUGH else 1.0
         )
 
@@ -390,58 +404,62 @@
         # senders / (W + T). Chances lapse, none are saved up. Could harm: partners found late.
         limiter, rules = route.limiter, self.set.rules
         limit = self._limit(limiter)
-        limiter.pace = max(limit * limiter.share, 0.001)
-        earned = max(self.now - limiter.filled_at, 0.0) / 1000
+        limiter.rate_per_s = max(limit * limiter.share, 0.001)
+        earned = max(self.now - limiter.refilled_at, 0.0) / 1000
         if self._is_ramping(limiter):
             since = max(self.now - limiter.recovered_at, 0.0) / rules.warm_within_ms
             warm = rules.cold_share + (1.0 - rules.cold_share) * since
-            part = limiter.own * rules.fall_multiple * warm * RAMP_MARGIN
-            chance = 0.0 if since else 1000 / rules.warm_within_ms * exp2(-limiter.signs)
-            limiter.pace = min(limiter.pace, max(part, chance))
-            limiter.tokens += limiter.pace * earned
-            if limiter.tokens > 1.0 + limiter.pace * RAMP_TOKEN_LAPSE_MS / 1000:
+            part = limiter.own_rate * rules.fall_multiple * warm * RAMP_MARGIN
+            chance = 0.0 if since else 1000 / rules.warm_within_ms * exp2(-limiter.outage_signs)
+            limiter.rate_per_s = min(limiter.rate_per_s, max(part, chance))
+            limiter.tokens += limiter.rate_per_s * earned
+            if limiter.tokens > 1.0 + limiter.rate_per_s * RAMP_TOKEN_LAPSE_MS / 1000:
                 limiter.tokens = 1.0
                 self._spend(limiter, 1.0)
         else:
-            depth = max(1.0, limiter.pace * BURST_MS / 1000)
-            limiter.tokens = min(depth, limiter.tokens + limiter.pace * earned)
-        limiter.filled_at = max(limiter.filled_at, self.now)
+            depth = max(1.0, limiter.rate_per_s * BURST_MS / 1000)
+            limiter.tokens = min(depth, limiter.tokens + limiter.rate_per_s * earned)
+        limiter.refilled_at = max(limiter.refilled_at, self.now)
 
-    def _spend(self, limiter: Gate, much: float) -> None:
+    def _spend(self, limiter: RateLimiter, much: float) -> None:
         """A call is gone; in a ramp, where one takes longer than a fall span to earn, the next is drawn."""
-        if self._is_ramping(limiter) and limiter.pace * self.set.rules.fall_ms < 1000:
+        if self._is_ramping(limiter) and limiter.rate_per_s * self.set.rules.fall_ms < 1000:
             much *= self.rng.expovariate(1.0)
         limiter.tokens -= much
 
-    def _is_ramping(self, limiter: Gate) -> bool:
+    def _is_ramping(self, limiter: RateLimiter) -> bool:
         warming = self.now - limiter.recovered_at < self.set.rules.warm_within_ms
-        return warming and self.now - limiter.sign_at < FORGET_AFTER_MS and self.set.rules.warm_within_ms > 0
+        return (
+            warming
+            and self.now - limiter.outage_seen_at < FORGET_AFTER_MS
+            and self.set.rules.warm_within_ms > 0
+        )
 
     def _open(self, route: Route) -> bool:
         if route.state is not i.RouteState.READY or self._filled(route) >= int(route.window):
             return False
         self._fill(route)
-        return self.now >= max(route.limiter.shut_until, route.rests_until) and route.limiter.tokens >= 1.0
+        return self.now >= max(route.limiter.shut_until, route.paused_until) and route.limiter.tokens >= 1.0
 
     def _stuck_at(self, route: Route, call: Call) -> float:
-        return call.sent_at + max(TIMEOUT_MULTIPLE * (route.alone_ms or self.mean_ms), MIN_STUCK_MS)
+        return call.sent_at + max(TIMEOUT_MULTIPLE * (route.unloaded_ms or self.mean_ms), MIN_STUCK_MS)
 
     def _filled(self, route: Route) -> int:
         """What fills the window. Guards it against calls whose connections fell silent."""
         if self._hushed(route):
             return 0  # a real message looks whether it was the connections or the route
-        served_at = route.health.served_at
-        return sum(c.sent_at >= served_at or self.now < self._stuck_at(route, c) for c in route.out)
+        served_at = route.health.served_sent_at
+        return sum(c.sent_at >= served_at or self.now < self._stuck_at(route, c) for c in route.open_calls)
 
     def _hushed(self, route: Route) -> bool:
         """Whether all calls there are stuck, and none that was sent later has been served."""
-        newest = route.out[-1].sent_at if route.out else -inf
-        stuck = all(self.now >= self._stuck_at(route, call) for call in route.out)
-        return stuck and newest > route.health.served_at
+        newest = route.open_calls[-1].sent_at if route.open_calls else -inf
+        stuck = all(self.now >= self._stuck_at(route, call) for call in route.open_calls)
+        return stuck and newest > route.health.served_sent_at
 
     def _served(self, route: Route, m: Message) -> float:
         own = route.classes[m.cls]
-        return (ROUTE_PRIOR_CALLS * route.health.served + own.weight * own.served) / (
+        return (ROUTE_PRIOR_CALLS * route.health.success_share + own.weight * own.success_share) / (
             ROUTE_PRIOR_CALLS + own.weight
         )
 
@@ -453,7 +471,7 @@
             cost = round(5 - 4 * self.set.prices.fee_part(route.zone))
             served = round(1 + 4 * self._served(route, m))
             time = round(1 + 4 * fastest / (route.mean_ms or fastest))
-            return (-(SUCCESS_WEIGHT * served + LATENCY_WEIGHT * time + FEE_WEIGHT * cost), route.tie)
+            return (-(SUCCESS_WEIGHT * served + LATENCY_WEIGHT * time + FEE_WEIGHT * cost), route.tie_break)
 
         return sorted(dest.routes, key=suitability)
 
@@ -478,8 +496,10 @@
         return 1000 * len(dest.queue) / max(pace, 0.1)
 
     def _ready(self, m: Message) -> bool:
-        turn = m.turn
-        return self.now >= m.not_before and (not turn or turn.line[0] is m and self.now >= turn.rests_until)
+        turn = m.key_queue
+        return self.now >= m.not_before and (
+            not turn or turn.messages[0] is m and self.now >= turn.settled_at
+        )
 
     def _cap(self, dest: Destination) -> int:
         well = self.now - dest.served_at <= RECENT_SUCCESS_MS
@@ -492,31 +512,32 @@
 
     def _pick(self, dest: Destination) -> tuple[float, Message, Route] | None:
         ready = [route for route in dest.routes if self._open(route)]
-        dest.look_at = self.now + RESCAN_MS
+        dest.next_scan_at = self.now + RESCAN_MS
         if not ready or dest.calls >= self._cap(dest):
             limiters = [r.limiter for r in dest.routes if not ready and self._filled(r) < int(r.window)]
             full_at = [
-                self.now + 1000 * (1.0 - limiter.tokens) / max(limiter.pace, 0.001) for limiter in limiters
+                self.now + 1000 * (1.0 - limiter.tokens) / max(limiter.rate_per_s, 0.001)
+                for limiter in limiters
             ]
             opens = [max(at, limiter.shut_until) for at, limiter in zip(full_at, limiters, strict=True)]
-            dest.look_at = min([dest.look_at, *(at for at in opens if at > self.now)])
+            dest.next_scan_at = min([dest.next_scan_at, *(at for at in opens if at > self.now)])
             return None
         horizon = max(self.mean_ms, self._drain_ms(dest))
         best: tuple[float, Message, Route] | None = None
         for m in dest.queue:
             stake = self._stake(m, horizon)
             if self._ready(m) and (best is None or stake > best[0]):
-                if any(r not in m.walk for r in ready):  # at first all; later the routes listed since
-                    m.walk = m.walk + [r for r in self._rank(m) if r not in m.walk]
-                route = next((r for r in m.walk if r in ready and self._allowed(m, r)), None)
+                if any(r not in m.candidates for r in ready):  # at first all; later the routes listed since
+                    m.candidates = m.candidates + [r for r in self._rank(m) if r not in m.candidates]
+                route = next((r for r in m.candidates if r in ready and self._allowed(m, r)), None)
                 best = (stake, m, route) if route else best
-        dest.look_at = 0.0 if best else dest.look_at
+        dest.next_scan_at = 0.0 if best else dest.next_scan_at
         return best
 
     def _dispatch(self) -> None:
         outdated = self.list_retry.outdated(self.now)
         dests = self.queued_dests if self.calls < self.set.slots and not outdated else ()
-        picks = [pick for dest in dests if dest.look_at <= self.now and (pick := self._pick(dest))]
+        picks = [pick for dest in dests if dest.next_scan_at <= self.now and (pick := self._pick(dest))]
         while picks and self.calls < self.set.slots:
             best = max(picks, key=self._yield)
             picks.remove(best)
@@ -556,7 +577,7 @@
             if max(waits) <= BATCH_TIMEOUT_RATIO * min(waits)
             else min(whole, *(left[m.id] for m in batch))
         )
-        idle = self.now - route.used_at if route.used_at and not route.calls else 0.0
+        idle = self.now - route.last_ended_at if route.last_ended_at and not route.calls else 0.0
         if idle > self._safe_ms() and self.idle_failures >= 1.0:
             self.out.append(i.CloseIdle(route.id))
             idle = 0.0
@@ -568,9 +589,9 @@
         )
         self.calls += call.begin()
         for m in batch:
-            m.leave(self.queued_dests)
+            m.dequeue(self.queued_dests)
             self.in_flight[m.id, m.attempts] = (m, call)
-            m.sent(route, self.now)
+            m.mark_sent(route, self.now)
             self.out.append(i.Send(m.id, route.id, wait))
 
     def _timeout(self, m: Message, route: Route, size: int) -> float:
@@ -586,20 +607,20 @@
     def _finish(self, m: Message) -> None:
         if self.pending.pop(m.id, None) is not None:
             m.finished = True
-            m.leave(self.queued_dests)
-        if m.turn and not m.flying and m.turn.leave(m, self.now):
+            m.dequeue(self.queued_dests)
+        if m.key_queue and not m.in_flight and m.key_queue.remove(m, self.now):
             self.turns.pop(m.key, None)
 
     def _give_up(self, m: Message) -> None:
         opens = min((route.limiter.shut_until for route in m.dest.routes), default=inf) - self.now
         back = min(max(opens, self._drain_ms(m.dest)), self.set.max_retry_after_ms)
-        self.out.append(i.Refuse(m.id, back) if m.harmless() else i.Fail(m.id))
+        self.out.append(i.Refuse(m.id, back) if m.safe_to_resubmit() else i.Fail(m.id))
         self._finish(m)
 
     def _overdue(self) -> None:
         while self.expiries and self.expiries[0][0] <= self.now:
             m = self.pending.get(heappop(self.expiries)[1])
-            if m is not None and not m.flying:
+            if m is not None and not m.in_flight:
                 self._give_up(m)
 
     def _timers(self) -> None:
@@ -607,7 +628,7 @@
             self.out.append(i.Watch())
         due = self.list_retry.next_at
         if self.queued_dests:
-            looks = [dest.look_at for dest in self.queued_dests if self.calls < self.set.slots]
+            looks = [dest.next_scan_at for dest in self.queued_dests if self.calls < self.set.slots]
             if self.list_retry.outdated(self.now):
                 looks = [self.list_retry.outdated_until]
             due = max(min([due, self.expiries[0][0], *looks]), self.now + self.set.tick_ms)
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -343,7 +343,7 @@
         attempts = [len(world.monitor.sends[m]) - 1 for m in (first, second)]
         world.coming = [c for c in world.coming if not isinstance(c[2], i.Ended)]
         world.now += 100
-        route.health.served_at = world.now
+        route.health.served_sent_at = world.now
         lost = i.Ended(first, attempts[0], 10, i.Outcome.TIMEOUT, 100, True)
         served = i.Ended(second, attempts[1], 10, i.Outcome.SERVED, 100, True)
         world.step([lost, served])
@@ -397,7 +397,7 @@
     world = World(make_settings(), 1, entries((1, 2, 0)))
     world.took = 20.0
     sender = world.sender
-    sender.routes[10].tie, sender.routes[11].tie = 0.0, 1.0
+    sender.routes[10].tie_break, sender.routes[11].tie_break = 0.0, 1.0
     sender.routes[10].zone = sender.routes[11].zone
     for n in range(0, 120, 2):
         for number, cls in ((n, 0), (n + 1, 3)):
@@ -411,12 +411,12 @@
                 world.later(20.0, i.Ended(number, key[1], route.id, outcome, 20.0, not bad))
             world.run(150)
     route = sender.routes[10]
-    assert route.classes[0].served < 0.9 < route.classes[3].served
+    assert route.classes[0].success_share < 0.9 < route.classes[3].success_share
     late = [send for at, send in world.sends() if send.message > 100]
     assert {send.route for send in late if send.message % 2} == {10}
     assert {send.route for send in late if send.message % 2 == 0} == {11}
     assert not route.health.flagged
-    assert route.classes[3].served > 0.99
+    assert route.classes[3].success_share > 0.99
 
 
 def test_idle_connections_are_closed_only_on_evidence() -> None:
--- a/tests/test_slots.py
+++ b/tests/test_slots.py
@@ -138,7 +138,7 @@
             broken = [True] * len(sends)
         outcomes = [i.Outcome.RESET if breaks else i.Outcome.SERVED for breaks in broken]
         ends = [line.end(send, outcome, 5.0) for send, outcome in zip(sends, outcomes, strict=True)]
-    assert (line.sender.routes[1].limiter.sign_at > float("-inf")) == outage
+    assert (line.sender.routes[1].limiter.outage_seen_at > float("-inf")) == outage
 
 
 @pytest.mark.parametrize(
