--- a/springspread/__init__.py
+++ b/springspread/__init__.py
@@ -1,4 +1,4 @@
-"""springspread: the decisions of a dispatcher of notifications to outside receivers."""
+"""springspread: a message sender with fail-over routing; this package exports its decision module."""
 
 from springspread.interface import (
     Action,
--- a/springspread/benchlink.py
+++ b/springspread/benchlink.py
@@ -1,7 +1,7 @@
-"""The simulator's wire: codec and instance host. It holds no decision; the wire's words stop here.
+"""The adapter to the simulator: protocol codec and host of the senders. It makes no decisions.
 
 A malformed frame ends the process with one line on standard error that names the record and the offset; an
-exception of the decision module becomes the wire's crash record.
+exception in the decision module is returned as a crash record.
 """
 
 from __future__ import annotations
@@ -43,16 +43,16 @@
 
 
 class WireError(Exception):
-    """A frame that does not follow the wire."""
+    """A frame that violates the protocol."""
 
 
 def parse_settings(text: str) -> i.Settings:
-    """Read the path=value lines of an instance's first record; unknown keys are skipped."""
+    """Read the path=value lines of an instance's first record; unknown keys are ignored."""
     return read_settings(parse_lines(text))
 
 
 def read_report(body: bytes, at: int, fields: tuple[str, ...]) -> i.Report:
-    """Read a load report; values that it does not name stay ``None``."""
+    """Read a load report; values that it lacks stay ``None``."""
     if at >= len(body):
         return i.Report()
     (count,) = COUNT8.unpack_from(body, at)
@@ -104,38 +104,38 @@
 
 
 def pack_text(text: str) -> bytes:
-    """Encode a text with its length."""
+    """Encode a length-prefixed text."""
     data = text.encode()[:60000]
     return COUNT16.pack(len(data)) + data
 
 
 def write_sender(sender: int) -> bytes:
-    """Encode the record that names the instance of the actions after it."""
+    """Encode the record that names the instance of the following actions."""
     return RECORD_HEAD.pack(25, 4) + COUNT32.pack(sender)
 
 
 def write_crash(text: str) -> bytes:
-    """Encode the record that ends the day."""
+    """Encode the record that ends the simulation."""
     body = pack_text(text)
     return RECORD_HEAD.pack(22, len(body)) + body
 
 
 def write_reply(number: int, records: list[bytes]) -> bytes:
-    """Encode a whole reply frame."""
+    """Encode a reply frame."""
     body = b"".join(records)
     return REPLY_HEAD.pack(number, REPLY_HEAD.size + len(body), len(records)) + body
 
 
 class Host:
-    """Hosts the instances of one process; they share nothing but the numbered lists of the wire."""
+    """Hosts the senders of one process; they share only the numbered lists of the protocol."""
 
     def __init__(self) -> None:
-        self.pages: dict[int, tuple[i.RouteEntry, ...]] = {}
+        self.lists: dict[int, tuple[i.RouteEntry, ...]] = {}
         self.instances: dict[int, Dispatcher] = {}
         self.fields: dict[int, tuple[str, ...]] = {}
 
     def answer(self, frame: bytes) -> bytes:
-        """Take in one batch and return the reply."""
+        """Process one batch and return the reply."""
         number, now, _, count = BATCH_HEAD.unpack_from(frame)
         waiting: dict[int, list[i.Event]] = {}
         records: list[bytes] = []
@@ -151,7 +151,7 @@
                 if code == 24:
                     (sender,) = COUNT32.unpack_from(body)
                 elif code == 16:
-                    self.pages[COUNT16.unpack_from(body)[0]] = read_entries(body)
+                    self.lists[COUNT16.unpack_from(body)[0]] = read_entries(body)
                 elif code == 19:
                     waiting[sender] = []
                     self.instances.pop(sender, None)
@@ -170,18 +170,18 @@
                 raise WireError(f"record {n} (code {code}) at offset {at}: {exc}") from exc
         if at != len(frame):
             raise WireError(f"{len(frame) - at} bytes after the last record at offset {at}")
-        for who, events in waiting.items():
+        for instance, events in waiting.items():
             try:
-                actions = self.instances[who].handle(now, events)
-            except Exception as exc:  # the wire wants every failure of the module as a crash record
-                where = exc.__traceback__
-                while where is not None and where.tb_next is not None:
-                    where = where.tb_next
-                line = where.tb_lineno if where is not None else 0
+                actions = self.instances[instance].handle(now, events)
+            except Exception as exc:  # every failure is reported as a crash record
+                traceback = exc.__traceback__
+                while traceback is not None and traceback.tb_next is not None:
+                    traceback = traceback.tb_next
+                line = traceback.tb_lineno if traceback is not None else 0
                 text = f"{type(exc).__name__} at line {line}: {exc}"
-                return write_reply(number, [write_sender(who), write_crash(text)])
+                return write_reply(number, [write_sender(instance), write_crash(text)])
             if actions:
-                records.append(write_sender(who))
+                records.append(write_sender(instance))
                 records.extend(map(write_action, actions))
         return write_reply(number, records)
 
@@ -193,7 +193,7 @@
         self.fields[sender] = report_fields(parse_lines(text))
         try:
             self.instances[sender] = Dispatcher(parse_settings(text), seed)
-        except Exception as exc:  # settings that the module cannot work with end the day with a plain text
+        except Exception as exc:  # invalid settings end the simulation
             return f"settings: {exc}"
         return ""
 
@@ -202,13 +202,13 @@
         if reader is None:
             raise WireError("unknown code")
         if code == 17:
-            scope, version, page = LISTED.unpack_from(body)
+            scope, version, number = LISTED.unpack_from(body)
             kind = i.ListScope(scope)
             if kind is i.ListScope.FAILED:
                 return i.Listed(kind, version)
-            if page not in self.pages:
-                raise WireError(f"list {page} was never given")
-            return i.Listed(kind, version, self.pages[page])
+            if number not in self.lists:
+                raise WireError(f"list {number} is unknown")
+            return i.Listed(kind, version, self.lists[number])
         return reader(body, fields)
 
 
@@ -219,11 +219,11 @@
 
 
 def _read_ended(body: bytes, fields: tuple[str, ...]) -> i.Event:
-    message, leg, route, reason, took, over, hold = ENDED.unpack_from(body)
+    message, attempt, route, reason, took, over, wait_ms = ENDED.unpack_from(body)
     outcome = OUTCOMES.get(reason, i.Outcome.UNKNOWN)
-    wait = float(hold) if outcome is i.Outcome.FULL else 0.0
+    wait = float(wait_ms) if outcome is i.Outcome.FULL else 0.0
     return i.Ended(
-        message, leg, route, outcome, took, bool(over), wait, read_report(body, ENDED.size, fields)
+        message, attempt, route, outcome, took, bool(over), wait, read_report(body, ENDED.size, fields)
     )
 
 
@@ -242,8 +242,8 @@
 
 
 def _read_head_seen(body: bytes, _: tuple[str, ...]) -> i.Event:
-    message, route, leg, took = HEAD_SEEN.unpack_from(body)
-    return i.Began(message, leg, route, took)
+    message, route, attempt, took = HEAD_SEEN.unpack_from(body)
+    return i.Began(message, attempt, route, took)
 
 
 def _read_peer(body: bytes, _: tuple[str, ...]) -> i.Event:
@@ -254,7 +254,7 @@
 
 
 def _read_listed(_body: bytes, _: tuple[str, ...]) -> i.Event:
-    raise WireError("a list event needs the host's pages")
+    raise WireError("a list event needs the host's lists")
 
 
 _READERS: dict[int, Callable[[bytes, tuple[str, ...]], i.Event]] = {
--- a/springspread/interface.py
+++ b/springspread/interface.py
@@ -1,4 +1,4 @@
-"""The sans-I/O interface of springspread: settings and events in, actions out.
+"""The sans-I/O interface of the decision module: settings and events in, actions out.
 
 All times are milliseconds on the host's clock. A *destination* is an outside receiver of messages; a *route*
 is one of its endpoints; an *attempt* is one call that carries a message over one route.
@@ -12,7 +12,7 @@
 
 
 class Effect(Enum):
-    """What a repeat of a message does at its destination."""
+    """What repeating a message does at its destination."""
 
     SAFE = "safe"
     KEYED = "keyed"
@@ -28,14 +28,14 @@
 
 
 class Fade(Enum):
-    """How a message's worth falls after its aim."""
+    """How a message's worth declines after its aim."""
 
     LINEAR = "linear"
     HALVING = "halving"
 
 
 class Rating(Enum):
-    """What the rating of a listed route says about its rate."""
+    """How closely the rating of a listed route matches its limit."""
 
     NONE = "none"
     EXACT = "exact"
@@ -51,14 +51,14 @@
     TIMEOUT = "timeout"
     CONNECT_FAILED = "connect_failed"
     RESET = "reset"
-    SPOILT = "spoilt"  # it ran, and its answer can't be read
+    SPOILT = "spoilt"  # it ran, and its answer is unreadable
     CANCELLED = "cancelled"
     MOOT = "moot"
     UNKNOWN = "unknown"
 
 
 class RouteState(Enum):
-    """What the list says of a route; it says nothing of its health."""
+    """A route's state in the list; independent of its health."""
 
     GONE = 0
     READY = 1
@@ -66,7 +66,7 @@
 
 
 class ListScope(Enum):
-    """How a list update relates to the list held."""
+    """How a list update relates to the current list."""
 
     CHANGES = 0
     WHOLE = 1
@@ -91,7 +91,7 @@
 
 @dataclass(frozen=True, slots=True)
 class TenantSpec:
-    """A tenant and the traffic of all senders together that is within its share."""
+    """A tenant and its share of the traffic of all senders together."""
 
     name: str
     share: float
@@ -109,7 +109,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Prices:
-    """Points taken off the result; each for one first try, or for all of the work or worth."""
+    """Points deducted from the result, each per first attempt or for all of the work or worth."""
 
     waste: float = 0.0
     late_fail: float = 0.0
@@ -120,14 +120,14 @@
     zone_fee: tuple[float, ...] = ()
 
     def fee_part(self, zone: int) -> float:
-        """A zone's fee as a part of the highest."""
+        """A zone's fee relative to the highest."""
         top = max(self.zone_fee, default=0.0)
         return self.zone_fee[zone] / top if top and zone < len(self.zone_fee) else 0.0
 
 
 @dataclass(frozen=True, slots=True)
 class Rules:
-    """The figures of the rules that the operators set."""
+    """The parameters of the operators' rules."""
 
     answer_slack_ms: float = 0.0
     drain_grace_ms: float = 0.0
@@ -141,7 +141,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Settings:
-    """What a sender is told at its start. Values that make no sense raise ``ValueError`` naming the field."""
+    """The settings of a sender. Invalid values raise ``ValueError`` naming the field."""
 
     classes: tuple[ClassSpec, ...]
     kinds: tuple[KindSpec, ...]
@@ -173,15 +173,15 @@
         for name in ("slots", "max_held", "senders", "max_attempts"):
             if getattr(self, name) < 1:
                 raise ValueError(f"{name}: must be at least 1")
-        for i, spec in enumerate(self.classes):
+        for n, spec in enumerate(self.classes):
             if not 0 < spec.aim_ms <= spec.deadline_ms:
-                raise ValueError(f"classes[{i}].aim_ms: must lie above 0 and within deadline_ms")
+                raise ValueError(f"classes[{n}].aim_ms: must lie above 0 and within deadline_ms")
             for name in ("worth", "late_worth", "window_ms"):
                 if getattr(spec, name) < 0:
-                    raise ValueError(f"classes[{i}].{name}: must not be negative")
-        for i, kind in enumerate(self.kinds):
+                    raise ValueError(f"classes[{n}].{name}: must not be negative")
+        for n, kind in enumerate(self.kinds):
             if kind.per_call < 1:
-                raise ValueError(f"kinds[{i}].per_call: must be at least 1")
+                raise ValueError(f"kinds[{n}].per_call: must be at least 1")
         for name in Rules.__slots__:
             if getattr(self.rules, name) < 0:
                 raise ValueError(f"rules.{name}: must not be negative")
@@ -192,7 +192,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RouteEntry:
-    """One line of the list of routes."""
+    """One entry of the list of routes."""
 
     route: int
     zone: int
@@ -205,7 +205,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Report:
-    """What a destination told of its limit in an answer; ``None`` where it told nothing."""
+    """What an answer reported of the destination's limit; ``None``: not reported."""
 
     left_share: float | None = None
     limit_per_s: float | None = None
@@ -213,11 +213,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Listed:
-    """News of the list; with scope FAILED a request for it failed and there are no entries.
+    """An update of the list, or with scope FAILED a failed request for it, without entries.
 
-    ``ask_by_ms``: after a failure, when the list has to be asked for again at the latest. Between
-    ``outdated_from_ms`` and ``outdated_until_ms`` no call may begin by the list that is held, unless news of
-    it comes first.
+    ``ask_by_ms``: after a failure, the latest time of the next request. Between ``outdated_from_ms`` and
+    ``outdated_until_ms`` no call may begin by the current list, unless an update arrives first.
     """
 
     scope: ListScope
@@ -230,7 +229,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Taken:
-    """The sender took a message and owes it one final answer before ``deadline_ms``."""
+    """The sender accepted a message; it has to give one final answer before ``deadline_ms``."""
 
     message: int
     destination: int
@@ -240,12 +239,12 @@
     key: int = 0
     again: bool = False
     orphan: bool = False
-    attempts: int = 0  # begun before a restart; none of them forbids another
+    attempts: int = 0  # made before a restart; none of them forbids another
 
 
 @dataclass(frozen=True, slots=True)
 class Ended:
-    """An attempt ended. ``over``: the message is finished, nothing more is owed for it."""
+    """An attempt ended. ``over``: the message is finished and needs no answer any more."""
 
     message: int
     attempt: int
@@ -269,21 +268,21 @@
 
 @dataclass(frozen=True, slots=True)
 class Withdrawn:
-    """The client took the message back; nothing more is owed for it."""
+    """The client withdrew the message; it needs no answer any more."""
 
     message: int
 
 
 @dataclass(frozen=True, slots=True)
 class Woken:
-    """A timer asked for by ``Wake`` came due."""
+    """A timer set by ``Wake`` expired."""
 
     token: int
 
 
 @dataclass(frozen=True, slots=True)
 class Began:
-    """The answer to an attempt of a streamed class began; the attempt now belongs to the client."""
+    """The answer to an attempt of a streamed class began; it cannot be retried any more."""
 
     message: int
     attempt: int
@@ -293,7 +292,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Heard:
-    """A note from another sender; no decision uses it."""
+    """A message from another sender; unused."""
 
     peer: int
     data: bytes
@@ -301,7 +300,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Changed:
-    """New settings hold from this tick on. Classes keep their places, and new ones follow; kinds stay."""
+    """New settings, in force from this tick on. Classes may only be appended; kinds stay the same."""
 
     settings: Settings
 
@@ -311,7 +310,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Send:
-    """Call a route with a message. Sends of one reply to one route share a call as far as its kind allows."""
+    """Send a message to a route. Sends of one tick to one route share a call as far as its kind allows."""
 
     message: int
     route: int
@@ -320,7 +319,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Refuse:
-    """Final answer: handed back, harmless to hand in again after ``come_back_ms``."""
+    """Final answer: refused, safe to submit again after ``come_back_ms``."""
 
     message: int
     come_back_ms: float = 0.0
@@ -328,7 +327,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Fail:
-    """Final answer: failed; nothing is said of its effect."""
+    """Final answer: failed; whether it took effect is unknown."""
 
     message: int
 
@@ -357,19 +356,19 @@
 
 @dataclass(frozen=True, slots=True)
 class Watch:
-    """Subscribe to (or leave) the changes of the list."""
+    """Subscribe to changes of the list, or unsubscribe."""
 
     active: bool = True
 
 
 @dataclass(frozen=True, slots=True)
 class Fetch:
-    """Ask once for the whole list."""
+    """Request the whole list once."""
 
 
 @dataclass(frozen=True, slots=True)
 class Wake:
-    """Ask for a ``Woken`` event after a time."""
+    """Request a ``Woken`` event after a time."""
 
     after_ms: float
     token: int = 0
@@ -377,7 +376,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Tell:
-    """Send a note to another sender, or to all of them (``None``); no decision does."""
+    """Send a message to another sender, or to all of them (``None``); unused."""
 
     peer: int | None
     data: bytes
@@ -385,7 +384,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Log:
-    """A line for the operators."""
+    """Write a log line."""
 
     text: str
 
--- a/springspread/settings.py
+++ b/springspread/settings.py
@@ -1,4 +1,4 @@
-"""Settings by path: one reader for the simulator's flat lines and for the nested JSON of a deployment."""
+"""Reads settings by path, from the simulator's flat lines and from the nested JSON of a deployment."""
 
 from __future__ import annotations
 
@@ -37,21 +37,21 @@
     "rules.fall_ms": "rules.fallMs",
     "rules.order_settle_ms": "rules.orderSettleMs",
 }
-"""The deployment's keys for the module's field names, for messages that name what is faulty."""
+"""The deployment's key for each field, for error messages."""
 
 
 class SettingsError(ValueError):
-    """A setting that makes no sense; the text begins with its key."""
+    """An invalid setting; the text begins with its key."""
 
 
 class Reader:
-    """Reads values by path and names the path of one that it can't use."""
+    """Reads values by path; errors name the path."""
 
     def __init__(self, raw: Mapping[str, str]) -> None:
         self.raw = raw
 
     def text(self, path: str, default: str = "") -> str:
-        """A plain value as it stands."""
+        """A value as text."""
         return self.raw.get(path, default)
 
     def number(self, path: str, default: float = 0.0) -> float:
@@ -67,7 +67,7 @@
         return self.raw.get(path, "false") == "true"
 
     def items(self, path: str) -> list[str]:
-        """A list of plain values."""
+        """A list of values as text."""
         value = self.raw.get(path, "")
         return value.split(",") if value else []
 
@@ -93,7 +93,7 @@
 
 
 def flatten(value: object, path: str = "") -> dict[str, str]:
-    """Bring nested objects into the form of the path=value lines."""
+    """Flatten nested objects to the paths and values of the flat lines."""
     flat: dict[str, str] = {}
     if isinstance(value, Mapping):
         for key, inner in value.items():
@@ -117,47 +117,47 @@
 
 
 def report_fields(raw: Mapping[str, str]) -> tuple[str, ...]:
-    """Name the values that a load report holds, in order."""
+    """Return the names of a load report's values, in order."""
     return tuple(Reader(raw).items("feedback.fields"))
 
 
 def read_settings(raw: Mapping[str, str]) -> i.Settings:
-    """Build the module's settings; unknown keys are skipped, a faulty one raises ``SettingsError``."""
+    """Build the settings; unknown keys are ignored, an invalid value raises ``SettingsError``."""
     try:
         return _build(Reader(raw))
     except SettingsError:
         raise
     except ValueError as exc:
-        field, _, fault = str(exc).partition(":")
+        field, _, message = str(exc).partition(":")
         field = re.sub(r"\[(\d+)\]", r".\1", field)
-        head, _, last = field.rpartition(".")
-        key = KEYS.get(field) or (f"{head}.{KEYS.get(last, last)}" if head else last)
-        raise SettingsError(f"{key}:{fault}") from exc
+        parent, _, name = field.rpartition(".")
+        key = KEYS.get(field) or (f"{parent}.{KEYS.get(name, name)}" if parent else name)
+        raise SettingsError(f"{key}:{message}") from exc
 
 
 def _build(read: Reader) -> i.Settings:
     number, flag, text = read.number, read.flag, read.text
     classes = []
     for n in range(read.count("classes.count")):
-        p = f"classes.{n}."
+        prefix = f"classes.{n}."
         classes.append(
             i.ClassSpec(
-                name=text(p + "name"),
-                aim_ms=number(p + "objectiveMs"),
-                deadline_ms=number(p + "deadlineMs"),
-                worth=number(p + "points", 1.0),
-                late_worth=number(p + "lateWorth"),
-                effect=EFFECTS.get(text(p + "effect"), i.Effect.UNSAFE),
-                scope=SCOPES.get(text(p + "dedupScope"), i.Scope.ROUTE),
-                window_ms=number(p + "memorySpanMs"),
-                in_order=flag(p + "inTurn"),
+                name=text(prefix + "name"),
+                aim_ms=number(prefix + "objectiveMs"),
+                deadline_ms=number(prefix + "deadlineMs"),
+                worth=number(prefix + "points", 1.0),
+                late_worth=number(prefix + "lateWorth"),
+                effect=EFFECTS.get(text(prefix + "effect"), i.Effect.UNSAFE),
+                scope=SCOPES.get(text(prefix + "dedupScope"), i.Scope.ROUTE),
+                window_ms=number(prefix + "memorySpanMs"),
+                in_order=flag(prefix + "inTurn"),
             )
         )
-    apart, per_call = read.items("specifics.separateRoutes"), read.numbers("specifics.perCall")
+    separate, per_call = read.items("specifics.separateRoutes"), read.numbers("specifics.perCall")
     kinds = tuple(
         i.KindSpec(
             name=name,
-            separate_routes=n < len(apart) and apart[n] == "true",
+            separate_routes=n < len(separate) and separate[n] == "true",
             per_call=int(per_call[n]) if n < len(per_call) else 1,
         )
         for n, name in enumerate(read.items("kinds"))
