--- a/tests/test_apart.py
+++ b/tests/test_apart.py
@@ -116,7 +116,7 @@
     return found
 
 
-def test_no_module_of_the_sender_holds_what_a_sender_changes() -> None:
+def test_no_module_holds_the_state_of_a_sender() -> None:
     before = snapshot()
     assert before and springspread.__name__ in next(iter(before))
     assert all(name.rpartition(".")[2].isupper() for name in before)  # constants, by their names
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -1,4 +1,4 @@
-"""The six rules: one test each, random legal sequences under the monitor, and the monitor itself."""
+"""The six rules: a test for each, random event sequences under the monitor, and the monitor itself."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 from hypothesis import strategies as st
 
 from springspread import interface as i
-from tests.monitor import Breach, Monitor, World
+from tests.monitor import Monitor, RuleViolation, World
 
 RULES = i.Rules(20.0, 250.0, 10000.0, 0.2, 10000.0, 2.0, 2000.0, 100.0)
 SAFE = i.ClassSpec("safe", 1000.0, 8000.0, 1.0, 0.5, i.Effect.SAFE)
@@ -43,11 +43,11 @@
 
 
 def take(world: World, number: int, cls: int = 0, dest: int = 1, key: int = 0) -> i.Taken:
-    spec = world.set.classes[cls]
+    spec = world.settings.classes[cls]
     return i.Taken(number, dest, cls, world.now + spec.deadline_ms, key=key)
 
 
-def test_an_ordinary_message_takes_the_best_route_and_is_done() -> None:
+def test_a_message_is_sent_once_over_the_best_route() -> None:
     world = World(make_settings(), 1, entries((1, 2, 0)))
     world.step([take(world, 1)])
     world.run(1000)
@@ -55,9 +55,9 @@
     assert not world.sender.pending
 
 
-def test_a_fault_moves_a_message_down_its_list() -> None:
+def test_a_fault_moves_a_message_to_the_next_route() -> None:
     world = World(make_settings(), 1, entries((1, 2, 0)))
-    world.mood = {10: i.Outcome.CONNECT_FAILED}
+    world.outcomes = {10: i.Outcome.CONNECT_FAILED}
     for n in range(20):
         world.step([take(world, n)])
         world.run(400)
@@ -66,9 +66,9 @@
     assert not world.finals()
 
 
-def test_rule_one_an_answer_in_time_where_nothing_answers() -> None:
+def test_rule_one_answer_in_time_if_no_route_responds() -> None:
     world = World(make_settings(), 1, entries((1, 2, 0)))
-    world.mood = {10: i.Outcome.TIMEOUT, 11: i.Outcome.TIMEOUT}
+    world.outcomes = {10: i.Outcome.TIMEOUT, 11: i.Outcome.TIMEOUT}
     world.step([take(world, n, n % 4) for n in range(12)])
     world.run(20000)
     assert not world.sender.pending
@@ -76,18 +76,18 @@
 
 def test_rule_two_an_unsafe_message_that_may_have_run_is_failed_at_once() -> None:
     world = World(make_settings(), 1, entries((1, 2, 0)))
-    world.mood = {10: i.Outcome.ERROR, 11: i.Outcome.ERROR}
+    world.outcomes = {10: i.Outcome.ERROR, 11: i.Outcome.ERROR}
     world.step([take(world, 1, 2)])
     world.run(2000)
     assert len(world.sends()) == 1
     ((at, final),) = world.finals()
     assert isinstance(final, i.Fail)
-    assert at <= 1000.0 + world.took + world.set.tick_ms
+    assert at <= 1000.0 + world.response_ms + world.settings.tick_ms
 
 
-def test_rule_two_a_keyed_message_keeps_to_its_group_and_window() -> None:
+def test_rule_two_a_keyed_message_keeps_to_its_zone_and_window() -> None:
     world = World(make_settings(), 1, entries((1, 3, 0)))
-    world.mood = dict.fromkeys((10, 11, 12), i.Outcome.ERROR)
+    world.outcomes = dict.fromkeys((10, 11, 12), i.Outcome.ERROR)
     world.step([take(world, 1, 1)])
     world.run(15000)
     assert len({send.route % 2 for _, send in world.sends()}) == 1
@@ -106,11 +106,11 @@
 
 def test_rule_four_a_returning_destination_is_sent_little() -> None:
     world = World(make_settings(), 1, entries((1, 1, 0), rating=5.0))
-    world.mood = {10: i.Outcome.CONNECT_FAILED}
+    world.outcomes = {10: i.Outcome.CONNECT_FAILED}
     world.step([take(world, n) for n in range(30)])
     world.run(3000)
-    world.mood = {}
-    world.monitor.back(world.now, 10)
+    world.outcomes = {}
+    world.monitor.mark_recovered(world.now, 10)
     for n in range(100, 160):
         world.step([take(world, n)])
         world.run(200)
@@ -119,40 +119,40 @@
 
 def test_rule_four_after_refusals_as_after_failures() -> None:
     world = World(make_settings(), 1, entries((1, 1, 0), rating=5.0))
-    world.mood = {10: i.Outcome.FULL}
+    world.outcomes = {10: i.Outcome.FULL}
     world.step([take(world, n) for n in range(30)])
     world.run(6000)
-    world.mood = {}
-    world.monitor.back(world.now, 10)
+    world.outcomes = {}
+    world.monitor.mark_recovered(world.now, 10)
     for n in range(100, 160):
         world.step([take(world, n)])
         world.run(200)
     assert len(world.monitor.cold_sends[10]) > 3
 
 
-def test_rule_five_one_key_goes_in_turn_and_rests_after_a_timeout() -> None:
+def test_rule_five_a_key_is_sent_in_order_and_settles_after_a_fault() -> None:
     world = World(make_settings(), 1, entries((1, 2, 0)))
-    world.mood = {10: i.Outcome.RESET}
+    world.outcomes = {10: i.Outcome.RESET}
     world.step([take(world, n, 2, key=7) for n in range(5)])
     world.run(14000)
     assert not world.sender.pending
     assert len(world.sends()) >= 5
 
 
-def test_rule_six_a_told_wait_is_kept() -> None:
+def test_rule_six_retry_after_is_respected() -> None:
     world = World(make_settings(), 1, entries((1, 1, 0)))
-    world.mood, world.wait_ms = {10: i.Outcome.FULL}, 3000.0
+    world.outcomes, world.retry_after_ms = {10: i.Outcome.FULL}, 3000.0
     world.step([take(world, 1)])
     world.run(2900)
     assert len(world.sends()) == 1
-    world.mood = {}
+    world.outcomes = {}
     world.run(2000)
     assert len(world.sends()) == 2
 
 
-def test_slots_a_hung_destination_is_held_within_half() -> None:
+def test_a_hung_destination_takes_at_most_half_of_the_slots() -> None:
     world = World(make_settings(), 1, entries((1, 2, 0), (2, 2, 0)))
-    world.mood = {10: i.Outcome.TIMEOUT, 11: i.Outcome.TIMEOUT}
+    world.outcomes = {10: i.Outcome.TIMEOUT, 11: i.Outcome.TIMEOUT}
     for n in range(20):
         world.step([take(world, n, dest=1)])
         world.run(50)
@@ -161,7 +161,7 @@
     assert world.sends()[-1][1].route in (20, 21)
 
 
-def test_bad_values_are_passed_over() -> None:
+def test_events_of_unknown_messages_are_ignored() -> None:
     world = World(make_settings(), 1, entries((1, 1, 0)))
     odd: list[i.Event] = [
         i.Ended(77, 3, 10, i.Outcome.SERVED, 5.0, True),
@@ -181,7 +181,7 @@
     ("changes", "field"),
     [({"classes": ()}, "classes"), ({"slots": 0}, "slots"), ({"tick_ms": -1.0}, "tick_ms")],
 )
-def test_settings_without_sense_name_the_field(changes: dict[str, object], field: str) -> None:
+def test_invalid_settings_name_the_field(changes: dict[str, object], field: str) -> None:
     with pytest.raises(ValueError, match=field):
         make_settings(**changes)
 
@@ -199,7 +199,7 @@
 
 @settings(max_examples=150, deadline=None, derandomize=True)
 @given(st.lists(STEP, max_size=50), st.integers(0, 9), st.sampled_from([2, 3, 12]))
-def test_random_legal_days_keep_the_rules(
+def test_random_event_sequences_keep_the_rules(
     steps: list[tuple[int, int, int, i.Outcome, int, int]], seed: int, slots: int
 ) -> None:
     world = World(
@@ -208,12 +208,12 @@
         entries((1, 3, 0), (2, 2, 1)),
     )
     for number, (cls, dest, pick, outcome, pause, extra) in enumerate(steps):
-        world.mood[dest * 10 + pick] = outcome
-        world.wait_ms = pause if outcome is i.Outcome.FULL else 0.0
+        world.outcomes[dest * 10 + pick] = outcome
+        world.retry_after_ms = pause if outcome is i.Outcome.FULL else 0.0
         events: list[i.Event] = [take(world, number, cls, dest, key=pick if cls == 2 else 0)]
         if extra == 1 and number:
             events.append(i.Withdrawn(number // 2))
-            world.monitor.final.add(number // 2)
+            world.monitor.finished.add(number // 2)
         if extra == 2:
             state = i.RouteState(pick % 3)
             events.append(
@@ -229,7 +229,7 @@
 def test_equal_events_give_equal_actions() -> None:
     def play() -> list[tuple[float, list[i.Action]]]:
         world = World(make_settings(), 3, entries((1, 3, 0), (2, 2, 1)))
-        world.mood = {10: i.Outcome.FULL, 20: i.Outcome.ERROR}
+        world.outcomes = {10: i.Outcome.FULL, 20: i.Outcome.ERROR}
         for n in range(40):
             world.step([take(world, n, n % 4, 1 + n % 2)])
             world.run(70)
@@ -240,7 +240,7 @@
 
 
 class TestMonitor:
-    """The monitor catches each kind of breach."""
+    """The monitor detects each kind of violation."""
 
     def start(self) -> Monitor:
         monitor = Monitor(make_settings())
@@ -249,72 +249,72 @@
             monitor.event(0, i.Taken(n, 1, cls, 5000.0, key=9 if cls == 2 else 0))
         return monitor
 
-    def test_lost(self) -> None:
-        with pytest.raises(Breach, match="lost"):
+    def test_late_answer(self) -> None:
+        with pytest.raises(RuleViolation, match="late"):
             self.start().overdue(5021.0)
 
-    def test_sent_after_end(self) -> None:
-        with pytest.raises(Breach, match="lost"):
+    def test_send_after_the_end(self) -> None:
+        with pytest.raises(RuleViolation, match="sent after its end"):
             self.start().actions(1, [i.Fail(0), i.Send(0, 10, 0)])
 
-    def test_two_answers(self) -> None:
-        with pytest.raises(Breach, match="second"):
+    def test_second_answer(self) -> None:
+        with pytest.raises(RuleViolation, match="second"):
             self.start().actions(1, [i.Fail(0), i.Refuse(0)])
 
-    def test_two_out(self) -> None:
-        with pytest.raises(Breach, match="two attempts"):
+    def test_two_open_attempts(self) -> None:
+        with pytest.raises(RuleViolation, match="two attempts"):
             self.start().actions(1, [i.Send(0, 10, 0), i.Send(0, 11, 0)])
 
-    def test_unsafe_twice_and_refused(self) -> None:
+    def test_unsafe_repeated_or_refused(self) -> None:
         for last in (i.Send(2, 10, 0), i.Refuse(2)):
             monitor = self.start()
             monitor.actions(1, [i.Send(2, 10, 0)])
             monitor.event(2, i.Ended(2, 0, 10, i.Outcome.ERROR, 1, False))
-            with pytest.raises(Breach, match="twice"):
+            with pytest.raises(RuleViolation, match="twice"):
                 monitor.actions(3, [last])
 
-    def test_keyed_group_and_window(self) -> None:
+    def test_keyed_zone_and_window(self) -> None:
         for at, route in ((3, 11), (4002, 10)):
             monitor = self.start()
             monitor.actions(1, [i.Send(1, 10, 0)])
             monitor.event(2, i.Ended(1, 0, 10, i.Outcome.TIMEOUT, 1, False))
-            with pytest.raises(Breach, match="twice"):
+            with pytest.raises(RuleViolation, match="twice"):
                 monitor.actions(at, [i.Send(1, route, 0)])
 
     def test_drain(self) -> None:
         monitor = self.start()
         entry = i.RouteEntry(10, 0, 0, 1, i.RouteState.GONE)
         monitor.event(0, i.Listed(i.ListScope.CHANGES, 2, (entry,)))
-        with pytest.raises(Breach, match="drain"):
+        with pytest.raises(RuleViolation, match="drain"):
             monitor.actions(251, [i.Send(0, 10, 0)])
 
     def test_wait(self) -> None:
         monitor = self.start()
         monitor.actions(1, [i.Send(0, 10, 0)])
         monitor.event(2, i.Ended(0, 0, 10, i.Outcome.FULL, 1, False, 100.0))
-        with pytest.raises(Breach, match="wait"):
+        with pytest.raises(RuleViolation, match="wait"):
             monitor.actions(50, [i.Send(0, 10, 0)])
 
-    def test_order_and_rest(self) -> None:
-        with pytest.raises(Breach, match="order"):
+    def test_order_and_settling(self) -> None:
+        with pytest.raises(RuleViolation, match="order"):
             self.start().actions(1, [i.Send(3, 10, 0)])
         monitor = self.start()
         monitor.actions(1, [i.Send(2, 10, 0)])
         monitor.event(2, i.Ended(2, 0, 10, i.Outcome.RESET, 1, False))
-        with pytest.raises(Breach, match="rests"):
+        with pytest.raises(RuleViolation, match="has not settled"):
             monitor.actions(3, [i.Fail(2), i.Send(3, 10, 0)])
 
     def test_fail_back(self) -> None:
         monitor = Monitor(make_settings())
         monitor.event(0, i.Listed(i.ListScope.CACHED, 1, entries((1, 1, 0), rating=1.0)))
-        monitor.back(0, 10)
-        with pytest.raises(Breach, match="fail-back"):
+        monitor.mark_recovered(0, 10)
+        with pytest.raises(RuleViolation, match="fail-back"):
             for n in range(3):
                 monitor.event(n, i.Taken(n, 1, 0, 5000.0))
                 monitor.actions(n, [i.Send(n, 10, 0)])
 
 
-def test_a_later_refusal_does_not_cut_short_a_wait_told_before() -> None:
+def test_a_later_refusal_does_not_shorten_an_earlier_retry_after() -> None:
     world = World(make_settings(), 1, entries((1, 1, 0)))
     world.step([take(world, n) for n in range(2)])
     sender = world.sender
@@ -332,7 +332,7 @@
     assert not [action for action in late if isinstance(action, i.Send)]
 
 
-def test_calls_lost_between_served_ones_neither_flag_nor_ramp() -> None:
+def test_timeouts_between_served_calls_neither_flag_nor_ramp() -> None:
     world = World(make_settings(), 1, entries((1, 1, 0)))
     route = world.sender.routes[10]
     route.window = 9.0
@@ -341,7 +341,7 @@
         world.step([take(world, 2 * n), take(world, 2 * n + 1)])
         first, second = [send.message for _, send in world.sends()[-2:]]
         attempts = [len(world.monitor.sends[m]) - 1 for m in (first, second)]
-        world.coming = [c for c in world.coming if not isinstance(c[2], i.Ended)]
+        world.scheduled = [c for c in world.scheduled if not isinstance(c[2], i.Ended)]
         world.now += 100
         route.health.served_sent_at = world.now
         lost = i.Ended(first, attempts[0], 10, i.Outcome.TIMEOUT, 100, True)
@@ -351,11 +351,11 @@
     assert route.limiter.recovered_at < 0
 
 
-def test_keyed_time_outs_leave_room_for_another_try() -> None:
+def test_keyed_timeouts_leave_time_for_another_attempt() -> None:
     world = World(make_settings(), 1, entries((1, 3, 0)))
-    world.mood = dict.fromkeys((10, 11, 12), i.Outcome.TIMEOUT)
+    world.outcomes = dict.fromkeys((10, 11, 12), i.Outcome.TIMEOUT)
     world.step([take(world, 1, 1)])
-    assert world.sends()[0][1].timeout_ms < world.set.classes[1].window_ms
+    assert world.sends()[0][1].timeout_ms < world.settings.classes[1].window_ms
     world.run(13000)
     assert len(world.sends()) >= 2
 
@@ -373,9 +373,9 @@
     assert max(pauses) <= RULES.ask_within_ms
 
 
-def test_a_timer_that_comes_a_hair_early_is_set_again() -> None:
+def test_a_timer_that_fires_slightly_early_is_set_again() -> None:
     world = World(make_settings(), 1, entries((1, 1, 0)))
-    world.mood, world.wait_ms = {10: i.Outcome.FULL}, 3000.0
+    world.outcomes, world.retry_after_ms = {10: i.Outcome.FULL}, 3000.0
     world.step([take(world, 1)])
     world.run(70)
     early = world.sender.wake_at - 0.0005
@@ -384,7 +384,7 @@
     assert [action for action in again if isinstance(action, i.Wake)]
 
 
-def test_a_clock_that_starts_late_is_no_fault() -> None:
+def test_a_clock_that_jumps_far_ahead_is_handled() -> None:
     sender = World(make_settings(), 1, entries((1, 1, 0))).sender
     sender.handle(1.2e9, [i.Taken(1, 1, 0, 1.2e9 + 8000.0)])
     assert sender.in_flight
@@ -393,9 +393,9 @@
     assert [action for action in again if isinstance(action, i.Send)]
 
 
-def test_one_class_failing_at_a_route_moves_alone() -> None:
+def test_a_class_that_fails_on_a_route_moves_without_the_others() -> None:
     world = World(make_settings(), 1, entries((1, 2, 0)))
-    world.took = 20.0
+    world.response_ms = 20.0
     sender = world.sender
     sender.routes[10].tie_break, sender.routes[11].tie_break = 0.0, 1.0
     sender.routes[10].zone = sender.routes[11].zone
@@ -407,8 +407,8 @@
                 route = sender.in_flight[key][1].route
                 bad = route.id == 10 and cls == 0 and n > 40
                 outcome = i.Outcome.ERROR if bad else i.Outcome.SERVED
-                world.coming = [c for c in world.coming if getattr(c[2], "message", None) != number]
-                world.later(20.0, i.Ended(number, key[1], route.id, outcome, 20.0, not bad))
+                world.scheduled = [c for c in world.scheduled if getattr(c[2], "message", None) != number]
+                world.schedule(20.0, i.Ended(number, key[1], route.id, outcome, 20.0, not bad))
             world.run(150)
     route = sender.routes[10]
     assert route.classes[0].success_share < 0.9 < route.classes[3].success_share
@@ -424,17 +424,17 @@
     closes: list[tuple[float, int]] = []
 
     def call(number: int, dest: int, outcome: i.Outcome, cls: int = 0) -> None:
-        world.mood[dest * 10] = outcome
+        world.outcomes[dest * 10] = outcome
         world.step([take(world, number, cls, dest)])
-        world.mood[dest * 10] = i.Outcome.SERVED
+        world.outcomes[dest * 10] = i.Outcome.SERVED
         world.run(3000)
 
     call(1, 1, i.Outcome.SERVED)
     call(2, 1, i.Outcome.SERVED)
     assert not [a for _, acts in world.trace for a in acts if isinstance(a, i.CloseIdle)]
-    world.took = 5.0  # a connection that the other side has closed resets at once
+    world.response_ms = 5.0  # a connection that the other side has closed resets at once
     call(3, 1, i.Outcome.RESET)
-    world.took = 60.0
+    world.response_ms = 60.0
     world.run(4000)
     call(4, 2, i.Outcome.SERVED)
     world.trace.clear()
@@ -446,7 +446,7 @@
 def cold_fleet(count: int, heavy: int) -> tuple[float, float]:
     """Play a fleet against one destination that is down, then cold.
 
-    Returns the most that it was sent of its budget, and of its limit as it warmed up.
+    Returns the largest used part of its budget, and the used part of its limit as it warmed up.
     """
     settings_ = make_settings(senders=count, slots=6, max_held=40)
     limit = 20.0
@@ -462,7 +462,7 @@
         world = worlds[int(part * 2 * heavy)] if part < 0.5 else worlds[rng.randrange(count)]
         mood = i.Outcome.CONNECT_FAILED if start <= clock < back else i.Outcome.SERVED
         for each in worlds if number % 5 == 0 else [world]:
-            each.mood[10] = mood
+            each.outcomes[10] = mood
             each.run(1000.0 + clock - each.now)
         world.step([take(world, number)])
         number += 1
@@ -489,7 +489,7 @@
     assert worst <= 1.0
 
 
-def test_forty_senders_that_each_learn_late_use_what_a_partner_can_take_as_it_warms_up() -> None:
+def test_forty_senders_use_the_capacity_of_a_destination_as_it_warms_up() -> None:
     _, warmed = cold_fleet(40, 4)
     assert warmed >= 0.3
 
@@ -523,7 +523,7 @@
     assert [type(final) for _, final in world.finals()] == [i.Refuse]
 
 
-def test_senders_told_the_same_long_wait_do_not_come_back_at_its_end() -> None:
+def test_senders_with_the_same_long_retry_after_do_not_return_together() -> None:
     settings_ = make_settings(senders=60)
     back = 0
     for seed in range(60):
@@ -531,39 +531,39 @@
         for n in range(8):
             world.step([take(world, n)])
             world.run(500)
-        world.mood, world.wait_ms = {10: i.Outcome.FULL}, 8000.0
+        world.outcomes, world.retry_after_ms = {10: i.Outcome.FULL}, 8000.0
         world.step([take(world, 8, 2)])
         world.run(8050)
-        world.mood = {}
+        world.outcomes = {}
         before = len(world.sends())
         world.run(3000)
         back += len(world.sends()) - before
     assert 0 < back <= 20
 
 
-def test_senders_refused_once_at_a_small_destination_try_again_by_their_own_demand() -> None:
+def test_senders_refused_once_by_a_small_destination_retry_rarely() -> None:
     settings_ = make_settings(senders=300)
     again = 0
     for seed in range(60):
         world = World(settings_, seed, entries((1, 1, 0), rating=2.0))
         world.step([take(world, 0)])
         world.run(30000)
-        world.mood = {10: i.Outcome.FULL}
+        world.outcomes = {10: i.Outcome.FULL}
         world.step([take(world, 1)])
         world.run(4000)
         again += len(world.sends()) - 2
-    assert again <= 24  # a chance of one call in the warm time each
+    assert again <= 24  # about one call of each in the warm-up time
 
 
-def sent_at_return(count: int, learned: int, outcome: i.Outcome, out_ms: float) -> int:
-    """Let senders learn of an outage, then hold messages; the most that is sent in a fall span after it."""
+def sent_after_recovery(count: int, learned: int, outcome: i.Outcome, out_ms: float) -> int:
+    """Senders see an outage and then wait with messages; returns the most sent in ``fall_ms`` after it."""
     settings_ = make_settings(senders=count, slots=3, max_held=8)
     sent: list[float] = []
     for seed in range(learned):
         world = World(settings_, seed, entries((1, 1, 0), rating=20.0))
         world.run(20000)
         start = world.now
-        world.mood = {10: outcome}
+        world.outcomes = {10: outcome}
         world.run(1000.0 * world.rng.random())
         number = 0
         while world.now < start + out_ms + 4000:
@@ -571,7 +571,7 @@
             number += 1
             world.run(min(2000.0, max(start + out_ms - world.now, 0.0)) or 2000.0)
             if world.now >= start + out_ms:
-                world.mood = {}
+                world.outcomes = {}
         sent += [at - start - out_ms for at, _ in world.sends() if at > start + out_ms]
     return max(
         sum(1 for at in sent if since <= at < since + RULES.fall_ms) for since in (0, *sent) if since <= 2000
@@ -581,30 +581,30 @@
 @pytest.mark.parametrize(
     ("learned", "outcome", "out_ms"),
     [
-        (160, i.Outcome.CONNECT_FAILED, 14000.0),  # longer than the warm time: a ramp's end is no evidence
+        (160, i.Outcome.CONNECT_FAILED, 14000.0),  # longer than the warm-up: the end of a ramp is no evidence
         (160, i.Outcome.CONNECT_FAILED, 18000.0),
-        (60, i.Outcome.FULL, 7000.0),  # a clump's senders, refused once each and told no wait
+        (60, i.Outcome.FULL, 7000.0),  # each sender is refused once, without retry-after
         (3, i.Outcome.CONNECT_FAILED, 14000.0),
     ],
 )
-def test_learned_senders_with_messages_keep_within_what_a_cold_partner_takes(
+def test_senders_that_saw_the_outage_keep_within_the_cold_budget(
     learned: int, outcome: i.Outcome, out_ms: float
 ) -> None:
     count = 3 if learned == 3 else 200
     budget = 20.0 * RULES.fall_multiple * RULES.cold_share * RULES.fall_ms / 1000
-    most = sent_at_return(count, learned, outcome, out_ms)
+    most = sent_after_recovery(count, learned, outcome, out_ms)
     assert most <= budget + 2 * budget**0.5, most
 
 
 def test_only_a_served_call_starts_the_ramp_of_a_light_sender() -> None:
     world = World(make_settings(senders=300), 1, entries((1, 1, 0)))
-    world.mood = {10: i.Outcome.CONNECT_FAILED}
+    world.outcomes = {10: i.Outcome.CONNECT_FAILED}
     world.step([take(world, 0)])
     world.run(200)
     limiter = world.sender.routes[10].limiter
     world.run(3 * RULES.warm_within_ms)
     assert world.sender._is_ramping(limiter)
-    world.mood = {}
+    world.outcomes = {}
     for n in range(1, 60):
         world.step([take(world, n)])
         world.run(2000)
@@ -616,7 +616,7 @@
     world.step([failed])
 
 
-def test_nothing_is_sent_by_an_outdated_list_until_news_come() -> None:
+def test_nothing_is_sent_by_an_outdated_list_until_an_update() -> None:
     world = World(make_settings(must_ask=True), 1, entries((1, 1, 0)))
     outdated(world, world.now + 50.0, world.now + 6050.0)
     world.step([take(world, 1)])
@@ -629,7 +629,7 @@
     assert len(world.sends()) == 2
 
 
-def test_a_list_that_stays_outdated_is_acted_on_again_after_its_time() -> None:
+def test_an_outdated_list_is_used_again_after_its_period() -> None:
     world = World(make_settings(must_ask=True), 1, entries((1, 1, 0)))
     outdated(world, world.now, world.now + 1000.0)
     world.step([take(world, 1)])
@@ -639,7 +639,7 @@
     assert len(world.sends()) == 1
 
 
-def test_a_message_that_an_outdated_list_holds_up_has_its_end_in_time() -> None:
+def test_a_message_delayed_by_an_outdated_list_ends_in_time() -> None:
     world = World(make_settings(must_ask=True), 1, entries((1, 1, 0)))
     outdated(world, world.now, world.now + 1e6)
     world.step([take(world, 1)])
--- a/tests/test_slots.py
+++ b/tests/test_slots.py
@@ -59,7 +59,7 @@
     assert served[FAST] > 0.9 * 10_000.0 / 12.0  # they would fill 3.3 of the 6 slots
 
 
-def test_a_route_whose_calls_wait_in_its_own_line_gets_no_more_of_them() -> None:
+def test_a_route_that_queues_calls_gets_no_more_of_them() -> None:
     # One call takes 100 ms and each further one 100 ms more: any above the first gains nothing.
     crowd = [100.0 * n for n in range(1, 20)]
     sender, served, most = play({FAST: [100.0], SLOW: crowd}, slots=16, each_ms=50.0)
@@ -106,7 +106,7 @@
         return served + len(out)
 
 
-def test_calls_whose_connections_fell_silent_do_not_hold_a_window_that_serves() -> None:
+def test_calls_on_silent_connections_do_not_block_the_window() -> None:
     line = Line()
     assert line.serve(20) >= 19
     silent = line.step(line.message())
@@ -117,7 +117,7 @@
     assert line.serve(60) >= 55
 
 
-def test_an_unsafe_message_never_finds_out_whether_a_silent_route_serves() -> None:
+def test_unsafe_messages_do_not_probe_a_silent_route() -> None:
     line = Line(i.Effect.UNSAFE)
     assert line.serve(20) >= 19
     silent = [send for _ in range(30) for send in line.step(line.message(), after=1.0)]
@@ -127,7 +127,7 @@
 
 
 @pytest.mark.parametrize(("every", "outage"), [(10, False), (1, True)])
-def test_a_reset_now_and_then_is_no_outage_and_nothing_but_resets_are(every: int, outage: bool) -> None:
+def test_occasional_resets_are_no_outage_and_constant_ones_are(every: int, outage: bool) -> None:
     line = Line()
     assert line.serve(20) >= 19
     ends: list[i.Ended] = []
@@ -144,7 +144,7 @@
 @pytest.mark.parametrize(
     ("idle", "took", "doubted"), [(2000.0, 5.0, True), (2000.0, 39.0, False), (50.0, 5.0, False)]
 )
-def test_only_a_quick_reset_after_idleness_makes_idle_connections_doubtful(
+def test_only_a_quick_reset_after_idleness_counts_against_idle_connections(
     idle: float, took: float, doubted: bool
 ) -> None:
     line = Line()
--- a/tests/test_whole_call.py
+++ b/tests/test_whole_call.py
@@ -59,7 +59,7 @@
 
 @settings(derandomize=True, deadline=None, database=None, max_examples=300)
 @given(st.lists(st.tuples(st.booleans(), st.floats(1.0, 1.0e4)), min_size=2, max_size=12), st.integers(0, 99))
-def test_whoever_shares_a_call_is_waited_for_as_long_as_it_needs(
+def test_a_shared_call_waits_as_long_as_each_message_needs(
     taken: list[tuple[bool, float]], seed: int
 ) -> None:
     told = i.Settings(
@@ -87,7 +87,7 @@
             )
 
 
-def test_classes_share_a_call_of_a_destination_whose_line_is_short() -> None:
+def test_classes_share_a_call_if_the_queue_is_short() -> None:
     told = i.Settings(
         (NOTE, PAY), (i.KindSpec("portal", True, 5),), slots=20, max_held=99, max_attempts=8, senders=1
     )
