--- a/tests/test_apart.py
+++ b/tests/test_apart.py
@@ -1,4 +1,4 @@
-"""Nothing learnt or configured passes from one instance to another in the same process."""
+"""Instances in one process share no state and no settings."""
 
 from __future__ import annotations
 
@@ -39,7 +39,7 @@
     prices=i.Prices(zone_fee=(0.0, 1.0)),
 )
 
-WORDS = st.one_of(
+STEP = st.one_of(
     st.tuples(st.just("taken"), st.integers(0, 2), st.integers(0, 2), st.floats(1.0, 9000.0)),
     st.tuples(st.just("ended"), st.sampled_from(list(i.Outcome)), st.floats(0.0, 900.0), st.floats(0.0, 3e3)),
     st.tuples(st.just("listed"), st.sampled_from(list(i.RouteState)), st.integers(1, 4), st.integers(0, 2)),
@@ -47,8 +47,8 @@
 )
 
 
-class Life:
-    """One dispatcher and what it did, from a list of words alone."""
+class Driven:
+    """Drives one dispatcher and logs its actions."""
 
     def __init__(self, settings_: i.Settings, seed: int) -> None:
         self.sender = Dispatcher(settings_, seed)
@@ -56,8 +56,8 @@
         self.out: list[tuple[int, int]] = []
         self.log: list[str] = []
 
-    def live(self, word: tuple[object, object, object, object]) -> None:
-        kind, a, b, c = word
+    def play(self, step: tuple[object, object, object, object]) -> None:
+        kind, a, b, c = step
         self.now += 7.0
         events: list[i.Event] = []
         if kind == "taken":
@@ -86,23 +86,23 @@
 
 
 @settings(max_examples=150, deadline=None, derandomize=True, database=None)
-@given(st.lists(st.tuples(st.booleans(), WORDS), max_size=80), st.integers(0, 9))
+@given(st.lists(st.tuples(st.booleans(), STEP), max_size=80), st.integers(0, 9))
 def test_two_senders_in_one_process_act_as_each_would_alone(
     steps: list[tuple[bool, tuple[object, object, object, object]]], seed: int
 ) -> None:
-    together = {True: Life(ONE, seed), False: Life(OTHER, seed)}
-    for which, word in steps:
-        together[which].live(word)
+    together = {True: Driven(ONE, seed), False: Driven(OTHER, seed)}
+    for which, step in steps:
+        together[which].play(step)
     for which, settings_ in ((True, ONE), (False, OTHER)):
-        alone = Life(settings_, seed)
-        for other, word in steps:
+        alone = Driven(settings_, seed)
+        for other, step in steps:
             if other is which:
-                alone.live(word)
+                alone.play(step)
         assert alone.log == together[which].log
 
 
 def snapshot() -> dict[str, str]:
-    """All that modules of the sender hold by name and could change."""
+    """The mutable module-level values of the sender's modules."""
     found = {}
     for package in ("", "core", "net", "http1", "platform", "admission"):
         root = importlib.import_module(".".join(filter(None, ("springspread", package))))
@@ -119,11 +119,11 @@
 def test_no_module_holds_the_state_of_a_sender() -> None:
     before = snapshot()
     assert before and springspread.__name__ in next(iter(before))
-    assert all(name.rpartition(".")[2].isupper() for name in before)  # constants, by their names
+    assert all(name.rpartition(".")[2].isupper() for name in before)  # constants
     for settings_ in (ONE, OTHER):
-        life = Life(settings_, 1)
+        driven = Driven(settings_, 1)
         for n in range(60):
-            life.live(("listed", i.RouteState.READY, n % 4 + 1, n % 3))
-            life.live(("taken", n % 3, n % 2, 900.0))
-            life.live(("ended", list(i.Outcome)[n % 6], 30.0, 0.0))
+            driven.play(("listed", i.RouteState.READY, n % 4 + 1, n % 3))
+            driven.play(("taken", n % 3, n % 2, 900.0))
+            driven.play(("ended", list(i.Outcome)[n % 6], 30.0, 0.0))
     assert snapshot() == before
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -163,7 +163,7 @@
 
 def test_events_of_unknown_messages_are_ignored() -> None:
     world = World(make_settings(), 1, entries((1, 1, 0)))
-    odd: list[i.Event] = [
+    events: list[i.Event] = [
         i.Ended(77, 3, 10, i.Outcome.SERVED, 5.0, True),
         i.Withdrawn(78),
         i.Woken(9),
@@ -172,7 +172,7 @@
         i.Began(5, 0, 10, 3.0),
         i.Taken(5, 44, 99, world.now + 2000),
     ]
-    assert not [a for a in world.sender.handle(world.now, odd) if isinstance(a, i.Send)]
+    assert not [a for a in world.sender.handle(world.now, events) if isinstance(a, i.Send)]
     done = world.sender.handle(world.now + 1990, [i.Woken(0)])
     assert [type(a) for a in done if isinstance(a, i.Refuse | i.Fail)] == [i.Refuse]
 
@@ -451,35 +451,35 @@
     settings_ = make_settings(senders=count, slots=6, max_held=40)
     limit = 20.0
     worlds = [World(settings_, n, entries((1, 1, 0), rating=limit)) for n in range(count)]
-    pace = 0.8 * limit
+    rate_per_s = 0.8 * limit
     number, rng = 0, worlds[0].rng
     sent: list[tuple[float, bool]] = []
-    start, back, end = 20000.0, 30000.0, 44000.0
+    start, recovery, end = 20000.0, 30000.0, 44000.0
     clock = 0.0
     while clock < end:
-        clock += 1000.0 / pace
-        part = rng.random()
-        world = worlds[int(part * 2 * heavy)] if part < 0.5 else worlds[rng.randrange(count)]
-        mood = i.Outcome.CONNECT_FAILED if start <= clock < back else i.Outcome.SERVED
+        clock += 1000.0 / rate_per_s
+        draw = rng.random()
+        world = worlds[int(draw * 2 * heavy)] if draw < 0.5 else worlds[rng.randrange(count)]
+        outcome = i.Outcome.CONNECT_FAILED if start <= clock < recovery else i.Outcome.SERVED
         for each in worlds if number % 5 == 0 else [world]:
-            each.outcomes[10] = mood
+            each.outcomes[10] = outcome
             each.run(1000.0 + clock - each.now)
         world.step([take(world, number)])
         number += 1
     for world in worlds:
         world.run(1000.0 + end - world.now)
         calls = [at - 1000.0 for at, _ in world.sends()]
-        knows = any(start < at < back - 100 for at in calls)
-        sent += [(at, knows) for at in calls if at >= back]
+        saw_outage = any(start < at < recovery - 100 for at in calls)
+        sent += [(at, saw_outage) for at in calls if at >= recovery]
     worst = 0.0
     for at, _ in sent:
-        warm = min(1.0, RULES.cold_share + (1 - RULES.cold_share) * (at - back) / RULES.warm_within_ms)
+        warm = min(1.0, RULES.cold_share + (1 - RULES.cold_share) * (at - recovery) / RULES.warm_within_ms)
         budget = 1.0 + limit * 1.2 * RULES.fall_multiple * warm * RULES.fall_ms / 1000
-        recent = [knows for other, knows in sent if at - RULES.fall_ms < other <= at]
-        if at - back <= RULES.warm_within_ms and sum(recent) >= len(recent) * 2 / 3:
+        recent = [saw_outage for other, saw_outage in sent if at - RULES.fall_ms < other <= at]
+        if at - recovery <= RULES.warm_within_ms and sum(recent) >= len(recent) * 2 / 3:
             worst = max(worst, len(recent) / max(budget, 3.0))
     assert len(sent) > limit
-    warmed = sum(at < back + 8000 for at, _ in sent) / (8 * limit)
+    warmed = sum(at < recovery + 8000 for at, _ in sent) / (8 * limit)
     return worst, warmed
 
 
@@ -525,7 +525,7 @@
 
 def test_senders_with_the_same_long_retry_after_do_not_return_together() -> None:
     settings_ = make_settings(senders=60)
-    back = 0
+    returned = 0
     for seed in range(60):
         world = World(settings_, seed, entries((1, 1, 0), rating=10.0))
         for n in range(8):
@@ -537,8 +537,8 @@
         world.outcomes = {}
         before = len(world.sends())
         world.run(3000)
-        back += len(world.sends()) - before
-    assert 0 < back <= 20
+        returned += len(world.sends()) - before
+    assert 0 < returned <= 20
 
 
 def test_senders_refused_once_by_a_small_destination_retry_rarely() -> None:
@@ -552,14 +552,14 @@
         world.step([take(world, 1)])
         world.run(4000)
         again += len(world.sends()) - 2
-    assert again <= 24  # about one call of each in the warm-up time
+    assert again <= 24  # each has a chance of one call during the warm-up
 
 
-def sent_after_recovery(count: int, learned: int, outcome: i.Outcome, out_ms: float) -> int:
+def sent_after_recovery(count: int, aware: int, outcome: i.Outcome, out_ms: float) -> int:
     """Senders see an outage and then wait with messages; returns the most sent in ``fall_ms`` after it."""
     settings_ = make_settings(senders=count, slots=3, max_held=8)
     sent: list[float] = []
-    for seed in range(learned):
+    for seed in range(aware):
         world = World(settings_, seed, entries((1, 1, 0), rating=20.0))
         world.run(20000)
         start = world.now
@@ -579,7 +579,7 @@
 
 
 @pytest.mark.parametrize(
-    ("learned", "outcome", "out_ms"),
+    ("aware", "outcome", "out_ms"),
     [
         (160, i.Outcome.CONNECT_FAILED, 14000.0),  # longer than the warm-up: the end of a ramp is no evidence
         (160, i.Outcome.CONNECT_FAILED, 18000.0),
@@ -588,11 +588,11 @@
     ],
 )
 def test_senders_that_saw_the_outage_keep_within_the_cold_budget(
-    learned: int, outcome: i.Outcome, out_ms: float
+    aware: int, outcome: i.Outcome, out_ms: float
 ) -> None:
-    count = 3 if learned == 3 else 200
+    count = 3 if aware == 3 else 200
     budget = 20.0 * RULES.fall_multiple * RULES.cold_share * RULES.fall_ms / 1000
-    most = sent_after_recovery(count, learned, outcome, out_ms)
+    most = sent_after_recovery(count, aware, outcome, out_ms)
     assert most <= budget + 2 * budget**0.5, most
 
 
--- a/tests/test_slots.py
+++ b/tests/test_slots.py
@@ -1,4 +1,4 @@
-"""Slots are what all destinations share: what a slow one may take of them."""
+"""All destinations share the slots: how many a slow one may take."""
 
 from __future__ import annotations
 
@@ -14,9 +14,9 @@
 
 
 def play(took: dict[int, list[float]], slots: int, each_ms: float) -> tuple[Dispatcher, dict[int, int], int]:
-    """Ten seconds in which both destinations get a message every so often.
+    """Play ten seconds in which each destination gets a message every ``each_ms``.
 
-    ``took`` holds, by destination, how long a call takes with so many others out (the last for any more).
+    ``took`` holds, by destination, how long a call takes by the number of others open (the last for more).
     """
     rules = i.Rules(cold_share=0.13, warm_within_ms=12_000.0, fall_multiple=2.5, fall_ms=2000.0)
     settings = i.Settings(
@@ -60,16 +60,16 @@
 
 
 def test_a_route_that_queues_calls_gets_no_more_of_them() -> None:
-    # One call takes 100 ms and each further one 100 ms more: any above the first gains nothing.
-    crowd = [100.0 * n for n in range(1, 20)]
-    sender, served, most = play({FAST: [100.0], SLOW: crowd}, slots=16, each_ms=50.0)
+    # Each further open call takes 100 ms more: more than one gains nothing.
+    queueing = [100.0 * n for n in range(1, 20)]
+    sender, served, most = play({FAST: [100.0], SLOW: queueing}, slots=16, each_ms=50.0)
     assert most <= 4
     assert served[FAST] > 0.9 * 10_000.0 / 50.0
     assert sender.routes[FAST].window > 2.0
 
 
-class Line:
-    """One destination with one route, driven a message at a time."""
+class Driver:
+    """Drives a dispatcher with one destination and one route."""
 
     def __init__(self, effect: i.Effect = i.Effect.SAFE) -> None:
         spec = i.ClassSpec("note", 1000.0, 12_000.0, 1.0, 0.1, effect)
@@ -95,7 +95,7 @@
         return i.Ended(send.message, attempt, send.route, outcome, took, outcome is i.Outcome.SERVED)
 
     def serve(self, count: int) -> int:
-        """Hand in so many, each served after 40 ms; how many went out."""
+        """Submit messages, each served after 40 ms; return how many were sent."""
         out: list[i.Send] = []
         served = 0
         for _ in range(count):
@@ -107,51 +107,51 @@
 
 
 def test_calls_on_silent_connections_do_not_block_the_window() -> None:
-    line = Line()
-    assert line.serve(20) >= 19
-    silent = line.step(line.message())
-    while more := line.step(line.message(), after=1.0):
+    driver = Driver()
+    assert driver.serve(20) >= 19
+    silent = driver.step(driver.message())
+    while more := driver.step(driver.message(), after=1.0):
         silent += more
-    assert len(silent) == int(line.sender.routes[1].window)  # all of it hangs
-    line.step(after=500.0)
-    assert line.serve(60) >= 55
+    assert len(silent) == int(driver.sender.routes[1].window)  # all of it hangs
+    driver.step(after=500.0)
+    assert driver.serve(60) >= 55
 
 
 def test_unsafe_messages_do_not_probe_a_silent_route() -> None:
-    line = Line(i.Effect.UNSAFE)
-    assert line.serve(20) >= 19
-    silent = [send for _ in range(30) for send in line.step(line.message(), after=1.0)]
+    driver = Driver(i.Effect.UNSAFE)
+    assert driver.serve(20) >= 19
+    silent = [send for _ in range(30) for send in driver.step(driver.message(), after=1.0)]
     for _ in range(100):
-        silent += line.step(line.message())
-    assert len(silent) <= int(line.sender.routes[1].window)
+        silent += driver.step(driver.message())
+    assert len(silent) <= int(driver.sender.routes[1].window)
 
 
 @pytest.mark.parametrize(("every", "outage"), [(10, False), (1, True)])
 def test_occasional_resets_are_no_outage_and_constant_ones_are(every: int, outage: bool) -> None:
-    line = Line()
-    assert line.serve(20) >= 19
+    driver = Driver()
+    assert driver.serve(20) >= 19
     ends: list[i.Ended] = []
     for _ in range(200):
-        sends = line.step(line.message(), *ends)
-        broken = [line.number % every == 0 and send.message == line.number for send in sends]
+        sends = driver.step(driver.message(), *ends)
+        broken = [driver.number % every == 0 and send.message == driver.number for send in sends]
         if every == 1:
             broken = [True] * len(sends)
         outcomes = [i.Outcome.RESET if breaks else i.Outcome.SERVED for breaks in broken]
-        ends = [line.end(send, outcome, 5.0) for send, outcome in zip(sends, outcomes, strict=True)]
-    assert (line.sender.routes[1].limiter.outage_seen_at > float("-inf")) == outage
+        ends = [driver.end(send, outcome, 5.0) for send, outcome in zip(sends, outcomes, strict=True)]
+    assert (driver.sender.routes[1].limiter.outage_seen_at > float("-inf")) == outage
 
 
 @pytest.mark.parametrize(
-    ("idle", "took", "doubted"), [(2000.0, 5.0, True), (2000.0, 39.0, False), (50.0, 5.0, False)]
+    ("idle", "took", "counted"), [(2000.0, 5.0, True), (2000.0, 39.0, False), (50.0, 5.0, False)]
 )
 def test_only_a_quick_reset_after_idleness_counts_against_idle_connections(
-    idle: float, took: float, doubted: bool
+    idle: float, took: float, counted: bool
 ) -> None:
-    line = Line()
-    assert line.serve(20) >= 19
-    (send,) = line.step(line.message(), after=idle)
-    again = line.step(line.end(send, i.Outcome.RESET, took), after=took)
+    driver = Driver()
+    assert driver.serve(20) >= 19
+    (send,) = driver.step(driver.message(), after=idle)
+    again = driver.step(driver.end(send, i.Outcome.RESET, took), after=took)
     while not again:
-        again = line.step()
-    line.step(line.end(again[0], i.Outcome.SERVED))
-    assert (line.sender.idle_failures > 0.0) == doubted
+        again = driver.step()
+    driver.step(driver.end(again[0], i.Outcome.SERVED))
+    assert (driver.sender.idle_failures > 0.0) == counted
--- a/tests/test_whole_call.py
+++ b/tests/test_whole_call.py
@@ -1,4 +1,4 @@
-"""A call is given up whole: none of its messages has an end while its connection may still bring one."""
+"""A call times out as a whole: no message of it ends while its connection may still deliver an answer."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
 
 @pytest.fixture
 def silent() -> Iterator[tuple[int, threading.Event]]:
-    """An endpoint that takes a request, answers nothing and tells when its connection has ended."""
+    """An endpoint that reads a request, never answers, and signals when its connection ends."""
     sock, ended = socket.create_server(("127.0.0.1", 0)), threading.Event()
 
     def serve() -> None:
@@ -54,7 +54,7 @@
     Workers(Limits(), 1, (), Free(), put, Silent()).start(Call(endpoint, runs, now))
     until(lambda: len(ends) == 3, "an end for each")
     assert all(closed and end.result is Result.TIMED_OUT for closed, end in ends)
-    assert ends[-1][1].at < now + 1500.0  # by the first one's time, not each by its own
+    assert ends[-1][1].at < now + 1500.0  # by the earliest time-out of all
 
 
 @settings(derandomize=True, deadline=None, database=None, max_examples=300)
@@ -62,10 +62,10 @@
 def test_a_shared_call_waits_as_long_as_each_message_needs(
     taken: list[tuple[bool, float]], seed: int
 ) -> None:
-    told = i.Settings(
+    sender_settings = i.Settings(
         (NOTE, PAY), (i.KindSpec("portal", True, 5),), slots=20, max_held=99, max_attempts=8, senders=1
     )
-    sender = Dispatcher(told, seed)
+    sender = Dispatcher(sender_settings, seed)
     entry = i.RouteEntry(1, 0, 0, 7, i.RouteState.READY, 90.0)
     sender.handle(0.0, [i.Listed(i.ListScope.WHOLE, 1, (entry,))])
     events = [i.Taken(n, 7, int(pay), left) for n, (pay, left) in enumerate(taken)]
@@ -74,12 +74,12 @@
         if isinstance(action, i.Send):
             calls.setdefault(id(sender.in_flight[action.message, 0][1]), []).append(action)
     for sends in calls.values():
-        assert len({send.timeout_ms for send in sends}) == 1  # given up at one moment
+        assert len({send.timeout_ms for send in sends}) == 1  # one time-out for the call
         for send in sends:
             pay, left = taken[send.message]
             spec = PAY if pay else NOTE
-            # It joined one that waits for what it needs, or for a part of what it has; then another one, with
-            # less time left, may have cut that by the same factor, no more.
+            # It joined a call that waits as long as it needs, or for a part of what it has left; another
+            # message with less time left may have reduced that by the same factor.
             assert (
                 min(MIN_TIMEOUT_AIM_SHARE * spec.aim_ms, left / BATCH_TIMEOUT_RATIO) / BATCH_TIMEOUT_RATIO
                 <= send.timeout_ms
@@ -88,10 +88,10 @@
 
 
 def test_classes_share_a_call_if_the_queue_is_short() -> None:
-    told = i.Settings(
+    sender_settings = i.Settings(
         (NOTE, PAY), (i.KindSpec("portal", True, 5),), slots=20, max_held=99, max_attempts=8, senders=1
     )
-    sender = Dispatcher(told, 1)
+    sender = Dispatcher(sender_settings, 1)
     entry = i.RouteEntry(1, 0, 0, 7, i.RouteState.READY, 90.0)
     sender.handle(0.0, [i.Listed(i.ListScope.WHOLE, 1, (entry,))])
     events = [i.Taken(n, 7, n % 2, 8000.0 + 20_000.0 * (n % 2)) for n in range(5)]
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -1,4 +1,4 @@
-"""The wire: worked examples byte for byte, settings, lists and bad frames."""
+"""The simulator's protocol: examples byte by byte, settings, lists and malformed frames."""
 
 from __future__ import annotations
 
@@ -51,19 +51,19 @@
     return b.BATCH_HEAD.pack(number, clock, b.BATCH_HEAD.size + len(body), len(records)) + body
 
 
-def born(sender: int, text: str = SETTINGS) -> list[str]:
+def start_records(sender: int, text: str = SETTINGS) -> list[str]:
     data = text.encode()
     body = (9).to_bytes(8, "little") + len(data).to_bytes(4, "little") + data
     head = b"\x18\x04\x00\x00\x00" + sender.to_bytes(4, "little")
     return [head.hex(), (b"\x13" + len(body).to_bytes(4, "little") + body).hex()]
 
 
-CENSUS = (
+LIST = (
     "10 32000000 0000 02000000 074a1203 00 0000 3900 01 0000803f 0000000000000000"
     "f211902c 01 0000 3900 01 0000c03f 0000000000d4b740"
 )
-TOPOLOGY = "11 07000000 02 29000000 0000"
-NEW = "1a 26000000 c4913a5d 00006442 640ad2557c3bf091 0000 0000 0000000020e6c040 0000000000002840 0100"
+LISTED = "11 07000000 02 29000000 0000"
+TAKEN = "1a 26000000 c4913a5d 00006442 640ad2557c3bf091 0000 0000 0000000020e6c040 0000000000002840 0100"
 
 
 def test_empty_batch_example() -> None:
@@ -114,7 +114,7 @@
             return event
 
     spy = Spy()
-    spy.answer(frame(1, 0.0, *born(3), CENSUS, TOPOLOGY, *records))
+    spy.answer(frame(1, 0.0, *start_records(3), LIST, LISTED, *records))
     return spy.seen
 
 
@@ -122,7 +122,7 @@
     ended = "17 21000000 c4913a5d 00 074a1203 c800 0000000000803240 01 00000000 02 cdcccc3e0000a03f"
     checked = "16 17000000 f211902c c800 666666666666f63f 02 cdcccc3e0000a03f"
     rest = ["19 04000000 192b6f0e", "15 08000000 4d00000000000000", "14 0a000000 02000000 0400 68692037"]
-    seen = events_of(NEW, ended, checked, *rest, "1b 11000000 c4913a5d 074a1203 00 0000000000802240")
+    seen = events_of(TAKEN, ended, checked, *rest, "1b 11000000 c4913a5d 074a1203 00 0000000000802240")
     listed, taken, done, probed, withdrawn, woken = seen[:6]
     assert isinstance(listed, i.Listed)
     assert listed.scope is i.ListScope.CACHED
@@ -163,10 +163,20 @@
 
 
 def test_a_list_number_is_resolved_in_event_order() -> None:
-    other = CENSUS.replace("074a1203", "084a1203")
+    other = LIST.replace("074a1203", "084a1203")
     host = b.Host()
     host.answer(
-        frame(1, 0.0, *born(3), CENSUS, TOPOLOGY, other, "18 04000000 04000000", *born(4)[1:], TOPOLOGY)
+        frame(
+            1,
+            0.0,
+            *start_records(3),
+            LIST,
+            LISTED,
+            other,
+            "18 04000000 04000000",
+            *start_records(4)[1:],
+            LISTED,
+        )
     )
     assert 0x03124A07 in host.instances[3].routes
     assert 0x03124A08 in host.instances[4].routes
@@ -174,14 +184,14 @@
 
 def test_a_restart_in_one_batch_starts_with_no_state() -> None:
     host = b.Host()
-    host.answer(frame(1, 0.0, *born(3), CENSUS, TOPOLOGY, NEW))
+    host.answer(frame(1, 0.0, *start_records(3), LIST, LISTED, TAKEN))
     assert host.instances[3].pending
-    host.answer(frame(2, 5.0, "18 04000000 03000000", "12 00000000", *born(3)[1:], CENSUS, TOPOLOGY))
+    host.answer(frame(2, 5.0, "18 04000000 03000000", "12 00000000", *start_records(3)[1:], LIST, LISTED))
     assert not host.instances[3].pending
 
 
 @pytest.mark.parametrize(
-    ("batch", "words"),
+    ("batch", "expected"),
     [
         (b"\x01\x00", "batch header"),
         (frame(1, 0.0)[:-4] + b"\x01\x00\x00\x00", "record 0"),
@@ -192,30 +202,30 @@
         (frame(1, 0.0, "18 04000000 03000000")[:-2], "batch body"),
     ],
 )
-def test_a_malformed_frame_ends_with_one_plain_line(batch: bytes, words: str) -> None:
+def test_a_malformed_frame_ends_with_one_plain_line(batch: bytes, expected: str) -> None:
     done = subprocess.run(
         [sys.executable, "-m", "springspread.benchlink"], input=batch, capture_output=True, check=False
     )
-    if not words:
+    if not expected:
         assert done.returncode == 0
         return
     assert done.returncode != 0
     assert done.stdout == b""
     lines = done.stderr.decode().splitlines()
     assert len(lines) == 1
-    assert words in lines[0]
+    assert expected in lines[0]
     assert "offset" in lines[0]
 
 
 def test_an_exception_of_the_module_becomes_a_crash_record(monkeypatch: pytest.MonkeyPatch) -> None:
     host = b.Host()
-    host.answer(frame(1, 0.0, *born(3), CENSUS, TOPOLOGY))
+    host.answer(frame(1, 0.0, *start_records(3), LIST, LISTED))
 
     def fail(now: float, events: list[i.Event]) -> list[i.Action]:
         raise RuntimeError("no way on")
 
     monkeypatch.setattr(host.instances[3], "handle", fail)
-    reply = host.answer(frame(2, 5.0, "18 04000000 03000000", NEW))
+    reply = host.answer(frame(2, 5.0, "18 04000000 03000000", TAKEN))
     assert b"RuntimeError" in reply
     assert b"no way on" in reply
 
