--- a/springspread/policy.py
+++ b/springspread/policy.py
@@ -20,7 +20,7 @@
 FEE_WEIGHT = 0.2
 EWMA_WEIGHT = 0.2  # of a new sample in a route's success share and response time
 FLAG_AFTER_FAULTS = 3  # successive faults
-RECHECK_MS = 1500.0  # how often a flagged route gets a message; also the longest backoff of one sender
+RECHECK_MS = 1500.0  # interval of messages to a flagged route; also the longest backoff of a lone sender
 WINDOW_DECREASE = 0.6  # factor on a route's window after a fault or refusal
 SLOT_TIME_EXPONENT = 0.7  # below 1, so that slow destinations still get slots
 CONGESTED_RATIO = 2.0  # response time over that of an unloaded route
@@ -44,10 +44,7 @@
 OUTAGE_RETRY_AFTER_MS = 2000.0  # a longer retry-after means an outage; limits count over shorter periods
 BACK_OFF_MS = 300.0  # first pause after a refusal without retry-after; doubles
 FAULT_SUSPICION = 0.5  # added per fault or refusal; at 1 an outage is assumed
-CONNECTION_FAULTS = (
-    i.Outcome.RESET,
-    i.Outcome.CONNECT_FAILED,
-)  # without a recent success one suggests an outage
+CONNECTION_FAULTS = (i.Outcome.RESET, i.Outcome.CONNECT_FAILED)  # one suffices without a recent success
 RESET_SUSPICION = 0.34  # added per reset on a route with recent successes
 USUAL_RESET_SHARE = 0.02  # resets count less where more of all calls than this are reset
 RESET_EWMA_WEIGHT = 0.01
@@ -67,7 +64,6 @@
 WAITING_DISCOUNT = 0.8  # on what a message keeps by waiting; below 1, as one that loses nothing counts too
 RESCAN_MS = 100.0  # waiting messages are examined at least this often
 
-
 NEVER_RAN = (i.Outcome.FULL, i.Outcome.CONNECT_FAILED, i.Outcome.MOOT)
 
 
@@ -118,9 +114,9 @@
 
     def _on_settings(self, new: i.Settings) -> None:
         """Apply new settings; what was learnt stays, and pending messages keep their class."""
-        more = len(new.classes) - len(self.settings.classes)
+        added = len(new.classes) - len(self.settings.classes)
         for route in self.routes.values():
-            route.classes += tuple(Health() for _ in range(more))
+            route.classes += tuple(Health() for _ in range(added))
         if len(new.tenants) != len(self.settings.tenants):
             self.tenant_usage = [DecayingCount(self.now, TENANT_USAGE_MIN) for _ in new.tenants]
         self.settings = self.list_retry.settings = new
@@ -137,10 +133,10 @@
             route = self.routes.get(entry.route) or self._add_route(entry)
             route.state, route.dest.next_scan_at = entry.state, 0.0
             route.limiter.rating = entry.rating
-        whole = event.scope is not i.ListScope.CHANGES
-        kept = {entry.route for entry in event.entries} if whole else self.routes
+        complete = event.scope is not i.ListScope.CHANGES
+        listed = {entry.route for entry in event.entries} if complete else self.routes
         for route in list(self.routes.values()):
-            if route.state is i.RouteState.GONE or route.id not in kept:
+            if route.state is i.RouteState.GONE or route.id not in listed:
                 route.dest.routes.remove(route)
                 del self.routes[route.id]
                 self._clear_outage(route)
@@ -170,11 +166,13 @@
     def _new_limiter(self) -> RateLimiter:
         return RateLimiter(1.0 / self.settings.senders, refilled_at=self.now)
 
-    def _own_rate(self, route: Route, seen: DecayingCount) -> float:
-        rest = sum(self._limit(r.limiter) for r in route.dest.routes if r.limiter is not route.limiter)
+    def _own_rate(self, route: Route, calls: DecayingCount) -> float:
+        other_limits = sum(
+            self._limit(r.limiter) for r in route.dest.routes if r.limiter is not route.limiter
+        )
         limit = self._limit(route.limiter)
-        equal = limit / self.settings.senders  # assumed before any demand is seen
-        return seen.rate(self.now, limit / max(limit + rest, 0.01), equal, DECAY_MS / 4)
+        equal_share = limit / self.settings.senders  # assumed before any demand is seen
+        return calls.rate(self.now, limit / max(limit + other_limits, 0.01), equal_share, DECAY_MS / 4)
 
     def _on_taken(self, event: i.Taken) -> None:
         if event.message in self.pending:
@@ -211,8 +209,8 @@
             )
         counts = sorted(usage.count for usage in self.tenant_usage)
         median = max((counts[(len(counts) - 1) // 2] + counts[len(counts) // 2]) / 2, TENANT_USAGE_MIN)
-        within = min(TENANT_USAGE_SLACK * median / self.tenant_usage[tenant].count, 1.0)
-        return within + (1.0 - within) * self.settings.over_share_worth
+        within_share = min(TENANT_USAGE_SLACK * median / self.tenant_usage[tenant].count, 1.0)
+        return within_share + (1.0 - within_share) * self.settings.over_share_worth
 
     def _on_ended(self, event: i.Ended) -> None:
         if (event.message, event.attempt) not in self.in_flight:
