--- a/springspread/state.py
+++ b/springspread/state.py
@@ -114,7 +114,7 @@
 
 @dataclass(slots=True, eq=False)
 class Message:
-    """A message that this sender took and still owes an answer for."""
+    """A message that this sender took and has not finished."""
 
     id: int
     dest: Destination
