--- a/tests/test_grown_fleet.py
+++ b/tests/test_grown_fleet.py
@@ -68,7 +68,7 @@
             next_at += rng.expovariate(demand / 1000)
         for sender, waiting in zip(fleet, due, strict=True):
             ready = [event for at, event in waiting if at <= now]
-            if not ready and not (sender.lines and round(now) % 50 == 0):
+            if not ready and not (sender.queued_dests and round(now) % 50 == 0):
                 continue
             waiting[:] = [(at, event) for at, event in waiting if at > now]
             for action in sender.handle(now, ready):
@@ -77,7 +77,7 @@
                     taken, refused = taken + good, refused + (not good)
                     outcome = i.Outcome.SERVED if good else i.Outcome.FULL
                     report = i.Report(bucket.left(), rate)
-                    attempt = sender.held[action.message].attempts - 1
+                    attempt = sender.pending[action.message].attempts - 1
                     ended = i.Ended(action.message, attempt, 10, outcome, 40.0, good, 0.0, report)
                     waiting.append((now + 40.0, ended))
     return taken, refused
@@ -159,10 +159,10 @@
     for attempt in range(2):
         ended = i.Ended(1, attempt, sends[0].route, i.Outcome.CONNECT_FAILED, 2.0, over=False)
         sends = [a for a in sender.handle(3.0 + attempt, [ended]) if isinstance(a, i.Send)] or sends
-    assert sender._ramps(sender.dests[1].shared)
+    assert sender._is_ramping(sender.dests[1].shared_limiter)
     gone = [replace(entry, state=i.RouteState.GONE) for entry in old]
     sender.handle(1000.0, [i.Listed(i.ListScope.CHANGES, 2, (*gone, replace(old[0], route=12)))])
-    assert not sender._ramps(sender.dests[1].shared)
+    assert not sender._is_ramping(sender.dests[1].shared_limiter)
 
 
 def test_a_full_line_with_much_of_the_limit_left_shuts_one_endpoint_not_all() -> None:
--- a/tests/test_spoilt.py
+++ b/tests/test_spoilt.py
@@ -166,11 +166,11 @@
         ended = []
         for send in actions:
             if isinstance(send, i.Send):
-                attempt = sender.held[send.message].attempts - 1
+                attempt = sender.pending[send.message].attempts - 1
                 spoilt = send.message % 20 == 7 and attempt == 0
                 outcome = i.Outcome.SPOILT if spoilt else i.Outcome.SERVED
                 served += not spoilt
                 ended.append(i.Ended(send.message, attempt, send.route, outcome, 40.0, not spoilt))
-    gates = [route.gate for route in sender.routes.values()]
-    assert served >= 395 and all(gate.out_at == float("-inf") for gate in gates)
-    assert sender.idle_bad == 0.0
+    limiters = [route.limiter for route in sender.routes.values()]
+    assert served >= 395 and all(limiter.recovered_at == float("-inf") for limiter in limiters)
+    assert sender.idle_failures == 0.0
