--- a/springspread/config.py
+++ b/springspread/config.py
@@ -110,7 +110,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Waits:
-    """The longest wait at each gate of a start (ms, ``core.gates``); 0: it is not waited for."""
+    """The longest wait at each gate of a start (ms, ``core.startup_stages``); 0: it is not waited for."""
 
     clock_ms: float = 0.0
     policy_ms: float = 0.0
--- a/springspread/core/start.py
+++ b/springspread/core/start.py
@@ -10,8 +10,8 @@
 from springspread.config import Waits
 from springspread.core import worldtime
 from springspread.core.clock import Clock
-from springspread.core.gates import Gate, Seen, Standing, step
 from springspread.core.journal import Owed
+from springspread.core.startup_stages import Gate, Seen, Standing, step
 from springspread.core.types import Log
 
 ASK_MS = 500.0  # an answer that did not come is asked for again
--- a/springspread/fleet/plan.py
+++ b/springspread/fleet/plan.py
@@ -53,7 +53,7 @@
 
 
 class Recovery(Strict):
-    """The longest wait at each gate of an instance's start (``core.gates``), and how many start at once."""
+    """The longest wait in each stage of a start (``core.startup_stages``), and how many start at once."""
 
     clock_ms: Annotated[float, Field(ge=0.0, le=600_000.0)] = 2_000.0
     policy_ms: Annotated[float, Field(ge=0.0, le=600_000.0)] = 3_000.0
--- a/springspread/fleet/wire.py
+++ b/springspread/fleet/wire.py
@@ -56,8 +56,8 @@
 class Returning:
     """How far an instance's start has come. No decision uses it.
 
-    ``gate``: before which it stands (``core.gates``), since when (ms); ``owed``: of ``at_start`` messages
-    that it owed, how many have no end yet; ``damaged``: ranges of its journal that could not be read.
+    ``gate``: the stage that it is in (``core.startup_stages``), since when (ms); ``owed``: of ``at_start``
+    messages, how many have no end yet; ``damaged``: ranges of its journal that could not be read.
     """
 
     gate: str
