--- a/springspread/core/start.py
+++ b/springspread/core/start.py
@@ -8,7 +8,7 @@
 from collections.abc import Iterable
 
 from springspread.config import Waits
-from springspread.core import worldtime
+from springspread.core import wall_clock
 from springspread.core.clock import Clock
 from springspread.core.journal import Owed
 from springspread.core.startup_stages import Gate, Seen, Standing, step
@@ -57,7 +57,7 @@
 
     def told(self, date: str, at: float) -> None:
         """The world's time, as an answer told it."""
-        if self.standing.gate is Gate.CLOCK and (world := worldtime.read(date)) is not None:
+        if self.standing.gate is Gate.CLOCK and (world := wall_clock.read(date)) is not None:
             self._world = (world, at)
 
     def asks(self, now: float, listed: bool) -> bool:
@@ -91,7 +91,7 @@
         machine, world = self._clock.wall(), None
         if self._world is not None:
             world = self._world[0] + now - self._world[1]
-        shift = worldtime.offset(machine, world, self._written)
+        shift = wall_clock.offset(machine, world, self._written)
         self._steady = (machine + shift, now)
         if shift:
             by = "world" if world is not None else "record"
--- a/springspread/core/startup_stages.py
+++ b/springspread/core/startup_stages.py
@@ -6,7 +6,7 @@
 
     gate    opens when                                  its longest wait over    held back until it opens
     clock   nothing is owed, or the world's time is     the best that is known   what is owed: neither sent
-            known                                       (``core.worldtime``)     nor given up
+            known                                       (``core.wall_clock``)     nor given up
     policy  this process may act under the policy       goes on: each call       what is owed
             that holds; at once where it stands alone   asks for itself
     list    discovery has told its whole list           the list as last held    what is owed
--- a/tests/faults/test_return.py
+++ b/tests/faults/test_return.py
@@ -10,7 +10,7 @@
 
 from springspread.config import Waits
 from springspread.core.startup_stages import TABLE, Gate, Seen, Standing, step
-from springspread.core.worldtime import DOUBT_MS, offset, read
+from springspread.core.wall_clock import DOUBT_MS, offset, read
 from springspread.faults.chaos import Chaos, fleet_of
 from springspread.faults.damage import Damaged
 from springspread.faults.observer import fullest
