--- a/springspread/core/startup_stages.py
+++ b/springspread/core/startup_stages.py
@@ -28,7 +28,7 @@
 from springspread.config import Waits
 
 
-class Gate(Enum):
+class Stage(Enum):
     """What a start waits for."""
 
     CLOCK = "clock"
@@ -53,7 +53,7 @@
 class Passed:
     """A gate that is open: when it opened, and whether that was for what it names."""
 
-    gate: Gate
+    gate: Stage
     at: float
     met: bool
 
@@ -62,16 +62,16 @@
 class Standing:
     """Before which gate a start stands, and since when."""
 
-    gate: Gate
+    gate: Stage
     since: float
     passed: tuple[Passed, ...] = ()
 
 
-TABLE: tuple[tuple[Gate, Callable[[Seen], bool], Callable[[Waits], float]], ...] = (
-    (Gate.CLOCK, lambda seen: not seen.owed or seen.world, lambda waits: waits.clock_ms),
-    (Gate.POLICY, lambda seen: seen.policy, lambda waits: waits.policy_ms),
-    (Gate.LIST, lambda seen: seen.listed, lambda waits: waits.list_ms),
-    (Gate.OWED, lambda seen: seen.owed <= seen.slots, lambda waits: waits.owed_ms),
+TABLE: tuple[tuple[Stage, Callable[[Seen], bool], Callable[[Waits], float]], ...] = (
+    (Stage.CLOCK, lambda seen: not seen.owed or seen.world, lambda waits: waits.clock_ms),
+    (Stage.POLICY, lambda seen: seen.policy, lambda waits: waits.policy_ms),
+    (Stage.LIST, lambda seen: seen.listed, lambda waits: waits.list_ms),
+    (Stage.OWED, lambda seen: seen.owed <= seen.slots, lambda waits: waits.owed_ms),
 )
 
 
@@ -82,7 +82,7 @@
             continue
         if not met(seen) and now < standing.since + longest(waits):
             return standing
-        after = TABLE[n + 1][0] if n + 1 < len(TABLE) else Gate.OPEN
+        after = TABLE[n + 1][0] if n + 1 < len(TABLE) else Stage.OPEN
         passed = (*standing.passed, Passed(gate, now, met(seen)))
         standing = Standing(after, now, passed)
     return standing
--- a/tests/faults/test_return.py
+++ b/tests/faults/test_return.py
@@ -9,7 +9,7 @@
 from hypothesis import strategies as st
 
 from springspread.config import Waits
-from springspread.core.startup_stages import TABLE, Gate, Seen, Standing, step
+from springspread.core.startup_stages import TABLE, Seen, Stage, Standing, step
 from springspread.core.wall_clock import DOUBT_MS, offset, read
 from springspread.faults.chaos import Chaos, fleet_of
 from springspread.faults.damage import Damaged
@@ -27,7 +27,7 @@
 def test_gates_open_in_their_order_each_when_it_may_or_at_its_longest_wait(
     looks: list[tuple[Seen, float]],
 ) -> None:
-    now, standing = 0.0, Standing(Gate.CLOCK, 0.0)
+    now, standing = 0.0, Standing(Stage.CLOCK, 0.0)
     order = [gate for gate, _, _ in TABLE]
     for seen, pause in [*looks, (NOTHING, 1_000.0)]:
         now += pause
@@ -39,16 +39,16 @@
             met, longest = next((met, longest) for gate, met, longest in TABLE if gate is one.gate)
             assert one.met == met(seen) and (one.met or now >= since + longest(WAITS))
             since = one.at
-        if standing.gate is not Gate.OPEN:
+        if standing.gate is not Stage.OPEN:
             met, longest = next((met, longest) for gate, met, longest in TABLE if gate is standing.gate)
             assert not met(seen) and now < standing.since + longest(WAITS)
 
 
 def test_nothing_is_waited_for_by_who_has_no_waits_and_nothing_for_ever() -> None:
-    assert step(Standing(Gate.CLOCK, 5.0), NOTHING, Waits(), 5.0).gate is Gate.OPEN
-    assert step(Standing(Gate.CLOCK, 5.0), MET, WAITS, 5.0).gate is Gate.OPEN
-    standing, now = Standing(Gate.CLOCK, 0.0), 0.0
-    while standing.gate is not Gate.OPEN:
+    assert step(Standing(Stage.CLOCK, 5.0), NOTHING, Waits(), 5.0).gate is Stage.OPEN
+    assert step(Standing(Stage.CLOCK, 5.0), MET, WAITS, 5.0).gate is Stage.OPEN
+    standing, now = Standing(Stage.CLOCK, 0.0), 0.0
+    while standing.gate is not Stage.OPEN:
         now += 50.0
         standing = step(standing, NOTHING, WAITS, now)
     assert now == 1_000.0 and not any(one.met for one in standing.passed)
