--- a/springspread/core/start.py
+++ b/springspread/core/start.py
@@ -39,7 +39,7 @@
     @property
     def open(self) -> bool:
         """Whether it is through."""
-        return self.standing.gate is Stage.OPEN
+        return self.standing.stage is Stage.OPEN
 
     @property
     def gated(self) -> bool:
@@ -57,7 +57,7 @@
 
     def told(self, date: str, at: float) -> None:
         """The world's time, as an answer told it."""
-        if self.standing.gate is Stage.CLOCK and (world := wall_clock.read(date)) is not None:
+        if self.standing.stage is Stage.CLOCK and (world := wall_clock.read(date)) is not None:
             self._world = (world, at)
 
     def asks(self, now: float, listed: bool) -> bool:
@@ -76,11 +76,11 @@
         for one in self.standing.passed[len(before.passed) :]:
             if self.gated:
                 waited = round(one.at - since, 1)
-                self._log.info("gate", gate=one.gate.value, met=one.met, after_ms=waited, owed=seen.owed)
+                self._log.info("gate", gate=one.stage.value, met=one.met, after_ms=waited, owed=seen.owed)
             since = one.at
-            if one.gate is Stage.CLOCK:
+            if one.stage is Stage.CLOCK:
                 self._set_clock(now)
-            if one.gate is Stage.LIST:
+            if one.stage is Stage.LIST:
                 freed = self._set_free()
         return freed
 
--- a/springspread/core/startup_stages.py
+++ b/springspread/core/startup_stages.py
@@ -53,7 +53,7 @@
 class Passed:
     """A gate that is open: when it opened, and whether that was for what it names."""
 
-    gate: Stage
+    stage: Stage
     at: float
     met: bool
 
@@ -62,7 +62,7 @@
 class Standing:
     """Before which gate a start stands, and since when."""
 
-    gate: Stage
+    stage: Stage
     since: float
     passed: tuple[Passed, ...] = ()
 
@@ -77,12 +77,12 @@
 
 def step(standing: Standing, seen: Seen, waits: Waits, now: float) -> Standing:
     """Through as many gates as are open."""
-    for n, (gate, met, longest) in enumerate(TABLE):
-        if gate is not standing.gate:
+    for n, (stage, met, longest) in enumerate(TABLE):
+        if stage is not standing.stage:
             continue
         if not met(seen) and now < standing.since + longest(waits):
             return standing
         after = TABLE[n + 1][0] if n + 1 < len(TABLE) else Stage.OPEN
-        passed = (*standing.passed, Passed(gate, now, met(seen)))
+        passed = (*standing.passed, Passed(stage, now, met(seen)))
         standing = Standing(after, now, passed)
     return standing
--- a/tests/faults/test_return.py
+++ b/tests/faults/test_return.py
@@ -28,27 +28,27 @@
     looks: list[tuple[Seen, float]],
 ) -> None:
     now, standing = 0.0, Standing(Stage.CLOCK, 0.0)
-    order = [gate for gate, _, _ in TABLE]
+    order = [stage for stage, _, _ in TABLE]
     for seen, pause in [*looks, (NOTHING, 1_000.0)]:
         now += pause
         before, standing = standing, step(standing, seen, WAITS, now)
-        assert [one.gate for one in standing.passed] == order[: len(standing.passed)]
+        assert [one.stage for one in standing.passed] == order[: len(standing.passed)]
         assert standing.passed[: len(before.passed)] == before.passed
         since = before.since
         for one in standing.passed[len(before.passed) :]:
-            met, longest = next((met, longest) for gate, met, longest in TABLE if gate is one.gate)
+            met, longest = next((met, longest) for stage, met, longest in TABLE if stage is one.stage)
             assert one.met == met(seen) and (one.met or now >= since + longest(WAITS))
             since = one.at
-        if standing.gate is not Stage.OPEN:
-            met, longest = next((met, longest) for gate, met, longest in TABLE if gate is standing.gate)
+        if standing.stage is not Stage.OPEN:
+            met, longest = next((met, longest) for stage, met, longest in TABLE if stage is standing.stage)
             assert not met(seen) and now < standing.since + longest(WAITS)
 
 
 def test_nothing_is_waited_for_by_who_has_no_waits_and_nothing_for_ever() -> None:
-    assert step(Standing(Stage.CLOCK, 5.0), NOTHING, Waits(), 5.0).gate is Stage.OPEN
-    assert step(Standing(Stage.CLOCK, 5.0), MET, WAITS, 5.0).gate is Stage.OPEN
+    assert step(Standing(Stage.CLOCK, 5.0), NOTHING, Waits(), 5.0).stage is Stage.OPEN
+    assert step(Standing(Stage.CLOCK, 5.0), MET, WAITS, 5.0).stage is Stage.OPEN
     standing, now = Standing(Stage.CLOCK, 0.0), 0.0
-    while standing.gate is not Stage.OPEN:
+    while standing.stage is not Stage.OPEN:
         now += 50.0
         standing = step(standing, NOTHING, WAITS, now)
     assert now == 1_000.0 and not any(one.met for one in standing.passed)
