--- a/springspread/core/start.py
+++ b/springspread/core/start.py
@@ -11,7 +11,7 @@
 from springspread.core import wall_clock
 from springspread.core.clock import Clock
 from springspread.core.journal import Owed
-from springspread.core.startup_stages import Seen, Stage, Standing, step
+from springspread.core.startup_stages import Conditions, Stage, Standing, step
 from springspread.core.types import Log
 
 ASK_MS = 500.0  # an answer that did not come is asked for again
@@ -70,7 +70,7 @@
     def through(self, now: float, slots: int, acts: bool, listed: bool) -> list[tuple[Owed, float]]:
         """Through the gates that are open by now; what that sets free, with the time that each has left."""
         before = self.standing
-        seen = Seen(len(self._owed), slots, self._world is not None, acts, listed)
+        seen = Conditions(len(self._owed), slots, self._world is not None, acts, listed)
         self.standing = step(before, seen, self._waits, now)
         since, freed = before.since, list[tuple[Owed, float]]()
         for one in self.standing.passed[len(before.passed) :]:
--- a/springspread/core/startup_stages.py
+++ b/springspread/core/startup_stages.py
@@ -39,7 +39,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Seen:
+class Conditions:
     """What there is at a moment. ``owed``: of what was owed at the start, how many have no end yet."""
 
     owed: int
@@ -67,7 +67,7 @@
     passed: tuple[Passed, ...] = ()
 
 
-TABLE: tuple[tuple[Stage, Callable[[Seen], bool], Callable[[Waits], float]], ...] = (
+TABLE: tuple[tuple[Stage, Callable[[Conditions], bool], Callable[[Waits], float]], ...] = (
     (Stage.CLOCK, lambda seen: not seen.owed or seen.world, lambda waits: waits.clock_ms),
     (Stage.POLICY, lambda seen: seen.policy, lambda waits: waits.policy_ms),
     (Stage.LIST, lambda seen: seen.listed, lambda waits: waits.list_ms),
@@ -75,7 +75,7 @@
 )
 
 
-def step(standing: Standing, seen: Seen, waits: Waits, now: float) -> Standing:
+def step(standing: Standing, seen: Conditions, waits: Waits, now: float) -> Standing:
     """Through as many gates as are open."""
     for n, (stage, met, longest) in enumerate(TABLE):
         if stage is not standing.stage:
--- a/tests/faults/test_return.py
+++ b/tests/faults/test_return.py
@@ -9,7 +9,7 @@
 from hypothesis import strategies as st
 
 from springspread.config import Waits
-from springspread.core.startup_stages import TABLE, Seen, Stage, Standing, step
+from springspread.core.startup_stages import TABLE, Conditions, Stage, Standing, step
 from springspread.core.wall_clock import DOUBT_MS, offset, read
 from springspread.faults.chaos import Chaos, fleet_of
 from springspread.faults.damage import Damaged
@@ -17,15 +17,15 @@
 from tests.peer import until
 
 HOUR = 3_600_000.0
-MET = Seen(owed=0, slots=5, world=True, policy=True, listed=True)
-NOTHING = Seen(owed=9, slots=5, world=False, policy=False, listed=False)
+MET = Conditions(owed=0, slots=5, world=True, policy=True, listed=True)
+NOTHING = Conditions(owed=9, slots=5, world=False, policy=False, listed=False)
 WAITS = Waits(100.0, 200.0, 300.0, 400.0)
-SEEN = st.builds(Seen, st.integers(0, 9), st.just(5), st.booleans(), st.booleans(), st.booleans())
+SEEN = st.builds(Conditions, st.integers(0, 9), st.just(5), st.booleans(), st.booleans(), st.booleans())
 
 
 @given(st.lists(st.tuples(SEEN, st.floats(0.0, 150.0)), max_size=60))
 def test_gates_open_in_their_order_each_when_it_may_or_at_its_longest_wait(
-    looks: list[tuple[Seen, float]],
+    looks: list[tuple[Conditions, float]],
 ) -> None:
     now, standing = 0.0, Standing(Stage.CLOCK, 0.0)
     order = [stage for stage, _, _ in TABLE]
