--- a/springspread/core/start.py
+++ b/springspread/core/start.py
@@ -11,7 +11,7 @@
 from springspread.core import wall_clock
 from springspread.core.clock import Clock
 from springspread.core.journal import Owed
-from springspread.core.startup_stages import Conditions, Stage, Standing, step
+from springspread.core.startup_stages import Conditions, Progress, Stage, step
 from springspread.core.types import Log
 
 ASK_MS = 500.0  # an answer that did not come is asked for again
@@ -22,7 +22,7 @@
 
     def __init__(self, waits: Waits, log: Log, clock: Clock, written_wall: float) -> None:
         self._waits, self._log, self._clock, self._written = waits, log, clock, written_wall
-        self.standing = Standing(Stage.CLOCK, clock.now())
+        self.standing = Progress(Stage.CLOCK, clock.now())
         self._world: tuple[float, float] | None = None  # the world's time, and when it was that
         self._steady: tuple[float, float] | None = None  # the time that counts, and when it was that
         self._waiting: list[tuple[Owed, float]] = []  # owed, and not set free yet; its class's time
@@ -32,7 +32,7 @@
 
     def begin(self, now: float, owed: Iterable[tuple[Owed, float]]) -> None:
         """Stand before the first gate, with what is owed and the time (ms) that each one's class gives it."""
-        self.standing, self._waiting = Standing(Stage.CLOCK, now), list(owed)
+        self.standing, self._waiting = Progress(Stage.CLOCK, now), list(owed)
         self._owed = {one.number for one, _ in self._waiting}
         self.owed_at_start = len(self._owed)
 
--- a/springspread/core/startup_stages.py
+++ b/springspread/core/startup_stages.py
@@ -59,7 +59,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Standing:
+class Progress:
     """Before which gate a start stands, and since when."""
 
     stage: Stage
@@ -75,7 +75,7 @@
 )
 
 
-def step(standing: Standing, seen: Conditions, waits: Waits, now: float) -> Standing:
+def step(standing: Progress, seen: Conditions, waits: Waits, now: float) -> Progress:
     """Through as many gates as are open."""
     for n, (stage, met, longest) in enumerate(TABLE):
         if stage is not standing.stage:
@@ -84,5 +84,5 @@
             return standing
         after = TABLE[n + 1][0] if n + 1 < len(TABLE) else Stage.OPEN
         passed = (*standing.passed, Passed(stage, now, met(seen)))
-        standing = Standing(after, now, passed)
+        standing = Progress(after, now, passed)
     return standing
--- a/tests/faults/test_return.py
+++ b/tests/faults/test_return.py
@@ -9,7 +9,7 @@
 from hypothesis import strategies as st
 
 from springspread.config import Waits
-from springspread.core.startup_stages import TABLE, Conditions, Stage, Standing, step
+from springspread.core.startup_stages import TABLE, Conditions, Progress, Stage, step
 from springspread.core.wall_clock import DOUBT_MS, offset, read
 from springspread.faults.chaos import Chaos, fleet_of
 from springspread.faults.damage import Damaged
@@ -27,7 +27,7 @@
 def test_gates_open_in_their_order_each_when_it_may_or_at_its_longest_wait(
     looks: list[tuple[Conditions, float]],
 ) -> None:
-    now, standing = 0.0, Standing(Stage.CLOCK, 0.0)
+    now, standing = 0.0, Progress(Stage.CLOCK, 0.0)
     order = [stage for stage, _, _ in TABLE]
     for seen, pause in [*looks, (NOTHING, 1_000.0)]:
         now += pause
@@ -45,9 +45,9 @@
 
 
 def test_nothing_is_waited_for_by_who_has_no_waits_and_nothing_for_ever() -> None:
-    assert step(Standing(Stage.CLOCK, 5.0), NOTHING, Waits(), 5.0).stage is Stage.OPEN
-    assert step(Standing(Stage.CLOCK, 5.0), MET, WAITS, 5.0).stage is Stage.OPEN
-    standing, now = Standing(Stage.CLOCK, 0.0), 0.0
+    assert step(Progress(Stage.CLOCK, 5.0), NOTHING, Waits(), 5.0).stage is Stage.OPEN
+    assert step(Progress(Stage.CLOCK, 5.0), MET, WAITS, 5.0).stage is Stage.OPEN
+    standing, now = Progress(Stage.CLOCK, 0.0), 0.0
     while standing.stage is not Stage.OPEN:
         now += 50.0
         standing = step(standing, NOTHING, WAITS, now)
