--- a/springspread/core/start.py
+++ b/springspread/core/start.py
@@ -11,7 +11,7 @@
 from springspread.core import wall_clock
 from springspread.core.clock import Clock
 from springspread.core.journal import Owed
-from springspread.core.startup_stages import Conditions, Progress, Stage, step
+from springspread.core.startup_stages import Conditions, Progress, Stage, advance
 from springspread.core.types import Log
 
 ASK_MS = 500.0  # an answer that did not come is asked for again
@@ -71,7 +71,7 @@
         """Through the gates that are open by now; what that sets free, with the time that each has left."""
         before = self.standing
         seen = Conditions(len(self._owed), slots, self._world is not None, acts, listed)
-        self.standing = step(before, seen, self._waits, now)
+        self.standing = advance(before, seen, self._waits, now)
         since, freed = before.since, list[tuple[Owed, float]]()
         for one in self.standing.passed[len(before.passed) :]:
             if self.gated:
--- a/springspread/core/startup_stages.py
+++ b/springspread/core/startup_stages.py
@@ -75,7 +75,7 @@
 )
 
 
-def step(standing: Progress, seen: Conditions, waits: Waits, now: float) -> Progress:
+def advance(standing: Progress, seen: Conditions, waits: Waits, now: float) -> Progress:
     """Through as many gates as are open."""
     for n, (stage, met, longest) in enumerate(TABLE):
         if stage is not standing.stage:
--- a/tests/faults/test_return.py
+++ b/tests/faults/test_return.py
@@ -9,7 +9,7 @@
 from hypothesis import strategies as st
 
 from springspread.config import Waits
-from springspread.core.startup_stages import TABLE, Conditions, Progress, Stage, step
+from springspread.core.startup_stages import TABLE, Conditions, Progress, Stage, advance
 from springspread.core.wall_clock import DOUBT_MS, offset, read
 from springspread.faults.chaos import Chaos, fleet_of
 from springspread.faults.damage import Damaged
@@ -31,7 +31,7 @@
     order = [stage for stage, _, _ in TABLE]
     for seen, pause in [*looks, (NOTHING, 1_000.0)]:
         now += pause
-        before, standing = standing, step(standing, seen, WAITS, now)
+        before, standing = standing, advance(standing, seen, WAITS, now)
         assert [one.stage for one in standing.passed] == order[: len(standing.passed)]
         assert standing.passed[: len(before.passed)] == before.passed
         since = before.since
@@ -45,12 +45,12 @@
 
 
 def test_nothing_is_waited_for_by_who_has_no_waits_and_nothing_for_ever() -> None:
-    assert step(Progress(Stage.CLOCK, 5.0), NOTHING, Waits(), 5.0).stage is Stage.OPEN
-    assert step(Progress(Stage.CLOCK, 5.0), MET, WAITS, 5.0).stage is Stage.OPEN
+    assert advance(Progress(Stage.CLOCK, 5.0), NOTHING, Waits(), 5.0).stage is Stage.OPEN
+    assert advance(Progress(Stage.CLOCK, 5.0), MET, WAITS, 5.0).stage is Stage.OPEN
     standing, now = Progress(Stage.CLOCK, 0.0), 0.0
     while standing.stage is not Stage.OPEN:
         now += 50.0
-        standing = step(standing, NOTHING, WAITS, now)
+        standing = advance(standing, NOTHING, WAITS, now)
     assert now == 1_000.0 and not any(one.met for one in standing.passed)
 
 
