--- a/springspread/core/startup_stages.py
+++ b/springspread/core/startup_stages.py
@@ -67,7 +67,7 @@
     passed: tuple[Passed, ...] = ()
 
 
-TABLE: tuple[tuple[Stage, Callable[[Conditions], bool], Callable[[Waits], float]], ...] = (
+STAGES: tuple[tuple[Stage, Callable[[Conditions], bool], Callable[[Waits], float]], ...] = (
     (Stage.CLOCK, lambda seen: not seen.owed or seen.world, lambda waits: waits.clock_ms),
     (Stage.POLICY, lambda seen: seen.policy, lambda waits: waits.policy_ms),
     (Stage.LIST, lambda seen: seen.listed, lambda waits: waits.list_ms),
@@ -77,12 +77,12 @@
 
 def advance(standing: Progress, seen: Conditions, waits: Waits, now: float) -> Progress:
     """Through as many gates as are open."""
-    for n, (stage, met, longest) in enumerate(TABLE):
+    for n, (stage, met, longest) in enumerate(STAGES):
         if stage is not standing.stage:
             continue
         if not met(seen) and now < standing.since + longest(waits):
             return standing
-        after = TABLE[n + 1][0] if n + 1 < len(TABLE) else Stage.OPEN
+        after = STAGES[n + 1][0] if n + 1 < len(STAGES) else Stage.OPEN
         passed = (*standing.passed, Passed(stage, now, met(seen)))
         standing = Progress(after, now, passed)
     return standing
--- a/tests/faults/test_return.py
+++ b/tests/faults/test_return.py
@@ -9,7 +9,7 @@
 from hypothesis import strategies as st
 
 from springspread.config import Waits
-from springspread.core.startup_stages import TABLE, Conditions, Progress, Stage, advance
+from springspread.core.startup_stages import STAGES, Conditions, Progress, Stage, advance
 from springspread.core.wall_clock import DOUBT_MS, offset, read
 from springspread.faults.chaos import Chaos, fleet_of
 from springspread.faults.damage import Damaged
@@ -28,7 +28,7 @@
     looks: list[tuple[Conditions, float]],
 ) -> None:
     now, standing = 0.0, Progress(Stage.CLOCK, 0.0)
-    order = [stage for stage, _, _ in TABLE]
+    order = [stage for stage, _, _ in STAGES]
     for seen, pause in [*looks, (NOTHING, 1_000.0)]:
         now += pause
         before, standing = standing, advance(standing, seen, WAITS, now)
@@ -36,11 +36,11 @@
         assert standing.passed[: len(before.passed)] == before.passed
         since = before.since
         for one in standing.passed[len(before.passed) :]:
-            met, longest = next((met, longest) for stage, met, longest in TABLE if stage is one.stage)
+            met, longest = next((met, longest) for stage, met, longest in STAGES if stage is one.stage)
             assert one.met == met(seen) and (one.met or now >= since + longest(WAITS))
             since = one.at
         if standing.stage is not Stage.OPEN:
-            met, longest = next((met, longest) for stage, met, longest in TABLE if stage is standing.stage)
+            met, longest = next((met, longest) for stage, met, longest in STAGES if stage is standing.stage)
             assert not met(seen) and now < standing.since + longest(WAITS)
 
 
