--- a/springspread/core/startup_stages.py
+++ b/springspread/core/startup_stages.py
@@ -44,7 +44,7 @@
 
     owed: int
     slots: int
-    world: bool  # the world's time is known
+    time_known: bool  # the world's time is known
     policy: bool
     listed: bool
 
@@ -68,7 +68,7 @@
 
 
 STAGES: tuple[tuple[Stage, Callable[[Conditions], bool], Callable[[Waits], float]], ...] = (
-    (Stage.CLOCK, lambda seen: not seen.owed or seen.world, lambda waits: waits.clock_ms),
+    (Stage.CLOCK, lambda seen: not seen.owed or seen.time_known, lambda waits: waits.clock_ms),
     (Stage.POLICY, lambda seen: seen.policy, lambda waits: waits.policy_ms),
     (Stage.LIST, lambda seen: seen.listed, lambda waits: waits.list_ms),
     (Stage.OWED, lambda seen: seen.owed <= seen.slots, lambda waits: waits.owed_ms),
