--- a/springspread/__main__.py
+++ b/springspread/__main__.py
@@ -107,7 +107,7 @@
     start = sender.start
     if not start.gated:
         return None
-    now = start.standing
+    now = start.progress
     damaged = sum(map(len, journal.damaged.values()))
     return Returning(now.stage.value, round(now.since, 1), start.owed, start.owed_at_start, damaged)
 
--- a/springspread/core/start.py
+++ b/springspread/core/start.py
@@ -1,6 +1,6 @@
 """What a start holds: what was owed before it, the gate before which it stands, and the time that counts.
 
-Used by the loop's thread alone; ``standing``, ``open`` and ``owed`` may be looked at from any.
+Used by the loop's thread alone; ``progress``, ``open`` and ``owed`` may be looked at from any.
 """
 
 from __future__ import annotations
@@ -22,7 +22,7 @@
 
     def __init__(self, waits: Waits, log: Log, clock: Clock, written_wall: float) -> None:
         self._waits, self._log, self._clock, self._written = waits, log, clock, written_wall
-        self.standing = Progress(Stage.CLOCK, clock.now())
+        self.progress = Progress(Stage.CLOCK, clock.now())
         self._world: tuple[float, float] | None = None  # the world's time, and when it was that
         self._steady: tuple[float, float] | None = None  # the time that counts, and when it was that
         self._waiting: list[tuple[Owed, float]] = []  # owed, and not set free yet; its class's time
@@ -32,14 +32,14 @@
 
     def begin(self, now: float, owed: Iterable[tuple[Owed, float]]) -> None:
         """Stand before the first gate, with what is owed and the time (ms) that each one's class gives it."""
-        self.standing, self._waiting = Progress(Stage.CLOCK, now), list(owed)
+        self.progress, self._waiting = Progress(Stage.CLOCK, now), list(owed)
         self._owed = {one.number for one, _ in self._waiting}
         self.owed_at_start = len(self._owed)
 
     @property
     def open(self) -> bool:
         """Whether it is through."""
-        return self.standing.stage is Stage.OPEN
+        return self.progress.stage is Stage.OPEN
 
     @property
     def gated(self) -> bool:
@@ -57,7 +57,7 @@
 
     def told(self, date: str, at: float) -> None:
         """The world's time, as an answer told it."""
-        if self.standing.stage is Stage.CLOCK and (world := wall_clock.read(date)) is not None:
+        if self.progress.stage is Stage.CLOCK and (world := wall_clock.read(date)) is not None:
             self._world = (world, at)
 
     def asks(self, now: float, listed: bool) -> bool:
@@ -69,11 +69,11 @@
 
     def through(self, now: float, slots: int, acts: bool, listed: bool) -> list[tuple[Owed, float]]:
         """Through the gates that are open by now; what that sets free, with the time that each has left."""
-        before = self.standing
+        before = self.progress
         seen = Conditions(len(self._owed), slots, self._world is not None, acts, listed)
-        self.standing = advance(before, seen, self._waits, now)
+        self.progress = advance(before, seen, self._waits, now)
         since, freed = before.since, list[tuple[Owed, float]]()
-        for one in self.standing.passed[len(before.passed) :]:
+        for one in self.progress.passed[len(before.passed) :]:
             if self.gated:
                 waited = round(one.at - since, 1)
                 self._log.info("gate", gate=one.stage.value, met=one.met, after_ms=waited, owed=seen.owed)
--- a/springspread/core/startup_stages.py
+++ b/springspread/core/startup_stages.py
@@ -75,14 +75,14 @@
 )
 
 
-def advance(standing: Progress, seen: Conditions, waits: Waits, now: float) -> Progress:
+def advance(progress: Progress, seen: Conditions, waits: Waits, now: float) -> Progress:
     """Through as many gates as are open."""
     for n, (stage, met, longest) in enumerate(STAGES):
-        if stage is not standing.stage:
+        if stage is not progress.stage:
             continue
-        if not met(seen) and now < standing.since + longest(waits):
-            return standing
+        if not met(seen) and now < progress.since + longest(waits):
+            return progress
         after = STAGES[n + 1][0] if n + 1 < len(STAGES) else Stage.OPEN
-        passed = (*standing.passed, Passed(stage, now, met(seen)))
-        standing = Progress(after, now, passed)
-    return standing
+        passed = (*progress.passed, Passed(stage, now, met(seen)))
+        progress = Progress(after, now, passed)
+    return progress
--- a/tests/faults/test_return.py
+++ b/tests/faults/test_return.py
@@ -27,31 +27,31 @@
 def test_gates_open_in_their_order_each_when_it_may_or_at_its_longest_wait(
     looks: list[tuple[Conditions, float]],
 ) -> None:
-    now, standing = 0.0, Progress(Stage.CLOCK, 0.0)
+    now, progress = 0.0, Progress(Stage.CLOCK, 0.0)
     order = [stage for stage, _, _ in STAGES]
     for seen, pause in [*looks, (NOTHING, 1_000.0)]:
         now += pause
-        before, standing = standing, advance(standing, seen, WAITS, now)
-        assert [one.stage for one in standing.passed] == order[: len(standing.passed)]
-        assert standing.passed[: len(before.passed)] == before.passed
+        before, progress = progress, advance(progress, seen, WAITS, now)
+        assert [one.stage for one in progress.passed] == order[: len(progress.passed)]
+        assert progress.passed[: len(before.passed)] == before.passed
         since = before.since
-        for one in standing.passed[len(before.passed) :]:
+        for one in progress.passed[len(before.passed) :]:
             met, longest = next((met, longest) for stage, met, longest in STAGES if stage is one.stage)
             assert one.met == met(seen) and (one.met or now >= since + longest(WAITS))
             since = one.at
-        if standing.stage is not Stage.OPEN:
-            met, longest = next((met, longest) for stage, met, longest in STAGES if stage is standing.stage)
-            assert not met(seen) and now < standing.since + longest(WAITS)
+        if progress.stage is not Stage.OPEN:
+            met, longest = next((met, longest) for stage, met, longest in STAGES if stage is progress.stage)
+            assert not met(seen) and now < progress.since + longest(WAITS)
 
 
 def test_nothing_is_waited_for_by_who_has_no_waits_and_nothing_for_ever() -> None:
     assert advance(Progress(Stage.CLOCK, 5.0), NOTHING, Waits(), 5.0).stage is Stage.OPEN
     assert advance(Progress(Stage.CLOCK, 5.0), MET, WAITS, 5.0).stage is Stage.OPEN
-    standing, now = Progress(Stage.CLOCK, 0.0), 0.0
-    while standing.stage is not Stage.OPEN:
+    progress, now = Progress(Stage.CLOCK, 0.0), 0.0
+    while progress.stage is not Stage.OPEN:
         now += 50.0
-        standing = advance(standing, NOTHING, WAITS, now)
-    assert now == 1_000.0 and not any(one.met for one in standing.passed)
+        progress = advance(progress, NOTHING, WAITS, now)
+    assert now == 1_000.0 and not any(one.met for one in progress.passed)
 
 
 def test_the_time_that_counts_is_the_worlds_then_the_machines_but_never_before_the_record() -> None:
