--- a/springspread/__main__.py
+++ b/springspread/__main__.py
@@ -105,7 +105,7 @@
     from springspread.fleet.wire import Returning
 
     start = sender.start
-    if not start.gated:
+    if not start.has_waits:
         return None
     now = start.progress
     damaged = sum(map(len, journal.damaged.values()))
--- a/springspread/core/start.py
+++ b/springspread/core/start.py
@@ -42,7 +42,7 @@
         return self.progress.stage is Stage.OPEN
 
     @property
-    def gated(self) -> bool:
+    def has_waits(self) -> bool:
         """Whether it waits at any gate."""
         return self._waits != Waits()
 
@@ -62,7 +62,7 @@
 
     def asks(self, now: float, listed: bool) -> bool:
         """Whether discovery is to be asked for its whole list now: a watch may wait for long."""
-        if not self.gated or listed or now < self._ask_at:
+        if not self.has_waits or listed or now < self._ask_at:
             return False
         self._ask_at = now + ASK_MS
         return True
@@ -74,7 +74,7 @@
         self.progress = advance(before, seen, self._waits, now)
         since, freed = before.since, list[tuple[Owed, float]]()
         for one in self.progress.passed[len(before.passed) :]:
-            if self.gated:
+            if self.has_waits:
                 waited = round(one.at - since, 1)
                 self._log.info("gate", gate=one.stage.value, met=one.met, after_ms=waited, owed=seen.owed)
             since = one.at
