--- a/springspread/core/start.py
+++ b/springspread/core/start.py
@@ -27,14 +27,14 @@
         self._steady: tuple[float, float] | None = None  # the time that counts, and when it was that
         self._waiting: list[tuple[Owed, float]] = []  # owed, and not set free yet; its class's time
         self._owed: set[int] = set()  # what was owed at the start, as far as it has no end yet
-        self.owed_at_start = 0
+        self.backlog_at_start = 0
         self._ask_at = 0.0
 
     def begin(self, now: float, owed: Iterable[tuple[Owed, float]]) -> None:
         """Stand before the first gate, with what is owed and the time (ms) that each one's class gives it."""
         self.progress, self._waiting = Progress(Stage.CLOCK, now), list(owed)
         self._owed = {one.number for one, _ in self._waiting}
-        self.owed_at_start = len(self._owed)
+        self.backlog_at_start = len(self._owed)
 
     @property
     def open(self) -> bool:
