--- a/springspread/core/wall_clock.py
+++ b/springspread/core/wall_clock.py
@@ -9,25 +9,25 @@
     the record's        the latest write to the journal: it can't be earlier than that
 
     the world's time    machine's clock             what counts
-    told                any                         the world's, where they differ by more than ``DOUBT_MS``
-    told                within ``DOUBT_MS`` of it   the machine's: it is finer
+    told                off by > ``TOLERANCE_MS``   the world's
+    told                within ``TOLERANCE_MS``     the machine's: it is finer
     not told            before the record's         the record's, as if no time had passed since
     not told            not before it               the machine's
 
 From then on the time goes by a clock that never steps, so that a machine's clock that is set right later
-moves no deadline. A message may be late by ``DOUBT_MS`` at most where the world told its time; else by as
+moves no deadline. A message may be late by ``TOLERANCE_MS`` at most where the world told its time; else by as
 much as the machine's clock is wrong, and never by more than its class's own time.
 """
 
 from __future__ import annotations
 
-DOUBT_MS = 2_000.0  # the world tells whole seconds, and an answer is on its way for a while
+TOLERANCE_MS = 2_000.0  # the world tells whole seconds, and an answer is on its way for a while
 
 
 def offset(machine: float, world: float | None, record: float) -> float:
     """What is to be added to the machine's clock (ms); ``world`` and ``record`` as they would stand now."""
     if world is not None:
-        return world - machine if abs(world - machine) > DOUBT_MS else 0.0
+        return world - machine if abs(world - machine) > TOLERANCE_MS else 0.0
     return max(record - machine, 0.0)
 
 
