--- a/springspread/core/start.py
+++ b/springspread/core/start.py
@@ -57,7 +57,7 @@
 
     def told(self, date: str, at: float) -> None:
         """The world's time, as an answer told it."""
-        if self.progress.stage is Stage.CLOCK and (world := wall_clock.read(date)) is not None:
+        if self.progress.stage is Stage.CLOCK and (world := wall_clock.parse_date(date)) is not None:
             self._world = (world, at)
 
     def asks(self, now: float, listed: bool) -> bool:
--- a/springspread/core/wall_clock.py
+++ b/springspread/core/wall_clock.py
@@ -31,7 +31,7 @@
     return max(record - machine, 0.0)
 
 
-def read(date: str) -> float | None:
+def parse_date(date: str) -> float | None:
     """The Unix time (ms) of an answer's ``Date``, in the middle of its second; none where it tells none."""
     from email.utils import parsedate_to_datetime  # a sender that asks no gate loads nothing of it
 
--- a/tests/faults/test_return.py
+++ b/tests/faults/test_return.py
@@ -10,7 +10,7 @@
 
 from springspread.config import Waits
 from springspread.core.startup_stages import STAGES, Conditions, Progress, Stage, advance
-from springspread.core.wall_clock import TOLERANCE_MS, offset, read
+from springspread.core.wall_clock import TOLERANCE_MS, offset, parse_date
 from springspread.faults.chaos import Chaos, fleet_of
 from springspread.faults.damage import Damaged
 from springspread.faults.observer import fullest
@@ -61,8 +61,8 @@
     assert offset(noon + TOLERANCE_MS, noon, noon) == 0.0  # it tells whole seconds: the machine's is finer
     assert offset(0.0, None, noon) == noon
     assert offset(noon, None, noon - HOUR) == 0.0
-    assert read("Fri, 15 Jan 2027 08:00:00 GMT") == noon + 500.0
-    assert read("") is read("yesterday") is None
+    assert parse_date("Fri, 15 Jan 2027 08:00:00 GMT") == noon + 500.0
+    assert parse_date("") is parse_date("yesterday") is None
 
 
 def test_a_fleet_whose_clock_comes_up_an_hour_late_gives_up_nothing_that_has_time_left() -> None:
