--- a/springspread/__main__.py
+++ b/springspread/__main__.py
@@ -109,7 +109,7 @@
         return None
     now = start.progress
     damaged = sum(map(len, journal.damaged.values()))
-    return Returning(now.stage.value, round(now.since, 1), start.owed, start.backlog_at_start, damaged)
+    return Returning(now.stage.value, round(now.since, 1), start.backlog, start.backlog_at_start, damaged)
 
 
 def serve(config: Config, log: Log, flush: Callable[[], None]) -> int:
--- a/springspread/core/start.py
+++ b/springspread/core/start.py
@@ -1,6 +1,6 @@
 """What a start holds: what was owed before it, the gate before which it stands, and the time that counts.
 
-Used by the loop's thread alone; ``progress``, ``open`` and ``owed`` may be looked at from any.
+Used by the loop's thread alone; ``progress``, ``open`` and ``backlog`` may be looked at from any.
 """
 
 from __future__ import annotations
@@ -26,15 +26,15 @@
         self._world: tuple[float, float] | None = None  # the world's time, and when it was that
         self._steady: tuple[float, float] | None = None  # the time that counts, and when it was that
         self._waiting: list[tuple[Owed, float]] = []  # owed, and not set free yet; its class's time
-        self._owed: set[int] = set()  # what was owed at the start, as far as it has no end yet
+        self._backlog: set[int] = set()  # what was owed at the start, as far as it has no end yet
         self.backlog_at_start = 0
         self._ask_at = 0.0
 
     def begin(self, now: float, owed: Iterable[tuple[Owed, float]]) -> None:
         """Stand before the first gate, with what is owed and the time (ms) that each one's class gives it."""
         self.progress, self._waiting = Progress(Stage.CLOCK, now), list(owed)
-        self._owed = {one.number for one, _ in self._waiting}
-        self.backlog_at_start = len(self._owed)
+        self._backlog = {one.number for one, _ in self._waiting}
+        self.backlog_at_start = len(self._backlog)
 
     @property
     def open(self) -> bool:
@@ -47,13 +47,13 @@
         return self._waits != Waits()
 
     @property
-    def owed(self) -> int:
+    def backlog(self) -> int:
         """Of what was owed at the start, how many have no end yet."""
-        return len(self._owed)
+        return len(self._backlog)
 
     def ended(self, number: int) -> None:
         """A message has its end."""
-        self._owed.discard(number)
+        self._backlog.discard(number)
 
     def told(self, date: str, at: float) -> None:
         """The world's time, as an answer told it."""
@@ -70,13 +70,13 @@
     def through(self, now: float, slots: int, acts: bool, listed: bool) -> list[tuple[Owed, float]]:
         """Through the gates that are open by now; what that sets free, with the time that each has left."""
         before = self.progress
-        seen = Conditions(len(self._owed), slots, self._world is not None, acts, listed)
+        seen = Conditions(len(self._backlog), slots, self._world is not None, acts, listed)
         self.progress = advance(before, seen, self._waits, now)
         since, freed = before.since, list[tuple[Owed, float]]()
         for one in self.progress.passed[len(before.passed) :]:
             if self.has_waits:
                 waited = round(one.at - since, 1)
-                self._log.info("gate", gate=one.stage.value, met=one.met, after_ms=waited, owed=seen.owed)
+                self._log.info("gate", gate=one.stage.value, met=one.met, after_ms=waited, owed=seen.backlog)
             since = one.at
             if one.stage is Stage.CLOCK:
                 self._set_clock(now)
--- a/springspread/core/startup_stages.py
+++ b/springspread/core/startup_stages.py
@@ -42,7 +42,7 @@
 class Conditions:
     """What there is at a moment. ``owed``: of what was owed at the start, how many have no end yet."""
 
-    owed: int
+    backlog: int
     slots: int
     time_known: bool  # the world's time is known
     policy: bool
@@ -68,10 +68,10 @@
 
 
 STAGES: tuple[tuple[Stage, Callable[[Conditions], bool], Callable[[Waits], float]], ...] = (
-    (Stage.CLOCK, lambda seen: not seen.owed or seen.time_known, lambda waits: waits.clock_ms),
+    (Stage.CLOCK, lambda seen: not seen.backlog or seen.time_known, lambda waits: waits.clock_ms),
     (Stage.POLICY, lambda seen: seen.policy, lambda waits: waits.policy_ms),
     (Stage.LIST, lambda seen: seen.listed, lambda waits: waits.list_ms),
-    (Stage.OWED, lambda seen: seen.owed <= seen.slots, lambda waits: waits.owed_ms),
+    (Stage.OWED, lambda seen: seen.backlog <= seen.slots, lambda waits: waits.owed_ms),
 )
 
 
--- a/tests/faults/test_return.py
+++ b/tests/faults/test_return.py
@@ -17,8 +17,8 @@
 from tests.peer import until
 
 HOUR = 3_600_000.0
-MET = Conditions(owed=0, slots=5, time_known=True, policy=True, listed=True)
-NOTHING = Conditions(owed=9, slots=5, time_known=False, policy=False, listed=False)
+MET = Conditions(backlog=0, slots=5, time_known=True, policy=True, listed=True)
+NOTHING = Conditions(backlog=9, slots=5, time_known=False, policy=False, listed=False)
 WAITS = Waits(100.0, 200.0, 300.0, 400.0)
 SEEN = st.builds(Conditions, st.integers(0, 9), st.just(5), st.booleans(), st.booleans(), st.booleans())
 
