--- a/springspread/core/loop.py
+++ b/springspread/core/loop.py
@@ -33,7 +33,7 @@
     Message,
     NewPolicy,
     Notice,
-    NoticeHeard,
+    NoticesDelivered,
     NoticeSink,
     ProbeEnd,
     Result,
@@ -290,7 +290,7 @@
                 return [translate.probed(event)]
             case Gone(message):
                 return self._gone(message)
-            case NoticeHeard(numbers):
+            case NoticesDelivered(numbers):
                 for number in numbers:
                     self._forget(number, delivered=False)
             case NewPolicy(number, config):
--- a/springspread/core/types.py
+++ b/springspread/core/types.py
@@ -240,7 +240,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class NoticeHeard:
+class NoticesDelivered:
     """The platform took the notices of these messages."""
 
     numbers: tuple[int, ...]
@@ -269,7 +269,7 @@
     again_ms: float = 0.0
 
 
-CoreEvent = Message | ListUpdate | AttemptEnd | ProbeEnd | Gone | NoticeHeard | NewPolicy | Stop
+CoreEvent = Message | ListUpdate | AttemptEnd | ProbeEnd | Gone | NoticesDelivered | NewPolicy | Stop
 
 
 class Executor(Protocol):
--- a/springspread/net/notices.py
+++ b/springspread/net/notices.py
@@ -8,7 +8,7 @@
 from queue import Empty, SimpleQueue
 
 from springspread.config import Address, Limits
-from springspread.core.types import CoreEvent, Log, Notice, NoticeHeard, clock
+from springspread.core.types import CoreEvent, Log, Notice, NoticesDelivered, clock
 from springspread.http1.client import Answer
 from springspread.net.exchange import FAILURES, Caller, LateError, MovedError
 from springspread.net.threads import spawn
@@ -64,7 +64,7 @@
                     break
             end = self._post(batch)
             if end is PostEnd.TAKEN:
-                self._put(NoticeHeard(tuple(notice.number for notice in batch)))
+                self._put(NoticesDelivered(tuple(notice.number for notice in batch)))
                 most, self._silences = self._limits.notices_in_call, 0
                 continue
             if end is PostEnd.NOT_TAKEN:
--- a/springspread/simulator/virtual.py
+++ b/springspread/simulator/virtual.py
@@ -30,7 +30,7 @@
     Member,
     Message,
     Notice,
-    NoticeHeard,
+    NoticesDelivered,
     ProbeEnd,
     Result,
     Scope,
@@ -419,7 +419,7 @@
             return  # its next process tells it
         town, now = self.town, self.town.clock.now()
         town.checker.notice(now, notice.id, "deferred" if notice.deferred else "undeliverable")
-        town.at(now + town.day.network_ms[0], self.put, NoticeHeard((notice.number,)))
+        town.at(now + town.day.network_ms[0], self.put, NoticesDelivered((notice.number,)))
         if notice.deferred:
             town.again(notice.id, notice.again_ms)
 
--- a/tests/test_core.py
+++ b/tests/test_core.py
@@ -173,7 +173,7 @@
     rig.restore()
     assert rig.drivers.told == [t.Notice(4, "a", True, 300.0)] and not rig.drivers.calls
     assert 4 in rig.journal.owed
-    rig.sender.step([t.NoticeHeard((4,))])
+    rig.sender.step([t.NoticesDelivered((4,))])
     assert not rig.journal.owed
 
 
@@ -280,7 +280,7 @@
             rig.clearance.bar(call.endpoint, 0.0)
             rig.end(call, t.Result.DELIVERED)
         told, rig.drivers.told = rig.drivers.told, []
-        heard = t.NoticeHeard(tuple(notice.number for notice in told))
+        heard = t.NoticesDelivered(tuple(notice.number for notice in told))
         sender.step([heard, t.ListUpdate(t.Scope.CHANGES, 9999, (), t.clock())])
 
     round(0)
--- a/tests/test_lifetimes.py
+++ b/tests/test_lifetimes.py
@@ -179,7 +179,7 @@
     @rule(which=PART)
     def notice_is_heard(self, which: int) -> None:
         notice = self.drivers.told[which % len(self.drivers.told)]
-        self.step(t.NoticeHeard((notice.number,)))
+        self.step(t.NoticesDelivered((notice.number,)))
 
     @rule()
     def killed_and_started_anew(self) -> None:
@@ -207,7 +207,7 @@
         self.clock.at += 1_000.0
         self.step()
         for notice in list(self.drivers.told):
-            self.step(t.NoticeHeard((notice.number,)))
+            self.step(t.NoticesDelivered((notice.number,)))
         for life in self.lives.values():
             assert life.left or life.delivered or life.told, "no end"
         assert not self.journal.owed and not self.sender._held and not self.sender._calls
