--- a/springspread/core/loop.py
+++ b/springspread/core/loop.py
@@ -22,12 +22,12 @@
     Attempt,
     AttemptEnd,
     Call,
+    ClientLeft,
     CoreEvent,
     Directory,
     Endpoint,
     EndpointState,
     Executor,
-    Gone,
     ListUpdate,
     Log,
     Message,
@@ -288,7 +288,7 @@
                 return [listed]
             case ProbeEnd():
                 return [translate.probed(event)]
-            case Gone(message):
+            case ClientLeft(message):
                 return self._gone(message)
             case NoticesDelivered(numbers):
                 for number in numbers:
--- a/springspread/core/types.py
+++ b/springspread/core/types.py
@@ -233,7 +233,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Gone:
+class ClientLeft:
     """The client went away before it heard the verdict on its message."""
 
     message: Message
@@ -269,7 +269,7 @@
     again_ms: float = 0.0
 
 
-CoreEvent = Message | ListUpdate | AttemptEnd | ProbeEnd | Gone | NoticesDelivered | NewPolicy | Stop
+CoreEvent = Message | ListUpdate | AttemptEnd | ProbeEnd | ClientLeft | NoticesDelivered | NewPolicy | Stop
 
 
 class Executor(Protocol):
--- a/springspread/platform/intake.py
+++ b/springspread/platform/intake.py
@@ -7,7 +7,7 @@
 from dataclasses import dataclass, field
 
 from springspread.core.figures import Figure, Figures
-from springspread.core.types import CoreEvent, Gone, Message, Verdict
+from springspread.core.types import ClientLeft, CoreEvent, Message, Verdict
 from springspread.http1.message import Headers
 from springspread.http1.server import Request
 
@@ -108,4 +108,4 @@
 
     def gone(self, message: Message) -> None:
         """The client left before it heard that its message was taken on."""
-        self._put(Gone(message))
+        self._put(ClientLeft(message))
--- a/tests/test_core.py
+++ b/tests/test_core.py
@@ -199,7 +199,7 @@
     rig = Rig(tmp_path)
     rig.restore()
     message = rig.hand_in("a")
-    rig.sender.step([t.Gone(message)])
+    rig.sender.step([t.ClientLeft(message)])
     assert rig.drivers.cancelled == rig.drivers.calls and not rig.journal.owed
     rig.end(rig.drivers.calls[0], t.Result.CANCELLED)
     assert not rig.drivers.told
@@ -211,9 +211,9 @@
     rig.restore()
     messages = rig.hand_in("a"), rig.hand_in("a")
     assert messages[1].verdict is t.Verdict.TAKEN and len(rig.drivers.calls) == 1
-    rig.sender.step([t.Gone(messages[order[0]]), t.Gone(messages[order[0]])])
+    rig.sender.step([t.ClientLeft(messages[order[0]]), t.ClientLeft(messages[order[0]])])
     assert len(rig.journal.owed) == 1
-    rig.sender.step([t.Gone(messages[order[1]])])
+    rig.sender.step([t.ClientLeft(messages[order[1]])])
     assert not rig.journal.owed
 
 
@@ -224,7 +224,7 @@
     other = t.Message("a", "note", 7, t.clock() + 8000.0, b"another body")
     rig.sender.step([other])
     assert other.verdict is t.Verdict.CONFLICT
-    rig.sender.step([t.Gone(other)])
+    rig.sender.step([t.ClientLeft(other)])
     assert [owed.body for owed in rig.journal.owed.values()] == [b"body"] and len(rig.drivers.calls) == 1
 
 
@@ -325,7 +325,7 @@
     for call in rig.drivers.calls:
         assert rig.clearance.refuses(call) is None
     assert not second.withdraw()  # too late: it has been told that it is taken on
-    rig.sender.step([t.Gone(first), t.Gone(second)])
+    rig.sender.step([t.ClientLeft(first), t.ClientLeft(second)])
     assert [owed.id for owed in rig.journal.owed.values()] == ["a", "b"]
 
 
@@ -356,7 +356,7 @@
         assert refused is not None and refused[0] is t.Result.NOT_SENT
     else:
         assert rig.clearance.refuses(call) is None
-        rig.sender.step([t.Gone(message)])
+        rig.sender.step([t.ClientLeft(message)])
         assert [owed.id for owed in rig.journal.owed.values()] == ["a"]
 
 
--- a/tests/test_lifetimes.py
+++ b/tests/test_lifetimes.py
@@ -127,7 +127,7 @@
         owed = self.journal.owed.get(number)
         free = owed is not None and not owed.begun and owed.ending is None and number in self.sender._held
         life.left = life.left or free
-        self.step(t.Gone(life.message))
+        self.step(t.ClientLeft(life.message))
 
     @precondition(lambda self: self.waiting)
     @rule(which=PART)
