--- a/springspread/core/translate.py
+++ b/springspread/core/translate.py
@@ -24,7 +24,7 @@
     Result.TIMED_OUT: i.Outcome.TIMEOUT,
     Result.NOT_CONNECTED: i.Outcome.CONNECT_FAILED,
     Result.BROKEN: i.Outcome.RESET,
-    Result.SPOILT: i.Outcome.SPOILT,
+    Result.MALFORMED: i.Outcome.SPOILT,
     Result.CANCELLED: i.Outcome.CANCELLED,
     Result.NOT_SENT: i.Outcome.MOOT,
 }
--- a/springspread/core/types.py
+++ b/springspread/core/types.py
@@ -40,7 +40,7 @@
     TIMED_OUT = "timed out"
     NOT_CONNECTED = "not connected"
     BROKEN = "broken"
-    SPOILT = "spoilt"
+    MALFORMED = "malformed"
     CANCELLED = "cancelled"
     NOT_SENT = "not sent"
 
--- a/springspread/net/endpoints.py
+++ b/springspread/net/endpoints.py
@@ -293,7 +293,7 @@
             result = Result.BROKEN
             if isinstance(exc, Malformed):
                 self._log.warning("bad answer", endpoint=call.endpoint.name, fault=str(exc))
-                result = Result.SPOILT
+                result = Result.MALFORMED
             result = Result.CANCELLED if call.cancelled.is_set() else result
             self._end_all(call, delivery.read_part(call, connection.status, result))
         return False
--- a/springspread/platform/delivery.py
+++ b/springspread/platform/delivery.py
@@ -140,6 +140,6 @@
     for run in call.attempts:
         # What can't be read whole may hold anything; what the answer does not name may have run.
         told = readable and run.id in states
-        result, over = STATES[states[run.id]] if told else (Result.SPOILT, False)
+        result, over = STATES[states[run.id]] if told else (Result.MALFORMED, False)
         ends.append(End(run, result, over))
     return tuple(ends), fault
--- a/springspread/simulator/virtual.py
+++ b/springspread/simulator/virtual.py
@@ -63,7 +63,7 @@
     End.FULL: Result.REJECTED,
     End.REFUSED: Result.NOT_CONNECTED,
     End.RESET: Result.BROKEN,
-    End.SPOILT: Result.SPOILT,
+    End.SPOILT: Result.MALFORMED,
 }
 MEDIUM_MS = 0.5  # between an instance and the allocator, one way
 KEPT_MS = 3_500.0  # a connection idle for longer is opened anew
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -122,7 +122,7 @@
         Result.REJECTED,
         Result.NOT_SENT,
         Result.NOT_SENT,
-        Result.SPOILT,  # not named: it may have run
+        Result.MALFORMED,  # not named: it may have run
     ]
     assert [end.over for end in reading.ends] == [False, False, False, True, False, False]
     assert reading.wait_ms == 1000.0
@@ -131,20 +131,20 @@
 @pytest.mark.parametrize("body", GARBLED)
 def test_a_garbled_bundle_answer_may_have_run(body: bytes) -> None:
     reading = delivery.read_answer(call(2), Answer(200, headers(), body), NAMES.report)
-    assert {end.result for end in reading.ends} == {Result.SPOILT} and reading.fault
+    assert {end.result for end in reading.ends} == {Result.MALFORMED} and reading.fault
 
 
 @pytest.mark.parametrize(
     ("count", "status", "result"),
     [
         (1, 200, Result.DELIVERED),
-        (1, 503, Result.SPOILT),
-        (1, 0, Result.SPOILT),
-        (2, 200, Result.SPOILT),
+        (1, 503, Result.MALFORMED),
+        (1, 0, Result.MALFORMED),
+        (2, 200, Result.MALFORMED),
     ],
 )
 def test_a_first_line_is_true_for_one_message_alone(count: int, status: int, result: Result) -> None:
-    assert delivery.read_part(call(count), status, Result.SPOILT) is result
+    assert delivery.read_part(call(count), status, Result.MALFORMED) is result
 
 
 def test_reports_and_waits_are_read_and_nonsense_is_not() -> None:
--- a/tests/test_slow_endpoints.py
+++ b/tests/test_slow_endpoints.py
@@ -108,4 +108,4 @@
     assert sorted(took)[10] < 0.05
     until(lambda: len(ends) == 20 + 3 * 9 + 3, "all ends")
     slow = {end.result for end in ends if isinstance(end, AttemptEnd) and end.call.endpoint is not usual}
-    assert slow == {Result.SPOILT, Result.NOT_CONNECTED}
+    assert slow == {Result.MALFORMED, Result.NOT_CONNECTED}
--- a/tests/test_spoilt.py
+++ b/tests/test_spoilt.py
@@ -108,10 +108,10 @@
 @pytest.mark.parametrize(
     ("answer", "one"),
     [
-        (b"\x80\x01noise", Result.SPOILT),
-        (b"HTTP/1.1 OK 200\r\nContent-Length: 0\r\n\r\n", Result.SPOILT),
-        (b"HTTP/1.1 503 Service Unavailable\r\nContent-Length: 9\r\n\r\n", Result.SPOILT),
-        (b"HTTP/1.1 429 Too Many\r\nX: y", Result.SPOILT),
+        (b"\x80\x01noise", Result.MALFORMED),
+        (b"HTTP/1.1 OK 200\r\nContent-Length: 0\r\n\r\n", Result.MALFORMED),
+        (b"HTTP/1.1 503 Service Unavailable\r\nContent-Length: 9\r\n\r\n", Result.MALFORMED),
+        (b"HTTP/1.1 429 Too Many\r\nX: y", Result.MALFORMED),
         (HEAD + b"X-Pad: " + b"p" * 99_999, Result.DELIVERED),
         (HEAD + b"X: y", Result.DELIVERED),
         (HEAD + b"no colon\r\nContent-Length: 0\r\n\r\n", Result.DELIVERED),
@@ -121,7 +121,7 @@
     ],
 )
 def test_a_spoilt_answer_ends_soon_and_its_connection_with_it(rig: Rig, answer: bytes, one: Result) -> None:
-    for count, expected in ((1, one), (2, Result.SPOILT)):
+    for count, expected in ((1, one), (2, Result.MALFORMED)):
         results, took = rig.call(answer, count)
         assert results == [expected] * count and took < 2000.0
         until(lambda count=count: rig.endpoint.ended == count, "the connection's end")  # type: ignore[misc]
@@ -130,7 +130,7 @@
 def test_a_garbled_bundle_closes_and_a_bad_report_is_ignored_alone(rig: Rig) -> None:
     body = b'[{"id":"id-0","state":"done"},{"id":"id-1","st'
     results, _ = rig.call(HEAD + b"Content-Length: %d\r\n\r\n" % len(body) + body, 2)
-    assert results == [Result.SPOILT] * 2
+    assert results == [Result.MALFORMED] * 2
     until(lambda: rig.endpoint.ended == 1, "the connection's end")
     for report in (b"x0=?,x1=\x01", b"x0=0.1,x1=many"):
         line = b"HTTP/1.1 503 Busy\r\nContent-Length: 0\r\nX-Backend-Load: " + report + b"\r\n\r\n"
