--- a/springspread/core/types.py
+++ b/springspread/core/types.py
@@ -78,7 +78,7 @@
 
 @dataclass(slots=True, eq=False)
 class Message:
-    """A message that a client hands in. ``told`` is called once, by the core's thread, at the verdict.
+    """A message that a client hands in. ``on_verdict`` is called once, by the core's thread, at the verdict.
 
     Where two events cross: the core's verdict and the front's patience. Whichever settles it first holds,
     and the other is told so: nobody hears that he is refused whose message is taken on.
@@ -93,7 +93,7 @@
     orphan: bool = False
     number: int = 0  # of the message that it speaks for, once that is taken on
     verdict: Verdict | None = None
-    told: Callable[[Message], None] = _nobody
+    on_verdict: Callable[[Message], None] = _nobody
     _settling: threading.Lock = field(default_factory=threading.Lock, repr=False)
     _withdrawn: bool = False
 
@@ -103,7 +103,7 @@
             if self._withdrawn:
                 return False
             self.verdict = verdict
-        self.told(self)
+        self.on_verdict(self)
         return True
 
     def withdraw(self) -> bool:
--- a/springspread/platform/intake.py
+++ b/springspread/platform/intake.py
@@ -79,7 +79,7 @@
             return Reply(400, {"X-Fault": str(exc)})
         if not self.ready:
             return self._refused(message, {"Retry-After": self._return})
-        message.told = told
+        message.on_verdict = told
         self._put(message)
         return message
 
--- a/springspread/simulator/virtual.py
+++ b/springspread/simulator/virtual.py
@@ -611,7 +611,7 @@
         )
         errand.counted = True
         until, body = now + left, arrival.body
-        message = Message(id, cls.name, arrival.group, until, body, again, orphan, told=self._heard)
+        message = Message(id, cls.name, arrival.group, until, body, again, orphan, on_verdict=self._heard)
         self._asked.setdefault(instance.name, {})[id] = message
         instance.put(message)
 
