--- a/springspread/core/types.py
+++ b/springspread/core/types.py
@@ -150,7 +150,7 @@
     host: str
     port: int
     group: int
-    apart: bool
+    separate_routes: bool
     per_call: int
     state: EndpointState = EndpointState.READY
     leaving_at: float = float("inf")  # when this sender was told that it drains or is gone
@@ -158,12 +158,12 @@
     @property
     def bar_key(self) -> tuple[int, int]:
         """What a told wait binds: the endpoint where routes are apart, else its whole destination."""
-        return (self.group, self.number if self.apart else -1)
+        return (self.group, self.number if self.separate_routes else -1)
 
     @property
     def bar_name(self) -> str:
         """The same, as other processes know it."""
-        return f"{self.group}/{self.name if self.apart else ''}"
+        return f"{self.group}/{self.name if self.separate_routes else ''}"
 
 
 @dataclass(frozen=True, slots=True)
--- a/springspread/fleet/client.py
+++ b/springspread/fleet/client.py
@@ -42,7 +42,7 @@
 
     A name that no message holds is replaced by its hash; operators can't name such a key.
     """
-    if not endpoint.apart:
+    if not endpoint.separate_routes:
         return f"g{endpoint.group}"
     key = f"r{endpoint.group}/{endpoint.name}"
     name = endpoint.name.encode(errors="surrogatepass")
