--- a/springspread/core/clearance.py
+++ b/springspread/core/clearance.py
@@ -105,7 +105,7 @@
         """Why a call may not go out now, with the rest of the wait; else it is journalled as begun."""
         # First, as these may wait: whatever came meanwhile is looked at after them.
         shares = self._shares
-        if shares is not None and not shares.enter(call.policy):
+        if shares is not None and not shares.wait_for_policy(call.policy):
             return _not_sent(Withheld.OTHER_POLICY)
         right = inf if shares is None else shares.acquire(call.endpoint)
         if (refused := self._look(call, right)) is not None:
--- a/springspread/core/types.py
+++ b/springspread/core/types.py
@@ -308,7 +308,7 @@
 class Shares(Protocol):
     """What a fleet's instance may use of its partners' limits."""
 
-    def enter(self, policy: int) -> bool:
+    def wait_for_policy(self, policy: int) -> bool:
         """Whether a call that was decided under a policy may begin; may wait for it, a bounded time."""
 
     def may(self, policy: int) -> bool:
--- a/springspread/fleet/client.py
+++ b/springspread/fleet/client.py
@@ -104,7 +104,7 @@
 
     # Asked by calls, from any thread
 
-    def enter(self, policy: int) -> bool:
+    def wait_for_policy(self, policy: int) -> bool:
         """The right to begin a call that was decided under a policy, now or within ``POLICY_WAIT_MS``."""
         until = self._clock.now() + POLICY_WAIT_MS
         while not self.may(policy):
--- a/springspread/simulator/virtual.py
+++ b/springspread/simulator/virtual.py
@@ -232,7 +232,7 @@
             return
         self.start(call)
 
-    def enter(self, policy: int) -> bool:
+    def wait_for_policy(self, policy: int) -> bool:
         """No policy changes in virtual time."""
         return True
 
