--- a/benchmarks/capacity/policy.py
+++ b/benchmarks/capacity/policy.py
@@ -184,7 +184,7 @@
     """When all act under a policy (ms, the clock that all share); negative: not in time."""
     left = list(shares)
     while SYSTEM.now() < end:
-        left = [one for one in left if one.policy < number or not one.may(one.policy)]
+        left = [one for one in left if one.policy < number or not one.may_begin(one.policy)]
         if not left:
             return SYSTEM.now()
         time.sleep(0.005)
--- a/springspread/core/clearance.py
+++ b/springspread/core/clearance.py
@@ -129,7 +129,7 @@
         if shares is None:
             return None
         # Last: guards against a mixture of policies, also where this process was frozen until just now.
-        if not shares.may(call.policy):
+        if not shares.may_begin(call.policy):
             return _not_sent(Withheld.OTHER_POLICY)
         return _not_sent(Withheld.NO_LEASE) if self._clock.now() >= right else None
 
--- a/springspread/core/loop.py
+++ b/springspread/core/loop.py
@@ -192,7 +192,7 @@
             return []
         if self.start.asks(now, self._destinations.listed):
             self._directory.fetch()
-        acts = self._shares is None or self._shares.may(self._policy)
+        acts = self._shares is None or self._shares.may_begin(self._policy)
         freed = self.start.through(now, self._set.slots, acts, self._destinations.listed)
         return [self._goes_on(now, owed, left) for owed, left in freed]
 
--- a/springspread/core/types.py
+++ b/springspread/core/types.py
@@ -311,7 +311,7 @@
     def wait_for_policy(self, policy: int) -> bool:
         """Whether a call that was decided under a policy may begin; may wait for it, a bounded time."""
 
-    def may(self, policy: int) -> bool:
+    def may_begin(self, policy: int) -> bool:
         """Whether it may begin at this very moment."""
 
     def acquire(self, endpoint: Endpoint) -> float:
--- a/springspread/faults/sabotage.py
+++ b/springspread/faults/sabotage.py
@@ -64,7 +64,7 @@
 
 
 def _looks_no_more() -> None:
-    setattr(FleetShares, "may", lambda self, policy: True)  # noqa: B010
+    setattr(FleetShares, "may_begin", lambda self, policy: True)  # noqa: B010
 
 
 def _forgets_what_it_took() -> None:
--- a/springspread/fleet/client.py
+++ b/springspread/fleet/client.py
@@ -107,13 +107,13 @@
     def wait_for_policy(self, policy: int) -> bool:
         """The right to begin a call that was decided under a policy, now or within ``POLICY_WAIT_MS``."""
         until = self._clock.now() + POLICY_WAIT_MS
-        while not self.may(policy):
+        while not self.may_begin(policy):
             if self._clock.now() >= until or policy != self.policy:
                 return False
             self._wait_for_messages()
         return True
 
-    def may(self, policy: int) -> bool:
+    def may_begin(self, policy: int) -> bool:
         """Whether a call of a policy may begin at this moment."""
         return self._participant.may(policy)
 
--- a/springspread/simulator/virtual.py
+++ b/springspread/simulator/virtual.py
@@ -236,7 +236,7 @@
         """No policy changes in virtual time."""
         return True
 
-    def may(self, policy: int) -> bool:
+    def may_begin(self, policy: int) -> bool:
         """No policy changes in virtual time."""
         return True
 
