--- a/springspread/core/clearance.py
+++ b/springspread/core/clearance.py
@@ -56,7 +56,7 @@
         self._lapse = NO_LAPSE
         self._board = journal.board if isinstance(journal, Lanes) else None
 
-    def bar(self, endpoint: Endpoint, wait_ms: float) -> None:
+    def set_retry_after(self, endpoint: Endpoint, wait_ms: float) -> None:
         """An endpoint told a wait; it binds at once, before the loop has heard of it."""
         with self._lock:
             now = self._clock.now()
--- a/springspread/net/endpoints.py
+++ b/springspread/net/endpoints.py
@@ -324,7 +324,7 @@
 
     def _read(self, call: Call, reading: delivery.Reading) -> None:
         if reading.wait_ms > 0:
-            self._clearance.bar(call.endpoint, reading.wait_ms)
+            self._clearance.set_retry_after(call.endpoint, reading.wait_ms)
         if reading.fault:
             self._log.warning("odd answer", endpoint=call.endpoint.name, fault=reading.fault)
         for end in reading.ends:
--- a/springspread/simulator/virtual.py
+++ b/springspread/simulator/virtual.py
@@ -330,7 +330,7 @@
         if answer.wait_ms:
             self.town.checker.wait(now, self.name, key, answer.wait_ms)
             if not self.town.knobs.ignore_waits:
-                self.clearance.bar(call.endpoint, answer.wait_ms)
+                self.clearance.set_retry_after(call.endpoint, answer.wait_ms)
         ids = _ids(call)
         self.town.checker.tally.rejected += answer.end is End.FULL
         if answer.end is End.DONE:
--- a/tests/test_core.py
+++ b/tests/test_core.py
@@ -277,7 +277,7 @@
     def serve() -> None:
         calls, rig.drivers.calls = rig.drivers.calls, []
         for call in calls:
-            rig.clearance.bar(call.endpoint, 0.0)
+            rig.clearance.set_retry_after(call.endpoint, 0.0)
             rig.end(call, t.Result.DELIVERED)
         told, rig.drivers.told = rig.drivers.told, []
         heard = t.NoticesDelivered(tuple(notice.number for notice in told))
@@ -365,7 +365,7 @@
     rig.restore()
     rig.hand_in("a")
     (call,) = rig.drivers.calls
-    rig.clearance.bar(call.endpoint, 5000.0)
+    rig.clearance.set_retry_after(call.endpoint, 5000.0)
     refused = rig.clearance.refuses(call)
     assert refused is not None and refused[0] is t.Result.REJECTED and 4000 < refused[1] <= 5000
     assert not rig.journal.owed[1].begun
@@ -399,7 +399,7 @@
         if comes == "a drain":
             rig.clearance.leaving(call.endpoint, t.EndpointState.DRAINING, t.clock() - 451.0)
         else:
-            rig.clearance.bar(call.endpoint, 5000.0)
+            rig.clearance.set_retry_after(call.endpoint, 5000.0)
         return begun(number, attempt)
 
     monkeypatch.setattr(rig.journal, "begun", slow)
--- a/tests/test_spoilt.py
+++ b/tests/test_spoilt.py
@@ -34,7 +34,7 @@
         """Never."""
         return 0.0
 
-    def bar(self, endpoint: Endpoint, wait_ms: float) -> None:
+    def set_retry_after(self, endpoint: Endpoint, wait_ms: float) -> None:
         """No wait is kept."""
 
 
