--- a/springspread/core/clearance.py
+++ b/springspread/core/clearance.py
@@ -66,7 +66,7 @@
         if self._board is not None and wait_ms > 0.0:
             self._board.tell(endpoint.bar_name, until, now)
 
-    def barred_ms(self, endpoint: Endpoint) -> float:
+    def retry_after_left_ms(self, endpoint: Endpoint) -> float:
         """How long a told wait still bars an endpoint."""
         now = self._clock.now()
         other = 0.0 if self._board is None else self._board.until(endpoint.bar_name, now)
@@ -142,7 +142,7 @@
         if call.attempts and self._clock.now() >= call.until:
             return _not_sent(Withheld.LATE)  # its connection came up, or was free, after its time
         # Guards rule 5: a call queued before a wait was told must not slip out after it.
-        wait = self.barred_ms(call.endpoint)
+        wait = self.retry_after_left_ms(call.endpoint)
         if wait > 0.0:
             return Refusal(Result.REJECTED, wait, Withheld.RETRY_AFTER)
         with self._lock:
--- a/springspread/core/loop.py
+++ b/springspread/core/loop.py
@@ -176,7 +176,7 @@
             for endpoint in endpoints
             if endpoint.number in flagged
             or endpoint.state is not EndpointState.READY
-            or self._clearance.barred_ms(endpoint) > 0.0
+            or self._clearance.retry_after_left_ms(endpoint) > 0.0
         ]
         return {
             "in_flight": len(self._held),
--- a/springspread/net/endpoints.py
+++ b/springspread/net/endpoints.py
@@ -271,7 +271,7 @@
                 raise StaleError from None
             if call.cancelled.is_set():
                 self._end_all(call, Result.CANCELLED)
-            elif (wait := self._clearance.barred_ms(call.endpoint)) > 0.0:
+            elif (wait := self._clearance.retry_after_left_ms(call.endpoint)) > 0.0:
                 # Guards the partner: a call stopped by a told wait does not say that it is unreachable.
                 self._end_all(call, Result.REJECTED, wait)
             else:
@@ -320,7 +320,7 @@
 
     def _clear(self, call: Call) -> bool:
         """Whether the last byte of a call may still be written."""
-        return not call.cancelled.is_set() and self._clearance.barred_ms(call.endpoint) <= 0.0
+        return not call.cancelled.is_set() and self._clearance.retry_after_left_ms(call.endpoint) <= 0.0
 
     def _read(self, call: Call, reading: delivery.Reading) -> None:
         if reading.wait_ms > 0:
--- a/tests/test_last_byte.py
+++ b/tests/test_last_byte.py
@@ -61,7 +61,7 @@
 class Barred(Free):
     """Lets a call begin, and hears of a wait before its last byte."""
 
-    def barred_ms(self, endpoint: Endpoint) -> float:
+    def retry_after_left_ms(self, endpoint: Endpoint) -> float:
         return 100.0
 
 
--- a/tests/test_spoilt.py
+++ b/tests/test_spoilt.py
@@ -30,7 +30,7 @@
     def refuses(self, call: Call) -> None:
         """Never."""
 
-    def barred_ms(self, endpoint: Endpoint) -> float:
+    def retry_after_left_ms(self, endpoint: Endpoint) -> float:
         """Never."""
         return 0.0
 
