--- a/springspread/core/clearance.py
+++ b/springspread/core/clearance.py
@@ -101,7 +101,7 @@
         with self._lock:
             self._stopped = True
 
-    def refuses(self, call: Call) -> Refusal | None:
+    def check(self, call: Call) -> Refusal | None:
         """Why a call may not go out now, with the rest of the wait; else it is journalled as begun."""
         # First, as these may wait: whatever came meanwhile is looked at after them.
         shares = self._shares
--- a/springspread/net/endpoints.py
+++ b/springspread/net/endpoints.py
@@ -249,7 +249,7 @@
         return True
 
     def _exchange(self, call: Call, connection: Connection) -> bool:
-        refused = self._clearance.refuses(call)
+        refused = self._clearance.check(call)
         if refused is not None:
             self._withhold(call, refused)
             return refused.result is not Result.CANCELLED
--- a/springspread/simulator/virtual.py
+++ b/springspread/simulator/virtual.py
@@ -275,7 +275,7 @@
             return
         if self._lacks(call):
             return
-        refused = self.clearance.refuses(call)
+        refused = self.clearance.check(call)
         if refused is not None and not self._overrides(refused[0]):
             for run in call.attempts:
                 self.put(AttemptEnd(call, run, refused[0], now, refused[1]))
--- a/tests/test_clearance.py
+++ b/tests/test_clearance.py
@@ -57,7 +57,7 @@
         number = self.journal.last_number + 1
         self.journal.taken(Owed(number, f"m{number}", "note", 7, 0.0, b"body"))
         run = Attempt(number, 0, f"m{number}", b"body", self.clock.at + 1000.0, True)
-        refusal = self.clearance.refuses(Call(self.endpoint, (run,), self.clock.at))
+        refusal = self.clearance.check(Call(self.endpoint, (run,), self.clock.at))
         assert refusal is None or refusal.result is Result.NOT_SENT
         return None if refusal is None else refusal.reason
 
--- a/tests/test_core.py
+++ b/tests/test_core.py
@@ -323,7 +323,7 @@
     first, second = rig.hand_in("a"), rig.hand_in("b", "pay")
     rig.settle(2)
     for call in rig.drivers.calls:
-        assert rig.clearance.refuses(call) is None
+        assert rig.clearance.check(call) is None
     assert not second.withdraw()  # too late: it has been told that it is taken on
     rig.sender.step([t.ClientLeft(first), t.ClientLeft(second)])
     assert [owed.id for owed in rig.journal.owed.values()] == ["a", "b"]
@@ -352,10 +352,10 @@
     (call,) = rig.drivers.calls
     if first == "the client leaves":
         assert rig.journal.withdraw(1)  # the loop's word, as the worker is about to write
-        refused = rig.clearance.refuses(call)
+        refused = rig.clearance.check(call)
         assert refused is not None and refused[0] is t.Result.NOT_SENT
     else:
-        assert rig.clearance.refuses(call) is None
+        assert rig.clearance.check(call) is None
         rig.sender.step([t.ClientLeft(message)])
         assert [owed.id for owed in rig.journal.owed.values()] == ["a"]
 
@@ -366,7 +366,7 @@
     rig.hand_in("a")
     (call,) = rig.drivers.calls
     rig.clearance.set_retry_after(call.endpoint, 5000.0)
-    refused = rig.clearance.refuses(call)
+    refused = rig.clearance.check(call)
     assert refused is not None and refused[0] is t.Result.REJECTED and 4000 < refused[1] <= 5000
     assert not rig.journal.owed[1].begun
 
@@ -378,10 +378,10 @@
     (call,) = rig.drivers.calls
     told_at = t.clock() - 440.0
     rig.clearance.leaving(call.endpoint, t.EndpointState.DRAINING, told_at)
-    assert rig.clearance.refuses(call) is None  # within the grace
+    assert rig.clearance.check(call) is None  # within the grace
     rig.clearance.leaving(call.endpoint, t.EndpointState.GONE, told_at + 300.0)  # counts from the first
     rig.clearance.leaving(call.endpoint, t.EndpointState.DRAINING, told_at - 20.0)
-    refused = rig.clearance.refuses(call)
+    refused = rig.clearance.check(call)
     assert refused == (t.Result.NOT_SENT, 0.0, Withheld.LEAVING)
 
 
@@ -403,7 +403,7 @@
         return begun(number, attempt)
 
     monkeypatch.setattr(rig.journal, "begun", slow)
-    refused = rig.clearance.refuses(call)
+    refused = rig.clearance.check(call)
     assert refused is not None
     assert refused.reason is (Withheld.LEAVING if comes == "a drain" else Withheld.RETRY_AFTER)
     rig.sender.step([t.AttemptEnd(call, call.attempts[0], refused.result, t.clock())])
--- a/tests/test_lifetimes.py
+++ b/tests/test_lifetimes.py
@@ -133,7 +133,7 @@
     @rule(which=PART)
     def worker_looks(self, which: int) -> None:
         call = self.waiting.pop(which % len(self.waiting))
-        refused = self.clearance.refuses(call) if call.attempts else None
+        refused = self.clearance.check(call) if call.attempts else None
         if refused is not None:
             self.over(call, [refused[0]] * len(call.attempts))
             return
--- a/tests/test_spoilt.py
+++ b/tests/test_spoilt.py
@@ -27,7 +27,7 @@
     def __init__(self) -> None:
         """Nothing is kept."""
 
-    def refuses(self, call: Call) -> None:
+    def check(self, call: Call) -> None:
         """Never."""
 
     def retry_after_left_ms(self, endpoint: Endpoint) -> float:
