--- a/springspread/core/loop.py
+++ b/springspread/core/loop.py
@@ -133,7 +133,7 @@
             cls = self._classes.get(owed.cls)
             spec = self._set.classes[cls] if cls is not None else None
             if owed.ending is not None:
-                self._notices.tell(Notice(owed.number, owed.id, *owed.ending))
+                self._notices.deliver(Notice(owed.number, owed.id, *owed.ending))
             elif cls is None or spec is None or (owed.may_have_run and spec.effect is not i.Effect.SAFE):
                 # Guards rule 2: an attempt that was out at the end may have run, and nothing tells.
                 self._end(owed.number, deferred=False)
@@ -509,7 +509,7 @@
             self._figures.count(Figure.REFUSED if deferred else Figure.FAILED, owed.cls)
             self._log.debug("ending", number=number, deferred=deferred, again_ms=again_ms)
             self._journal.ending(number, deferred, again_ms)
-            self._notices.tell(Notice(number, owed.id, deferred, again_ms))
+            self._notices.deliver(Notice(number, owed.id, deferred, again_ms))
 
     def _decide(self, now: float, events: list[i.Event]) -> None:
         sends: list[i.Send] = []
--- a/springspread/core/types.py
+++ b/springspread/core/types.py
@@ -301,7 +301,7 @@
 class NoticeSink(Protocol):
     """Where final answers go."""
 
-    def tell(self, notice: Notice) -> None:
+    def deliver(self, notice: Notice) -> None:
         """Tell it until the platform has taken it."""
 
 
--- a/springspread/net/notices.py
+++ b/springspread/net/notices.py
@@ -45,7 +45,7 @@
         self._silences = 0  # calls in a row that were given up without an answer
         spawn("notices", self._run, log)
 
-    def tell(self, notice: Notice) -> None:
+    def deliver(self, notice: Notice) -> None:
         """Tell it until the platform has taken it."""
         self._line.put(notice)
 
--- a/springspread/simulator/virtual.py
+++ b/springspread/simulator/virtual.py
@@ -407,7 +407,7 @@
 
     # Platform
 
-    def tell(self, notice: Notice) -> None:
+    def deliver(self, notice: Notice) -> None:
         """Tell the platform a message's end."""
         town = self.town
         if not town.knobs.drop_notices:
--- a/tests/test_core.py
+++ b/tests/test_core.py
@@ -43,7 +43,7 @@
     def fetch(self) -> None:
         """The module does not ask for it."""
 
-    def tell(self, notice: t.Notice) -> None:
+    def deliver(self, notice: t.Notice) -> None:
         self.told.append(notice)
 
     def info(self, event: str, **values: object) -> None:
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -321,7 +321,7 @@
     heard: list[CoreEvent] = []
     address = ("127.0.0.1", platform.sock.getsockname()[1])
     notices = Notices(address, Limits(), heard.append, Silent(), lambda: None)
-    notices.tell(Notice(4, "late", False))
+    notices.deliver(Notice(4, "late", False))
     until(lambda: heard, "its answer")
     assert heard == [NoticesDelivered((4,))]
     told = [request.split(b"\r\n\r\n")[1] for request in platform.requests if request]
@@ -341,7 +341,7 @@
     address = ("127.0.0.1", platform.sock.getsockname()[1])
     notices = Notices(address, limits, heard.append, Silent(), lambda: None)
     for number in range(10):
-        notices.tell(Notice(number, f"m{number}", False))
+        notices.deliver(Notice(number, f"m{number}", False))
     until(lambda: sum(len(cast(NoticesDelivered, one).numbers) for one in heard) == 10, "all of them")
     assert len(platform.requests) <= 5  # a silent call tells nothing of what is in it: nobody is told alone
     platform.sock.close()
