--- a/springspread/core/loop.py
+++ b/springspread/core/loop.py
@@ -203,9 +203,9 @@
             pause = self._last + self._set.tick_ms - self._clock.now()
             if pause > 0:
                 self._clock.sleep(pause)
-            self.step(([] if first is None else [first]) + self.waiting())
+            self.step(([] if first is None else [first]) + self.take_inbox())
 
-    def waiting(self) -> list[CoreEvent]:
+    def take_inbox(self) -> list[CoreEvent]:
         """Take what has come in, without waiting for more."""
         batch: list[CoreEvent] = []
         while True:
--- a/springspread/simulator/virtual.py
+++ b/springspread/simulator/virtual.py
@@ -172,7 +172,7 @@
         if self.dead or planned != self._step_at:
             return  # an earlier step came in between
         self._step_at, self._stepped = inf, planned
-        self.sender.step(self.sender.waiting())
+        self.sender.step(self.sender.take_inbox())
         self.wake()
 
     def die(self) -> None:
--- a/tests/test_lifetimes.py
+++ b/tests/test_lifetimes.py
@@ -88,7 +88,7 @@
 
     def step(self, *events: t.CoreEvent) -> None:
         self.clock.at += 5.0
-        self.sender.step(list(events) + self.sender.waiting())
+        self.sender.step(list(events) + self.sender.take_inbox())
         self.look()
 
     def look(self) -> None:
