--- a/springspread/core/figures.py
+++ b/springspread/core/figures.py
@@ -43,7 +43,7 @@
             if (figure, cls) in self._counts:
                 self._counts[figure, cls] += 1
 
-    def occurred(self, occurrence: Occurrence, reason: Enum) -> None:
+    def count_occurrence(self, occurrence: Occurrence, reason: Enum) -> None:
         """Once more, for a reason that is one of a fixed set."""
         with self._lock:
             key = (occurrence, reason)
--- a/springspread/net/discovery.py
+++ b/springspread/net/discovery.py
@@ -128,7 +128,7 @@
             believed = self._machine.answered(news.version)
         late_ms = news.notified_at - due_at
         if late_ms > 0.0:
-            self._figures.occurred(Occurrence.LISTS_LATE, before)
+            self._figures.count_occurrence(Occurrence.LISTS_LATE, before)
         tell = self._log.info if news.members or before is not State.CURRENT else self._log.debug
         tell(
             "list received",
@@ -171,7 +171,7 @@
             now = clock()
             ask_by = self._machine.failed(failure, now)
             state, due_at, lapse = self._machine.state(now), self._machine.due_at, self._machine.lapse
-        self._figures.occurred(Occurrence.LIST_FAILURES, failure)
+        self._figures.count_occurrence(Occurrence.LIST_FAILURES, failure)
         self._log.warning(
             "discovery failed",
             request=ask.number,
--- a/springspread/net/endpoints.py
+++ b/springspread/net/endpoints.py
@@ -118,7 +118,7 @@
 
     def close(self, connection: Connection, reason: Closed) -> None:
         """Close a connection and count why."""
-        self._figures.occurred(Occurrence.CONNECTIONS_CLOSED, reason)
+        self._figures.count_occurrence(Occurrence.CONNECTIONS_CLOSED, reason)
         connection.close()
 
     def drop(self, endpoint: Endpoint) -> None:
@@ -300,7 +300,7 @@
 
     def _withhold(self, call: Call, refused: Refusal) -> None:
         """End a call that may not go out, and tell why."""
-        self._figures.occurred(Occurrence.CALLS_WITHHELD, refused.reason)
+        self._figures.count_occurrence(Occurrence.CALLS_WITHHELD, refused.reason)
         self._log.debug(
             "call withheld",
             reason=refused.reason.value,
