--- a/springspread/__main__.py
+++ b/springspread/__main__.py
@@ -133,7 +133,7 @@
         config.names,
         version,
         limits,
-        sender.put_list,
+        sender.put_list_update,
         log,
         figures,
         settings.senders,
--- a/springspread/core/loop.py
+++ b/springspread/core/loop.py
@@ -99,7 +99,7 @@
         """Hand in an event, from any thread."""
         self._inbox.put(event)
 
-    def put_list(self, news: ListUpdate) -> None:
+    def put_list_update(self, news: ListUpdate) -> None:
         """Hand in news of the list, from any thread.
 
         Where two events cross: a call's first byte and a drain that was read. The drain binds here, however
