--- a/springspread/core/reuse.py
+++ b/springspread/core/reuse.py
@@ -84,7 +84,7 @@
             worst = max(worst, share)
         return max(worst - base, 0.0)
 
-    def may(self, endpoint: int, idle_ms: float, once: bool, now: float) -> bool:
+    def allows_reuse(self, endpoint: int, idle_ms: float, once: bool, now: float) -> bool:
         """Whether a call may go over a connection that has stood idle for so long."""
         return self.risk(endpoint, idle_ms, now) <= (self.bounds.once if once else self.bounds.repeat)
 
--- a/tests/test_reuse.py
+++ b/tests/test_reuse.py
@@ -23,22 +23,26 @@
 
 def test_before_anything_is_seen_every_call_takes_a_kept_connection() -> None:
     reuse = Reuse(BOUNDS)
-    assert all(reuse.may(LINK, idle, once, 0.0) for idle in (0.0, 100.0, 3000.0) for once in (True, False))
+    assert all(
+        reuse.allows_reuse(LINK, idle, once, 0.0) for idle in (0.0, 100.0, 3000.0) for once in (True, False)
+    )
 
 
 def test_after_a_break_unsafe_calls_leave_connections_idle_so_long_alone() -> None:
     reuse = Reuse(BOUNDS)
     reuse.note(LINK, 150.0, True, 0.0)
-    assert not reuse.may(LINK, 150.0, True, 0.0)
-    assert not reuse.may(LINK, 3000.0, True, 0.0)  # longer idleness is no safer
-    assert reuse.may(LINK, 10.0, True, 0.0)
-    assert reuse.may(LINK, 150.0, False, 0.0)  # one break is no reason for a handshake each
+    assert not reuse.allows_reuse(LINK, 150.0, True, 0.0)
+    assert not reuse.allows_reuse(LINK, 3000.0, True, 0.0)  # longer idleness is no safer
+    assert reuse.allows_reuse(LINK, 10.0, True, 0.0)
+    assert reuse.allows_reuse(LINK, 150.0, False, 0.0)  # one break is no reason for a handshake each
 
 
 def test_calls_that_may_be_repeated_stop_where_breaks_are_many() -> None:
     reuse = learnt(100.0)
-    assert not reuse.may(LINK, 150.0, False, 0.0) and reuse.may(LINK, 5.0, False, 0.0)
-    assert not reuse.may(OTHER, 150.0, False, 0.0)  # an endpoint not yet seen is taken to be like the others
+    assert not reuse.allows_reuse(LINK, 150.0, False, 0.0) and reuse.allows_reuse(LINK, 5.0, False, 0.0)
+    assert not reuse.allows_reuse(
+        OTHER, 150.0, False, 0.0
+    )  # an endpoint not yet seen is taken to be like the others
 
 
 def test_a_link_that_goes_on_serving_is_judged_by_what_it_shows() -> None:
@@ -53,12 +57,12 @@
     for n in range(300):
         for idle in (None, 5.0, 150.0):
             reuse.note(LINK, idle, n % 10 == 0, 0.0)
-    assert reuse.may(LINK, 150.0, True, 0.0)
+    assert reuse.allows_reuse(LINK, 150.0, True, 0.0)
 
 
 def test_what_was_learnt_fades_and_is_forgotten_with_its_link() -> None:
     reuse = learnt(100.0)
-    assert reuse.may(LINK, 1000.0, False, 3 * FADE_MS)
+    assert reuse.allows_reuse(LINK, 1000.0, False, 3 * FADE_MS)
     reuse.forget(LINK)
     assert not reuse._endpoints
 
