--- a/springspread/core/watch.py
+++ b/springspread/core/watch.py
@@ -132,7 +132,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Ask:
+class ListRequest:
     """One call: the whole list, or what is newer than a version, waited for so long (ms).
 
     ``number`` counts a process's calls from 1 on.
@@ -170,7 +170,7 @@
         self._version, self._wait, self.pace = version, wait_ms, pace(senders)
         self._random, self._lapses = random, lapses
         self._wants = self._fetches = self._doubts = self._moved = False
-        self._ask: Ask | None = None
+        self._ask: ListRequest | None = None
         self._missed_by = inf  # the earliest deadline that a call left which was not refused
         self._failed_by = inf  # the deadline that the last failure left, where that one counts
         self._back_by = inf  # the deadline, had discovery been back right after it was last out of reach
@@ -210,14 +210,14 @@
         self._wants = active
 
     def fetch(self) -> None:
-        """Ask once for the whole list."""
+        """ListRequest once for the whole list."""
         self._fetches = True
 
     def doubt(self) -> None:
         """What is held is not the list of any one version: ask for the whole list until it is answered."""
         self._doubts = True
 
-    def begin(self, now: float) -> Ask | None:
+    def begin(self, now: float) -> ListRequest | None:
         """The call to make now; none where nothing is wanted."""
         if not (self._wants or self._fetches):
             return None
@@ -225,16 +225,18 @@
         self._asked += 1
         if whole:
             # Guards discovery against a fleet that starts at once: no short watch goes before this.
-            self._ask = Ask(None, 0.0, now + self._patience(WHOLE_MS), now, self._asked)
+            self._ask = ListRequest(None, 0.0, now + self._patience(WHOLE_MS), now, self._asked)
         elif self.overdue_by < inf:
             # Guards the deadline: a long watch would not tell "nothing new" from silence before it.
             give_up_at = now + CATCH_UP_WAIT_MS + self._patience(self.pace.queued_ms)
             wait_ms = min(CATCH_UP_WAIT_MS, self._wait)
-            self._ask = Ask(self._version, wait_ms, give_up_at, now, self._asked)
+            self._ask = ListRequest(self._version, wait_ms, give_up_at, now, self._asked)
         else:
             part = 1.0 if self._random is None else self._random.uniform(SHORTEST_WAIT, 1.0)
             wait_ms = part * self._wait
-            self._ask = Ask(self._version, wait_ms, self._give_up_watch_at(now, wait_ms), now, self._asked)
+            self._ask = ListRequest(
+                self._version, wait_ms, self._give_up_watch_at(now, wait_ms), now, self._asked
+            )
         self._moved = False
         return self._ask
 
--- a/springspread/net/discovery.py
+++ b/springspread/net/discovery.py
@@ -12,7 +12,7 @@
 from springspread.config import Address, Limits, Names
 from springspread.core.figures import Figures, Occurrence
 from springspread.core.types import EndpointState, ListUpdate, Log, Scope, clock
-from springspread.core.watch import Ask, Failure, State, Watch, pace
+from springspread.core.watch import Failure, ListRequest, State, Watch, pace
 from springspread.http1.client import Answer
 from springspread.http1.message import Malformed
 from springspread.net.exchange import FAILURES, Caller, ConnectError, LateError, MovedError
@@ -118,11 +118,11 @@
                 except FAILURES as exc:
                     self._failed(ask, _kind(exc), exc)
 
-    def _begin(self) -> Ask | None:
+    def _begin(self) -> ListRequest | None:
         with self._lock:
             return self._machine.begin(clock())
 
-    def _put_news(self, ask: Ask, news: ListUpdate) -> None:
+    def _put_news(self, ask: ListRequest, news: ListUpdate) -> None:
         with self._lock:
             before, due_at = self._machine.state(news.notified_at), self._machine.due_at
             believed = self._machine.answered(news.version)
@@ -166,7 +166,7 @@
         self._log.info("left as the old address says", version=news.version, lines=len(leaving))
         self._put(replace(news, scope=Scope.CHANGES, members=leaving))
 
-    def _failed(self, ask: Ask, failure: Failure, exc: Exception) -> None:
+    def _failed(self, ask: ListRequest, failure: Failure, exc: Exception) -> None:
         with self._lock:
             now = clock()
             ask_by = self._machine.failed(failure, now)
@@ -186,7 +186,7 @@
         )
         self._put(ListUpdate(Scope.FAILED, ask_by=ask_by, lapse=lapse))
 
-    def _ask(self, ask: Ask) -> ListUpdate:
+    def _ask(self, ask: ListRequest) -> ListUpdate:
         with self._lock:
             state, due_at = self._machine.state(ask.begun_at), self._machine.due_at
         tell = self._log.debug if state is State.CURRENT else self._log.info
