--- a/springspread/core/watch.py
+++ b/springspread/core/watch.py
@@ -205,7 +205,7 @@
         """By when an answer has to be here; inf where nothing is missing."""
         return min(self._missed_by, self._failed_by)
 
-    def want(self, active: bool = True) -> None:
+    def set_active(self, active: bool = True) -> None:
         """Watch from now on, or no more."""
         self._wants = active
 
--- a/springspread/net/discovery.py
+++ b/springspread/net/discovery.py
@@ -84,7 +84,7 @@
     def watch(self, active: bool) -> None:
         """Begin or end the watch; a running one goes on."""
         with self._lock:
-            self._machine.want(active)
+            self._machine.set_active(active)
         self._wake.set()
 
     def fetch(self) -> None:
--- a/tests/test_grown_fleet.py
+++ b/tests/test_grown_fleet.py
@@ -115,7 +115,7 @@
     settings, asked = make_settings(senders=40, must_ask=True), 0
     for seed in range(40):
         sender, watch, now = Dispatcher(settings, seed), Watch(1, 5000.0, 40), 0.0
-        watch.want()
+        watch.set_active()
         while now < 40_000.0:
             assert watch.begin(now) is not None
             asked += now >= 10_000.0
@@ -126,7 +126,7 @@
             while not any(isinstance(action, i.Watch) for action in sender.handle(now, [i.Woken(0)])):
                 now += 5.0
             assert now <= failed_at + NOTIFIED_MS - ANSWER_MS + 10.0
-            watch.want()
+            watch.set_active()
     assert asked <= 40 * 30 / 4.5
 
 
--- a/tests/test_watch.py
+++ b/tests/test_watch.py
@@ -46,7 +46,7 @@
 
 def watching(version: int | None = 7, senders: int = LARGE) -> Watch:
     watch = Watch(version, WAIT_MS, senders)
-    watch.want()
+    watch.set_active()
     return watch
 
 
@@ -110,7 +110,7 @@
         if missed and failed_at < min(missed):  # later nobody has answered for so long: it is down
             assert ask_by <= max(min(missed) - answer_ms, failed_at + retry_ms)
         now = ask_by
-        watch.want()
+        watch.set_active()
 
 
 @settings(derandomize=True, deadline=None, database=None)
@@ -124,7 +124,7 @@
         begun.append(now)
         assert watch.begin(now) is not None
         now = max(watch.failed(failure, now), now + (failure is Failure.SILENT))
-        watch.want()
+        watch.set_active()
     gaps = [later - one for one, later in pairwise(begun)]
     if alone == {Failure.REFUSED}:
         assert min(gaps) >= NOTIFIED_MS - ANSWER_MS
@@ -142,7 +142,7 @@
         now = ask.give_up_at
         assert watch.failed(Failure.SILENT, now) == now  # at once
         for failure in (Failure.REFUSED, Failure.UNREACHED):
-            watch.want()
+            watch.set_active()
             assert watch.begin(now) is not None
             assert watch.overdue_by == WAIT_MS + AFTER_WAIT_MS
             failed_at = now + 1.0
@@ -157,7 +157,7 @@
     watch = watching(senders=4)
     watch.begin(0.0)
     watch.failed(Failure.UNREACHED, 10.0)
-    watch.want()
+    watch.set_active()
     ask = watch.begin(200.0)
     assert ask is not None and ask.since == 7 and ask.wait_ms < 200.0
     assert ask.give_up_at + watch.pace.answer_ms <= watch.overdue_by  # there is time for another one
@@ -174,11 +174,11 @@
     while now < WAIT_MS + AFTER_WAIT_MS:
         now = max(watch.failed(Failure.SILENT, now), now + 100.0)
         assert watch.due_at == WAIT_MS + AFTER_WAIT_MS
-        watch.want()
+        watch.set_active()
         assert watch.begin(now) is not None
     watch.failed(Failure.UNREACHED, now)
     assert watch.state(now) is State.DOWN and watch.due_at == WAIT_MS + AFTER_WAIT_MS
-    watch.want()
+    watch.set_active()
     assert watch.begin(now) is not None and watch.answered(8)
     assert watch.state(now) is State.CURRENT and watch.due_at == inf
 
@@ -208,7 +208,7 @@
             assert watch.lapse.begin == begin
         assert watch.lapse.end == watch.lapse.begin + LAPSE_MS
         now = again
-        watch.want()
+        watch.set_active()
     watch.begin(now)
     assert watch.answered(8) and watch.lapse == NO_LAPSE
 
@@ -219,7 +219,7 @@
     watch = watching(senders=4)
     watch.begin(0.0)
     watch.failed(failure, 10.0)
-    watch.want()
+    watch.set_active()
     ask = watch.begin(700.0)
     assert ask is not None
     watch.failed(Failure.SILENT, ask.give_up_at)
@@ -233,7 +233,7 @@
     lapse = watch.lapse
     assert lapse.begin == WAIT_MS + AFTER_WAIT_MS
     for failure, expected in ((Failure.LOCAL, lapse), (Failure.UNREACHED, NO_LAPSE)):
-        watch.want()
+        watch.set_active()
         watch.begin(1100.0)
         watch.failed(failure, 1110.0)
         assert watch.lapse == expected
@@ -241,7 +241,7 @@
 
 def test_a_silent_agent_is_one_whose_discovery_is_down() -> None:
     watch = Watch(7, WAIT_MS, 4, lapses=False)
-    watch.want()
+    watch.set_active()
     watch.begin(0.0)
     watch.failed(Failure.SILENT, 1000.0)
     assert watch.lapse == NO_LAPSE
@@ -254,7 +254,7 @@
         watch.begin(0.0)
         for nth in range(8):
             now = max(watch.failed(Failure.SILENT, now), now)
-            watch.want()
+            watch.set_active()
             ask = watch.begin(now)
             assert ask is not None
             given = ask.give_up_at - now - ask.wait_ms
@@ -268,11 +268,11 @@
     """It would lose its place, and its turn would be spent on nobody. As far as the deadline allows."""
     turned_away_ms = 2001.0
     watch = Watch(7, pace(senders).wait_ms, senders, Random(1))
-    watch.want()
+    watch.set_active()
     first = watch.begin(0.0)
     assert first is not None and first.give_up_at >= turned_away_ms + first.wait_ms
     watch.failed(Failure.REFUSED, turned_away_ms)
-    watch.want()
+    watch.set_active()
     after = watch.begin(3000.0)
     assert after is not None and after.give_up_at >= 3000.0 + turned_away_ms + after.wait_ms
     watch.answered(7)
@@ -285,7 +285,7 @@
         ends = []
         for seed in range(senders):
             watch = Watch(7, pace(senders).wait_ms, senders, Random(seed))
-            watch.want()
+            watch.set_active()
             watch.begin(0.0)
             watch.answered(7)
             ask = watch.begin(0.0)
@@ -329,7 +329,7 @@
     watch.answered(39)
     watch.begin(20.0)
     watch.failed(Failure.REFUSED, 30.0)
-    watch.want()
+    watch.set_active()
     ask = watch.begin(40.0)
     assert ask is not None and ask.since is None
 
