--- a/springspread/core/watch.py
+++ b/springspread/core/watch.py
@@ -213,7 +213,7 @@
         """ListRequest once for the whole list."""
         self._fetches = True
 
-    def doubt(self) -> None:
+    def invalidate(self) -> None:
         """What is held is not the list of any one version: ask for the whole list until it is answered."""
         self._doubts = True
 
--- a/springspread/net/discovery.py
+++ b/springspread/net/discovery.py
@@ -162,7 +162,7 @@
         if not leaving:
             return
         with self._lock:
-            self._machine.doubt()
+            self._machine.invalidate()
         self._log.info("left as the old address says", version=news.version, lines=len(leaving))
         self._put(replace(news, scope=Scope.CHANGES, members=leaving))
 
