--- a/springspread/core/watch.py
+++ b/springspread/core/watch.py
@@ -159,16 +159,16 @@
         wait_ms: float,
         senders: int = 1,
         random: Random | None = None,
-        lapses: bool = True,
+        can_be_outdated: bool = True,
     ) -> None:
         """``version``: of the list that is held at the start; none: the whole list comes first.
 
-        ``random`` draws the waits of watches; none: each waits for all of ``wait_ms``. ``lapses``: whether a
-        discovery that is reached and says nothing may be there; an agent that lists are pushed to is silent
+        ``random`` draws the waits of watches; none: each waits for all of ``wait_ms``. ``can_be_outdated``:
+        whether a discovery that is reached and silent may be up; the agent that lists are pushed to is silent
         only while discovery is down.
         """
         self._version, self._wait, self.pace = version, wait_ms, pace(senders)
-        self._random, self._lapses = random, lapses
+        self._random, self._lapses = random, can_be_outdated
         self._wants = self._fetches = self._doubts = self._moved = False
         self._ask: ListRequest | None = None
         self._missed_by = inf  # the earliest deadline that a call left which was not refused
@@ -210,7 +210,7 @@
         self._wants = active
 
     def fetch(self) -> None:
-        """ListRequest once for the whole list."""
+        """Request the whole list once."""
         self._fetches = True
 
     def invalidate(self) -> None:
--- a/springspread/net/discovery.py
+++ b/springspread/net/discovery.py
@@ -77,7 +77,7 @@
         self._lock = threading.Lock()
         sharing = 1 if pushed else senders
         wait_ms = min(limits.watch_ms, pace(sharing).wait_ms)
-        self._machine = Watch(version, wait_ms, sharing, Random(seed), lapses=not pushed)
+        self._machine = Watch(version, wait_ms, sharing, Random(seed), can_be_outdated=not pushed)
         self._wake = threading.Event()
         spawn("discovery", self._run, log)
 
--- a/tests/test_watch.py
+++ b/tests/test_watch.py
@@ -240,7 +240,7 @@
 
 
 def test_a_silent_agent_is_one_whose_discovery_is_down() -> None:
-    watch = Watch(7, WAIT_MS, 4, lapses=False)
+    watch = Watch(7, WAIT_MS, 4, can_be_outdated=False)
     watch.set_active()
     watch.begin(0.0)
     watch.failed(Failure.SILENT, 1000.0)
