--- a/springspread/core/clearance.py
+++ b/springspread/core/clearance.py
@@ -84,7 +84,7 @@
         """Note news of the list, or a failure to get it: it binds before the loop has heard of it."""
         index = ListIndex(news)
         with self._lock:
-            self._lapse = news.lapse
+            self._lapse = news.outdated_period
             self._unapplied.append((news, index))
 
     def applied(self, news: ListUpdate) -> None:
--- a/springspread/core/translate.py
+++ b/springspread/core/translate.py
@@ -113,5 +113,5 @@
             entries.append(
                 i.RouteEntry(endpoint.number, member.zone, kind, member.group, state, member.rating, added)
             )
-        outdated = (news.lapse.begin, news.lapse.end)
+        outdated = (news.outdated_period.begin, news.outdated_period.end)
         return i.Listed(SCOPES[news.scope], news.version, tuple(entries), news.ask_by, *outdated)
--- a/springspread/core/types.py
+++ b/springspread/core/types.py
@@ -138,7 +138,7 @@
     notified_at: float = 0.0  # when its bytes were there
     date: str = ""  # the world's time as the answer told it, at ``notified_at``
     ask_by: float = float("inf")  # after a failure: when to ask again at the latest
-    lapse: Lapse = NO_LAPSE  # after a failure: when no call may begin by the list that is held
+    outdated_period: Lapse = NO_LAPSE  # after a failure: when no call may begin by the list that is held
 
 
 @dataclass(slots=True, eq=False)
--- a/springspread/core/watch.py
+++ b/springspread/core/watch.py
@@ -187,14 +187,14 @@
 
     def state(self, now: float) -> State:
         """How current the list is, by what the last call left."""
-        if self.lapse.holds(now):
+        if self.outdated_period.holds(now):
             return State.OUTDATED
         if self._down:
             return State.DOWN
         return State.CURRENT if self.overdue_by == inf else State.OVERDUE
 
     @property
-    def lapse(self) -> Lapse:
+    def outdated_period(self) -> Lapse:
         """When the list that is held may not be acted on."""
         if self._silent_by == inf or not self._reached or not self._lapses:
             return NO_LAPSE
@@ -306,7 +306,7 @@
         if self._ask.wait_ms > CATCH_UP_WAIT_MS and now >= self._ask.give_up_at:
             return now
         again_by = max(self.overdue_by - self.pace.answer_ms, now + self.pace.retry_ms)
-        if self.lapse.holds(now):
+        if self.outdated_period.holds(now):
             again_by = min(again_by, now + max(LAPSE_PAUSE_MS, 2 * self.pace.retry_ms))
         return again_by
 
--- a/springspread/net/discovery.py
+++ b/springspread/net/discovery.py
@@ -170,7 +170,11 @@
         with self._lock:
             now = clock()
             ask_by = self._machine.failed(failure, now)
-            state, due_at, lapse = self._machine.state(now), self._machine.due_at, self._machine.lapse
+            state, due_at, outdated_period = (
+                self._machine.state(now),
+                self._machine.due_at,
+                self._machine.outdated_period,
+            )
         self._figures.count_occurrence(Occurrence.LIST_FAILURES, failure)
         self._log.warning(
             "discovery failed",
@@ -182,9 +186,9 @@
             again_within_ms=round(ask_by - now, 1),
             state=state.value,
             due_in_ms=_rounded(due_at - now),
-            outdated_in_ms=_rounded(lapse.begin - now),
+            outdated_in_ms=_rounded(outdated_period.begin - now),
         )
-        self._put(ListUpdate(Scope.FAILED, ask_by=ask_by, lapse=lapse))
+        self._put(ListUpdate(Scope.FAILED, ask_by=ask_by, outdated_period=outdated_period))
 
     def _ask(self, ask: ListRequest) -> ListUpdate:
         with self._lock:
--- a/tests/test_watch.py
+++ b/tests/test_watch.py
@@ -205,12 +205,12 @@
         again = max(watch.failed(failure, failed_at), failed_at)
         begin = silent_by if failure is not Failure.UNREACHED else inf
         if failure is not Failure.LOCAL:
-            assert watch.lapse.begin == begin
-        assert watch.lapse.end == watch.lapse.begin + LAPSE_MS
+            assert watch.outdated_period.begin == begin
+        assert watch.outdated_period.end == watch.outdated_period.begin + LAPSE_MS
         now = again
         watch.set_active()
     watch.begin(now)
-    assert watch.answered(8) and watch.lapse == NO_LAPSE
+    assert watch.answered(8) and watch.outdated_period == NO_LAPSE
 
 
 @pytest.mark.parametrize("failure", [one for one in Failure if one is not Failure.SILENT])
@@ -223,20 +223,20 @@
     ask = watch.begin(700.0)
     assert ask is not None
     watch.failed(Failure.SILENT, ask.give_up_at)
-    assert watch.lapse.begin == 10.0 + NOTIFIED_MS
+    assert watch.outdated_period.begin == 10.0 + NOTIFIED_MS
 
 
 def test_a_call_that_this_machine_could_not_make_says_nothing_of_discovery() -> None:
     watch = watching(senders=4)
     watch.begin(0.0)
     watch.failed(Failure.SILENT, 1000.0)
-    lapse = watch.lapse
-    assert lapse.begin == WAIT_MS + AFTER_WAIT_MS
-    for failure, expected in ((Failure.LOCAL, lapse), (Failure.UNREACHED, NO_LAPSE)):
+    outdated_period = watch.outdated_period
+    assert outdated_period.begin == WAIT_MS + AFTER_WAIT_MS
+    for failure, expected in ((Failure.LOCAL, outdated_period), (Failure.UNREACHED, NO_LAPSE)):
         watch.set_active()
         watch.begin(1100.0)
         watch.failed(failure, 1110.0)
-        assert watch.lapse == expected
+        assert watch.outdated_period == expected
 
 
 def test_a_silent_agent_is_one_whose_discovery_is_down() -> None:
@@ -244,7 +244,7 @@
     watch.set_active()
     watch.begin(0.0)
     watch.failed(Failure.SILENT, 1000.0)
-    assert watch.lapse == NO_LAPSE
+    assert watch.outdated_period == NO_LAPSE
 
 
 def test_each_silent_call_is_followed_by_one_that_is_given_twice_the_time() -> None:
