--- a/springspread/core/watch.py
+++ b/springspread/core/watch.py
@@ -183,7 +183,7 @@
         self._lapsed = False  # whether a whole lapse went by without an answer
         self._down = False
         self._asked = 0
-        self.due_at = inf  # the earliest deadline since the last answer, whether or not it has passed
+        self.first_deadline = inf  # the earliest deadline since the last answer, whether or not it has passed
 
     def state(self, now: float) -> State:
         """How current the list is, by what the last call left."""
@@ -261,7 +261,7 @@
             self._doubts = self._fetches = True
             return False
         self._version, self._doubts = version, False
-        self._missed_by = self._failed_by = self._back_by = self._silent_by = self.due_at = inf
+        self._missed_by = self._failed_by = self._back_by = self._silent_by = self.first_deadline = inf
         self._silences, self._reached, self._goes_on = 0, True, True
         self._down = self._lapsed = False
         return True
@@ -302,7 +302,7 @@
             self._failed_by = min(self._ask.missed_by, broken)
         else:
             self._missed_by = min(self._missed_by, self._ask.missed_by, broken, self._silent_by)
-        self.due_at = min(self.due_at, self.overdue_by)
+        self.first_deadline = min(self.first_deadline, self.overdue_by)
         if self._ask.wait_ms > CATCH_UP_WAIT_MS and now >= self._ask.give_up_at:
             return now
         again_by = max(self.overdue_by - self.pace.answer_ms, now + self.pace.retry_ms)
--- a/springspread/net/discovery.py
+++ b/springspread/net/discovery.py
@@ -124,9 +124,9 @@
 
     def _put_news(self, ask: ListRequest, news: ListUpdate) -> None:
         with self._lock:
-            before, due_at = self._machine.state(news.notified_at), self._machine.due_at
+            before, first_deadline = self._machine.state(news.notified_at), self._machine.first_deadline
             believed = self._machine.answered(news.version)
-        late_ms = news.notified_at - due_at
+        late_ms = news.notified_at - first_deadline
         if late_ms > 0.0:
             self._figures.count_occurrence(Occurrence.LISTS_LATE, before)
         tell = self._log.info if news.members or before is not State.CURRENT else self._log.debug
@@ -170,9 +170,9 @@
         with self._lock:
             now = clock()
             ask_by = self._machine.failed(failure, now)
-            state, due_at, outdated_period = (
+            state, first_deadline, outdated_period = (
                 self._machine.state(now),
-                self._machine.due_at,
+                self._machine.first_deadline,
                 self._machine.outdated_period,
             )
         self._figures.count_occurrence(Occurrence.LIST_FAILURES, failure)
@@ -185,14 +185,14 @@
             took_ms=round(now - ask.begun_at, 1),
             again_within_ms=round(ask_by - now, 1),
             state=state.value,
-            due_in_ms=_rounded(due_at - now),
+            due_in_ms=_rounded(first_deadline - now),
             outdated_in_ms=_rounded(outdated_period.begin - now),
         )
         self._put(ListUpdate(Scope.FAILED, ask_by=ask_by, outdated_period=outdated_period))
 
     def _ask(self, ask: ListRequest) -> ListUpdate:
         with self._lock:
-            state, due_at = self._machine.state(ask.begun_at), self._machine.due_at
+            state, first_deadline = self._machine.state(ask.begun_at), self._machine.first_deadline
         tell = self._log.debug if state is State.CURRENT else self._log.info
         tell(
             "list request",
@@ -201,7 +201,7 @@
             wait_ms=ask.wait_ms,
             give_up_ms=round(ask.give_up_at - ask.begun_at, 1),
             state=state.value,
-            due_in_ms=_rounded(due_at - ask.begun_at),
+            due_in_ms=_rounded(first_deadline - ask.begun_at),
         )
         target = catalog.target(ask.since, ask.wait_ms)
         answer = self._caller.call("GET", target, {}, b"", ask.give_up_at, current=True)
--- a/tests/test_watch.py
+++ b/tests/test_watch.py
@@ -169,18 +169,18 @@
 def test_how_late_an_answer_comes_is_known_although_its_deadline_has_passed() -> None:
     watch = watching(senders=4)
     ask = watch.begin(0.0)
-    assert ask is not None and watch.state(0.0) is State.CURRENT and watch.due_at == inf
+    assert ask is not None and watch.state(0.0) is State.CURRENT and watch.first_deadline == inf
     now = ask.give_up_at
     while now < WAIT_MS + AFTER_WAIT_MS:
         now = max(watch.failed(Failure.SILENT, now), now + 100.0)
-        assert watch.due_at == WAIT_MS + AFTER_WAIT_MS
+        assert watch.first_deadline == WAIT_MS + AFTER_WAIT_MS
         watch.set_active()
         assert watch.begin(now) is not None
     watch.failed(Failure.UNREACHED, now)
-    assert watch.state(now) is State.DOWN and watch.due_at == WAIT_MS + AFTER_WAIT_MS
+    assert watch.state(now) is State.DOWN and watch.first_deadline == WAIT_MS + AFTER_WAIT_MS
     watch.set_active()
     assert watch.begin(now) is not None and watch.answered(8)
-    assert watch.state(now) is State.CURRENT and watch.due_at == inf
+    assert watch.state(now) is State.CURRENT and watch.first_deadline == inf
 
 
 @settings(derandomize=True, deadline=None, database=None)
