--- a/springspread/core/watch.py
+++ b/springspread/core/watch.py
@@ -117,7 +117,7 @@
     queued_ms: float
 
 
-def pace(senders: int) -> Pace:
+def timings(senders: int) -> Pace:
     """The pace of one sender in a fleet of so many."""
     crowd = min(log2(max(senders, 1)) / log2(LARGE_FLEET), 1.0)
     answer = ANSWER_ALONE_MS + (ANSWER_MS - ANSWER_ALONE_MS) * crowd
@@ -167,7 +167,7 @@
         whether a discovery that is reached and silent may be up; the agent that lists are pushed to is silent
         only while discovery is down.
         """
-        self._version, self._wait, self.pace = version, wait_ms, pace(senders)
+        self._version, self._wait, self.timings = version, wait_ms, timings(senders)
         self._random, self._lapses = random, can_be_outdated
         self._wants = self._fetches = self._doubts = self._moved = False
         self._ask: ListRequest | None = None
@@ -228,7 +228,7 @@
             self._ask = ListRequest(None, 0.0, now + self._patience(WHOLE_MS), now, self._asked)
         elif self.overdue_by < inf:
             # Guards the deadline: a long watch would not tell "nothing new" from silence before it.
-            give_up_at = now + CATCH_UP_WAIT_MS + self._patience(self.pace.queued_ms)
+            give_up_at = now + CATCH_UP_WAIT_MS + self._patience(self.timings.queued_ms)
             wait_ms = min(CATCH_UP_WAIT_MS, self._wait)
             self._ask = ListRequest(self._version, wait_ms, give_up_at, now, self._asked)
         else:
@@ -242,11 +242,11 @@
 
     def _give_up_watch_at(self, now: float, wait_ms: float) -> float:
         """One that goes on with no watch may wait for its turn first, as far as the deadline allows."""
-        soonest = now + wait_ms + self.pace.aside_ms
+        soonest = now + wait_ms + self.timings.aside_ms
         if self._goes_on:
             return soonest
-        latest = _missed_by(now, wait_ms) - self.pace.answer_ms
-        return max(soonest, min(now + wait_ms + self.pace.queued_ms, latest))
+        latest = _missed_by(now, wait_ms) - self.timings.answer_ms
+        return max(soonest, min(now + wait_ms + self.timings.queued_ms, latest))
 
     def _patience(self, answer_ms: float) -> float:
         """How long an answer may take: more after each silent call, as discovery may be slow."""
@@ -305,9 +305,9 @@
         self.first_deadline = min(self.first_deadline, self.overdue_by)
         if self._ask.wait_ms > CATCH_UP_WAIT_MS and now >= self._ask.give_up_at:
             return now
-        again_by = max(self.overdue_by - self.pace.answer_ms, now + self.pace.retry_ms)
+        again_by = max(self.overdue_by - self.timings.answer_ms, now + self.timings.retry_ms)
         if self.outdated_period.holds(now):
-            again_by = min(again_by, now + max(LAPSE_PAUSE_MS, 2 * self.pace.retry_ms))
+            again_by = min(again_by, now + max(LAPSE_PAUSE_MS, 2 * self.timings.retry_ms))
         return again_by
 
     def _pass(self, now: float) -> None:
--- a/springspread/net/discovery.py
+++ b/springspread/net/discovery.py
@@ -12,7 +12,7 @@
 from springspread.config import Address, Limits, Names
 from springspread.core.figures import Figures, Occurrence
 from springspread.core.types import EndpointState, ListUpdate, Log, Scope, clock
-from springspread.core.watch import Failure, ListRequest, State, Watch, pace
+from springspread.core.watch import Failure, ListRequest, State, Watch, timings
 from springspread.http1.client import Answer
 from springspread.http1.message import Malformed
 from springspread.net.exchange import FAILURES, Caller, ConnectError, LateError, MovedError
@@ -76,7 +76,7 @@
         self._names, self._put, self._log = names, put, log
         self._lock = threading.Lock()
         sharing = 1 if pushed else senders
-        wait_ms = min(limits.watch_ms, pace(sharing).wait_ms)
+        wait_ms = min(limits.watch_ms, timings(sharing).wait_ms)
         self._machine = Watch(version, wait_ms, sharing, Random(seed), can_be_outdated=not pushed)
         self._wake = threading.Event()
         spawn("discovery", self._run, log)
--- a/tests/test_grown_fleet.py
+++ b/tests/test_grown_fleet.py
@@ -12,7 +12,7 @@
 
 from springspread import interface as i
 from springspread.config import Limits, Names
-from springspread.core.watch import ANSWER_MS, NOTIFIED_MS, SHORTEST_WAIT, Failure, Watch, pace
+from springspread.core.watch import ANSWER_MS, NOTIFIED_MS, SHORTEST_WAIT, Failure, Watch, timings
 from springspread.net.discovery import Watcher
 from springspread.policy import Dispatcher
 from springspread.settings import SettingsError, parse_lines, read_settings
@@ -146,7 +146,7 @@
     watcher._caller = Held()  # type: ignore[assignment]
     watcher.watch(True)
     query = parse_qs(urlsplit(asked.get(timeout=WAIT_S)).query)
-    longest = pace(senders).wait_ms
+    longest = timings(senders).wait_ms
     assert query["since"] == ["7"]
     assert SHORTEST_WAIT * longest - 1.0 <= float(query["timeout_ms"][0]) <= longest
 
--- a/tests/test_watch.py
+++ b/tests/test_watch.py
@@ -29,7 +29,7 @@
     Failure,
     State,
     Watch,
-    pace,
+    timings,
 )
 from springspread.net import exchange
 from springspread.net.discovery import Watcher
@@ -87,7 +87,7 @@
     tell that discovery could not be reached. Up to the pause that discovery is owed after each failure.
     """
     watch, now, missed, back_by = watching(senders=senders), 0.0, list[float](), inf
-    answer_ms, retry_ms = watch.pace.answer_ms, watch.pace.retry_ms
+    answer_ms, retry_ms = watch.timings.answer_ms, watch.timings.retry_ms
     for failure, part in calls:
         ask = watch.begin(now)
         assert ask is not None
@@ -130,7 +130,7 @@
         assert min(gaps) >= NOTIFIED_MS - ANSWER_MS
     # One that is left over from a silent watch is asked for in the last of its time, and then no sooner.
     seconds = [sum(at <= other < at + NOTIFIED_MS for other in begun) for at in begun]
-    assert max(seconds) <= 2 * (1 + ceil(watch.pace.answer_ms / watch.pace.retry_ms))
+    assert max(seconds) <= 2 * (1 + ceil(watch.timings.answer_ms / watch.timings.retry_ms))
     assert max(gaps) <= WAIT_MS + AFTER_WAIT_MS
 
 
@@ -147,8 +147,8 @@
             assert watch.overdue_by == WAIT_MS + AFTER_WAIT_MS
             failed_at = now + 1.0
             now = watch.failed(failure, failed_at)
-            asked_by = WAIT_MS + AFTER_WAIT_MS - watch.pace.answer_ms
-            assert now <= max(asked_by, failed_at + watch.pace.retry_ms)
+            asked_by = WAIT_MS + AFTER_WAIT_MS - watch.timings.answer_ms
+            assert now <= max(asked_by, failed_at + watch.timings.retry_ms)
             if now >= WAIT_MS + AFTER_WAIT_MS:
                 break  # in a large fleet one call more is all that discovery can bear
 
@@ -160,7 +160,7 @@
     watch.set_active()
     ask = watch.begin(200.0)
     assert ask is not None and ask.since == 7 and ask.wait_ms < 200.0
-    assert ask.give_up_at + watch.pace.answer_ms <= watch.overdue_by  # there is time for another one
+    assert ask.give_up_at + watch.timings.answer_ms <= watch.overdue_by  # there is time for another one
     assert watch.answered(7)
     ask = watch.begin(300.0)
     assert ask is not None and ask.wait_ms == WAIT_MS
@@ -193,7 +193,7 @@
     for failure, part in calls:
         ask = watch.begin(now)
         assert ask is not None
-        failed_at = ask.give_up_at if failure is Failure.SILENT else now + part * watch.pace.answer_ms
+        failed_at = ask.give_up_at if failure is Failure.SILENT else now + part * watch.timings.answer_ms
         if failed_at >= silent_by + LAPSE_MS:
             silent_by, lapsed = inf, True
         if failure is Failure.SILENT and not lapsed:
@@ -258,7 +258,7 @@
             ask = watch.begin(now)
             assert ask is not None
             given = ask.give_up_at - now - ask.wait_ms
-            assert min(2**nth * watch.pace.answer_ms, NOTIFIED_MS) - 1.0 <= given <= NOTIFIED_MS + 1.0
+            assert min(2**nth * watch.timings.answer_ms, NOTIFIED_MS) - 1.0 <= given <= NOTIFIED_MS + 1.0
             now = ask.give_up_at
         assert given >= NOTIFIED_MS - 1.0
 
@@ -267,7 +267,7 @@
 def test_a_call_that_waits_for_its_turn_is_not_given_up_before_discovery_turns_it_away(senders: int) -> None:
     """It would lose its place, and its turn would be spent on nobody. As far as the deadline allows."""
     turned_away_ms = 2001.0
-    watch = Watch(7, pace(senders).wait_ms, senders, Random(1))
+    watch = Watch(7, timings(senders).wait_ms, senders, Random(1))
     watch.set_active()
     first = watch.begin(0.0)
     assert first is not None and first.give_up_at >= turned_away_ms + first.wait_ms
@@ -277,22 +277,22 @@
     assert after is not None and after.give_up_at >= 3000.0 + turned_away_ms + after.wait_ms
     watch.answered(7)
     on = watch.begin(4000.0)
-    assert on is not None and on.give_up_at == 4000.0 + on.wait_ms + watch.pace.aside_ms
+    assert on is not None and on.give_up_at == 4000.0 + on.wait_ms + watch.timings.aside_ms
 
 
 def test_watches_that_news_began_together_end_apart_and_leave_half_the_time_to_what_follows() -> None:
     for senders in (6, 40, LARGE):
         ends = []
         for seed in range(senders):
-            watch = Watch(7, pace(senders).wait_ms, senders, Random(seed))
+            watch = Watch(7, timings(senders).wait_ms, senders, Random(seed))
             watch.set_active()
             watch.begin(0.0)
             watch.answered(7)
             ask = watch.begin(0.0)
             assert ask is not None
             ends.append(ask.give_up_at)
-        assert max(ends) <= NOTIFIED_MS - 2.5 * pace(senders).answer_ms
-        apart = (1.0 - SHORTEST_WAIT) * pace(senders).wait_ms
+        assert max(ends) <= NOTIFIED_MS - 2.5 * timings(senders).answer_ms
+        apart = (1.0 - SHORTEST_WAIT) * timings(senders).wait_ms
         assert max(ends) - min(ends) > 0.5 * apart
 
 
@@ -303,13 +303,19 @@
     assert watch.overdue_by == 100.0 + MOVED_MS
     ask = watch.begin(110.0)
     assert ask is not None and ask.wait_ms < 200.0
-    assert ask.give_up_at + watch.pace.answer_ms <= watch.overdue_by  # there is time for another one
-    assert watch.failed(Failure.SILENT, ask.give_up_at) <= 100.0 + MOVED_MS - watch.pace.answer_ms
+    assert ask.give_up_at + watch.timings.answer_ms <= watch.overdue_by  # there is time for another one
+    assert watch.failed(Failure.SILENT, ask.give_up_at) <= 100.0 + MOVED_MS - watch.timings.answer_ms
 
 
 def test_the_pace_of_a_fleet_keeps_its_rate_of_retries() -> None:
-    assert pace(1).retry_ms == pace(40).retry_ms and pace(400).retry_ms == 10 * pace(40).retry_ms
-    assert pace(1).answer_ms < pace(4).answer_ms < pace(40).answer_ms == pace(400).answer_ms == ANSWER_MS
+    assert timings(1).retry_ms == timings(40).retry_ms and timings(400).retry_ms == 10 * timings(40).retry_ms
+    assert (
+        timings(1).answer_ms
+        < timings(4).answer_ms
+        < timings(40).answer_ms
+        == timings(400).answer_ms
+        == ANSWER_MS
+    )
 
 
 def test_an_older_list_is_left_out_and_one_that_counts_anew_is_believed() -> None:
