--- a/springspread/core/watch.py
+++ b/springspread/core/watch.py
@@ -62,7 +62,7 @@
 RETRY_MS = 200.0  # the shortest pause after a failure, in fleets that are not large
 WAIT_ALONE_MS = 1000.0  # how long a watch of a single sender waits
 WAIT_MS = 2500.0  # and in a large fleet, so that half of ``NOTIFIED_MS`` is left to the calls after it
-SHORTEST_WAIT = 0.5  # waits are drawn from this part of theirs on
+MIN_WAIT_FRACTION = 0.5  # waits are drawn from this part of theirs on
 LONGEST_ANSWER_MS = NOTIFIED_MS  # a call is never given longer for its answer
 LAPSE_MS = NOTIFIED_MS  # a list is not acted on for so long at most
 LAPSE_PAUSE_MS = 1200.0  # it is asked for after this meanwhile, in fleets that are not large
@@ -232,7 +232,7 @@
             wait_ms = min(CATCH_UP_WAIT_MS, self._wait)
             self._ask = ListRequest(self._version, wait_ms, give_up_at, now, self._asked)
         else:
-            part = 1.0 if self._random is None else self._random.uniform(SHORTEST_WAIT, 1.0)
+            part = 1.0 if self._random is None else self._random.uniform(MIN_WAIT_FRACTION, 1.0)
             wait_ms = part * self._wait
             self._ask = ListRequest(
                 self._version, wait_ms, self._give_up_watch_at(now, wait_ms), now, self._asked
--- a/tests/test_grown_fleet.py
+++ b/tests/test_grown_fleet.py
@@ -12,7 +12,7 @@
 
 from springspread import interface as i
 from springspread.config import Limits, Names
-from springspread.core.watch import ANSWER_MS, NOTIFIED_MS, SHORTEST_WAIT, Failure, Watch, timings
+from springspread.core.watch import ANSWER_MS, MIN_WAIT_FRACTION, NOTIFIED_MS, Failure, Watch, timings
 from springspread.net.discovery import Watcher
 from springspread.policy import Dispatcher
 from springspread.settings import SettingsError, parse_lines, read_settings
@@ -148,7 +148,7 @@
     query = parse_qs(urlsplit(asked.get(timeout=WAIT_S)).query)
     longest = timings(senders).wait_ms
     assert query["since"] == ["7"]
-    assert SHORTEST_WAIT * longest - 1.0 <= float(query["timeout_ms"][0]) <= longest
+    assert MIN_WAIT_FRACTION * longest - 1.0 <= float(query["timeout_ms"][0]) <= longest
 
 
 def test_failures_of_endpoints_that_are_gone_throttle_nobody_who_takes_their_place() -> None:
--- a/tests/test_watch.py
+++ b/tests/test_watch.py
@@ -22,10 +22,10 @@
     AFTER_WAIT_MS,
     ANSWER_MS,
     LAPSE_MS,
+    MIN_WAIT_FRACTION,
     MOVED_MS,
     NO_LAPSE,
     NOTIFIED_MS,
-    SHORTEST_WAIT,
     Failure,
     State,
     Watch,
@@ -292,7 +292,7 @@
             assert ask is not None
             ends.append(ask.give_up_at)
         assert max(ends) <= NOTIFIED_MS - 2.5 * timings(senders).answer_ms
-        apart = (1.0 - SHORTEST_WAIT) * timings(senders).wait_ms
+        apart = (1.0 - MIN_WAIT_FRACTION) * timings(senders).wait_ms
         assert max(ends) - min(ends) > 0.5 * apart
 
 
