--- a/springspread/core/clearance.py
+++ b/springspread/core/clearance.py
@@ -12,7 +12,7 @@
 from springspread.core.lanes import Lanes
 from springspread.core.list_index import ListIndex
 from springspread.core.types import Call, Endpoint, EndpointState, ListUpdate, Result, Shares
-from springspread.core.watch import NO_LAPSE
+from springspread.core.watch import NEVER_OUTDATED
 
 
 class Withheld(Enum):
@@ -53,7 +53,7 @@
         self._bars: dict[tuple[int, int], float] = {}
         self._stopped = False
         self._unapplied: list[tuple[ListUpdate, ListIndex]] = []  # read, and not in force yet
-        self._lapse = NO_LAPSE
+        self._lapse = NEVER_OUTDATED
         self._board = journal.board if isinstance(journal, Lanes) else None
 
     def set_retry_after(self, endpoint: Endpoint, wait_ms: float) -> None:
@@ -153,6 +153,6 @@
             if now > self._leaving_at(call.endpoint) + self._grace:
                 return _not_sent(Withheld.LEAVING)
             # Guards the same against a drain that this sender has not read and counts as notified of.
-            if self._lapse.holds(now, self._grace):
+            if self._lapse.contains(now, self._grace):
                 return _not_sent(Withheld.LIST_OUTDATED)
         return None
--- a/springspread/core/types.py
+++ b/springspread/core/types.py
@@ -9,7 +9,7 @@
 from typing import TYPE_CHECKING, Protocol
 
 from springspread.core.clock import SYSTEM
-from springspread.core.watch import NO_LAPSE, Lapse
+from springspread.core.watch import NEVER_OUTDATED, OutdatedPeriod
 
 if TYPE_CHECKING:
     from springspread.config import Config
@@ -138,7 +138,9 @@
     notified_at: float = 0.0  # when its bytes were there
     date: str = ""  # the world's time as the answer told it, at ``notified_at``
     ask_by: float = float("inf")  # after a failure: when to ask again at the latest
-    outdated_period: Lapse = NO_LAPSE  # after a failure: when no call may begin by the list that is held
+    outdated_period: OutdatedPeriod = (
+        NEVER_OUTDATED  # after a failure: when no call may begin by the list that is held
+    )
 
 
 @dataclass(slots=True, eq=False)
--- a/springspread/core/watch.py
+++ b/springspread/core/watch.py
@@ -1,45 +1,45 @@
-"""What is asked of discovery, which answers are believed, and by when the next call goes: decisions alone.
+"""When discovery is asked for its list, and which answers are accepted: decisions without I/O.
 
-Theory of operation. What discovery has counts as notified ``NOTIFIED_MS`` after it had it and could be
-reached, whether it arrived or not; what a call that may wait would have brought, ``AFTER_WAIT_MS`` after that
-wait, if that is later. A sender that asks no sooner acts on a list that it is held not to have any more. So
-each way in which a call can end without an answer leaves a deadline, by which an answer has to be here:
+Theory of operation. Whatever discovery has counts as notified ``NOTIFIED_MS`` after it had it and could be
+reached, whether or not it arrived; what a long poll would have returned, ``AFTER_WAIT_MS`` after its wait, if
+that is later. A sender that asks later acts on a list that counts as replaced. So each way in which a request
+can fail leaves a deadline, by which an answer is due:
 
-    a call ends                     the deadline that it leaves
+    a request ends                  the deadline that it leaves
     silent, unreadable              begin + NOTIFIED_MS, or its wait's end + AFTER_WAIT_MS where that is later
-    not reached, broken, or our     the same: until it broke it may have been silent, and what failed may be
-    own system call failed          ours alone; at the latest now + NOTIFIED_MS
+    not reached, broken, or a       the same, as it may have been silent until it broke and the fault may be
+    local error                     local; at the latest now + NOTIFIED_MS
     refused                         now + NOTIFIED_MS: discovery itself says that it can't be reached
     cut off by a move               now + MOVED_MS, and what it may have missed until then
 
-    state      what counts                                 left for
+    state      what counts                                 transitions
     current    nothing is missing                          overdue at a failure or a move
-    overdue    the earliest deadline; of refusals the      current at an answer; outdated as a silent call's
-               last one, as they say that it can't be      deadline passes while discovery is reached; down
-               reached                                     as any other passes
-    outdated   no call to an endpoint may begin            current at an answer; down after LAPSE_MS, or as
-               (a lapse)                                   discovery is not reached
+    overdue    the earliest deadline; of refusals the      current at an answer; outdated as a silent
+               last one, as they say that it can't be      request's deadline passes while discovery is
+               reached                                     reached; down as any other passes
+    outdated   no call to an endpoint may begin            current at an answer; down after OUTDATED_MS, or
+                                                           as discovery is not reached
     down       the last failure's deadline                 current at an answer; overdue at a move; outdated
                                                            as from overdue
 
-So a later failure never moves on the deadline of an earlier one, until that has passed. A discovery that is
-reached after a silent call, and answers late, turns calls away or ends them, may well be there: what it has
-counts as notified at the deadline, and the list is no longer acted on. One that nobody reaches, or that has
-left a whole lapse unanswered, is taken to be down; then the list is acted on until it is back. There is no
-second lapse before an answer has come. A silent call that follows a failure may not be the first one after
-discovery came back: its deadline counts from that failure.
-
-The next call goes an answer's time before the deadline at the latest, and ``Pace.retry_ms`` after a failure
-where that is later; a watch that fell silent is followed at once. But for the current state calls are short:
-an answer comes in its turn, or the call is given up. Discovery may serve calls in turn, and whoever gives up
-loses its place and spends its turn; so a call is given up after discovery itself would have turned it away,
-and each silent one is followed by one that is given twice the time. The
-module's pause after a failure may be shorter, never longer; it draws the calls of a fleet apart. Watches are
-short, too (``Pace.wait_ms``), as what is left of the time to the deadline is all that there is for the calls
-after a silent one; and drawn apart, as news reach all senders in one moment.
-
-Which answers are believed: versions grow. An answer that is older than what is held is left out whole, and
-the whole list asked for; where that is older, too, the service counts anew, and it is believed.
+So a later failure never extends the deadline of an earlier one that has not passed. A discovery that is
+reached after a silent request, and answers late, refuses requests or breaks them off, may well be up: what it
+has counts as notified at the deadline, and the list is not used any more. One that is not reached, or that
+gave no answer during a whole outdated period, is taken to be down; then the list is used until it is back.
+There is no second outdated period before an answer. A silent request that follows a failure may not be the
+first one after discovery came back: its deadline counts from that failure.
+
+The next request goes at the latest one answer's time before the deadline, or ``Timings.retry_ms`` after a
+failure where that is later; a watch that fell silent is followed at once. Unless the list is current,
+requests are short: an answer comes in its turn, or the request times out. Discovery may serve requests in
+turn, and whoever gives up loses its place and wastes its turn; so a request times out only after discovery
+itself would have rejected it, and each silent one doubles the time-out. The decision module's pause after a
+failure may be shorter, never longer; it spreads the requests of a fleet. Watches are short, too
+(``Timings.wait_ms``), as the requests after a silent one have only the rest of the time to the deadline; and
+their waits are random, as changes reach all senders at the same moment.
+
+Versions grow. An answer older than the known list is dropped, and the whole list is requested; if that is
+older, too, the service has restarted its numbering, and it is accepted.
 """
 
 from __future__ import annotations
@@ -50,36 +50,36 @@
 from random import Random
 from typing import NamedTuple
 
-NOTIFIED_MS = 6000.0  # the protocol's figure, as are the two below
+NOTIFIED_MS = 6000.0  # fixed by the protocol, as are the two below
 AFTER_WAIT_MS = 2000.0
 MOVED_MS = 4000.0
-WHOLE_MS = 2500.0  # a call for the whole list is given up after this
-CATCH_UP_WAIT_MS = 100.0  # how long a short call may wait for news
-LARGE_FLEET = 40.0  # so many senders crowd a discovery that serves them in turn
-ANSWER_MS = 1000.0  # how long an answer may then take, where all goes well
-ANSWER_ALONE_MS = 500.0  # and for a sender that has discovery for itself
-QUEUED_MS = 2500.0  # a discovery that serves its senders in turn lets nobody wait for so long
-RETRY_MS = 200.0  # the shortest pause after a failure, in fleets that are not large
-WAIT_ALONE_MS = 1000.0  # how long a watch of a single sender waits
-WAIT_MS = 2500.0  # and in a large fleet, so that half of ``NOTIFIED_MS`` is left to the calls after it
-MIN_WAIT_FRACTION = 0.5  # waits are drawn from this part of theirs on
-LONGEST_ANSWER_MS = NOTIFIED_MS  # a call is never given longer for its answer
-LAPSE_MS = NOTIFIED_MS  # a list is not acted on for so long at most
-LAPSE_PAUSE_MS = 1200.0  # it is asked for after this meanwhile, in fleets that are not large
+WHOLE_LIST_TIMEOUT_MS = 2500.0
+CATCH_UP_WAIT_MS = 100.0  # how long a short request waits for changes
+LARGE_FLEET = 40.0  # senders that load discovery fully
+ANSWER_MS = 1000.0  # expected time to an answer in a large fleet
+ANSWER_SINGLE_MS = 500.0  # and for a single sender
+QUEUE_WAIT_MS = 2500.0  # discovery turns a request away before it has queued for this long
+RETRY_MS = 200.0  # the shortest pause after a failure, unless the fleet is large
+WAIT_SINGLE_MS = 1000.0  # how long a single sender's watch waits
+WAIT_MS = 2500.0  # and in a large fleet: leaves half of ``NOTIFIED_MS`` to the requests that follow
+MIN_WAIT_FRACTION = 0.5  # waits are drawn from this fraction of the full wait on
+MAX_ANSWER_MS = NOTIFIED_MS  # the longest time-out for an answer
+OUTDATED_MS = NOTIFIED_MS  # the longest time for which a list counts as outdated
+OUTDATED_RETRY_MS = 1200.0  # the longest pause meanwhile, unless the fleet is large
 
 
 class Failure(Enum):
-    """How a call ended without news."""
+    """How a request failed."""
 
-    SILENT = "silent"  # no answer in its time, or none that ends or can be read
-    REFUSED = "refused"  # turned away: it can't be reached for now
-    UNREACHED = "not reached"  # no connection came up
-    BROKEN = "broken"  # the connection came up, and broke: somebody is there
-    LOCAL = "own call failed"  # this machine could not make the call: nothing is known of discovery
+    SILENT = "silent"  # no answer in time, or one that is incomplete or unreadable
+    REFUSED = "refused"  # discovery rejected it: it can't be reached for now
+    UNREACHED = "not reached"  # no connection could be opened
+    BROKEN = "broken"  # the connection opened and broke: discovery is up
+    LOCAL = "own call failed"  # a local error, which says nothing about discovery
 
 
 class State(Enum):
-    """How current the list is that a sender acts on; the table above says what each one is left for."""
+    """How current a sender's list is; the table above lists the transitions."""
 
     CURRENT = "current"
     OVERDUE = "overdue"
@@ -87,55 +87,55 @@
     DOWN = "down"
 
 
-class Lapse(NamedTuple):
-    """From when on and until when no call may begin by the list that is held (ms)."""
+class OutdatedPeriod(NamedTuple):
+    """When the list is outdated, so that no call to an endpoint may begin (ms)."""
 
     begin: float
     end: float
 
-    def holds(self, now: float, grace_ms: float = 0.0) -> bool:
-        """Whether it holds now, for calls that have a grace after its begin."""
+    def contains(self, now: float, grace_ms: float = 0.0) -> bool:
+        """Whether ``now`` is within it, for calls that have a grace period after its begin."""
         return self.begin + grace_ms < now < self.end
 
 
-NO_LAPSE = Lapse(inf, inf)
+NEVER_OUTDATED = OutdatedPeriod(inf, inf)
 
 
 @dataclass(frozen=True, slots=True)
-class Pace:
-    """Times (ms) that depend on how many senders share one discovery, which serves calls in turn.
+class Timings:
+    """Times (ms) that depend on how many senders share one discovery, which serves requests in turn.
 
-    ``answer_ms``: a call's time from its begin to its answer, where all goes well. ``aside_ms``: a watch is
-    given up so long after its wait. ``retry_ms``: the shortest pause between a failure and the next call.
-    ``wait_ms``: how long a watch waits. ``queued_ms``: whoever opens one anew may wait so long for its turn.
+    ``answer_ms``: the expected time from a request to its answer. ``watch_margin_ms``: a watch times out this
+    long after its wait. ``retry_ms``: the shortest pause between a failure and the next request. ``wait_ms``:
+    how long a watch waits. ``queue_wait_ms``: how long a new watch may queue for its turn.
     """
 
     answer_ms: float
-    aside_ms: float
+    watch_margin_ms: float
     retry_ms: float
     wait_ms: float
-    queued_ms: float
+    queue_wait_ms: float
 
 
-def timings(senders: int) -> Pace:
-    """The pace of one sender in a fleet of so many."""
-    crowd = min(log2(max(senders, 1)) / log2(LARGE_FLEET), 1.0)
-    answer = ANSWER_ALONE_MS + (ANSWER_MS - ANSWER_ALONE_MS) * crowd
-    wait = WAIT_ALONE_MS + (WAIT_MS - WAIT_ALONE_MS) * crowd
-    queued = QUEUED_MS if senders > 1 else answer
-    return Pace(answer, answer, RETRY_MS * max(senders / LARGE_FLEET, 1.0), wait, queued)
+def timings(senders: int) -> Timings:
+    """The timings of one sender in a fleet of ``senders``."""
+    crowding = min(log2(max(senders, 1)) / log2(LARGE_FLEET), 1.0)
+    answer = ANSWER_SINGLE_MS + (ANSWER_MS - ANSWER_SINGLE_MS) * crowding
+    wait = WAIT_SINGLE_MS + (WAIT_MS - WAIT_SINGLE_MS) * crowding
+    queue_wait = QUEUE_WAIT_MS if senders > 1 else answer
+    return Timings(answer, answer, RETRY_MS * max(senders / LARGE_FLEET, 1.0), wait, queue_wait)
 
 
-def _missed_by(begun_at: float, wait_ms: float) -> float:
+def _deadline(begun_at: float, wait_ms: float) -> float:
     waited = begun_at + wait_ms + AFTER_WAIT_MS if wait_ms else 0.0
     return max(begun_at + NOTIFIED_MS, waited)
 
 
 @dataclass(frozen=True, slots=True)
 class ListRequest:
-    """One call: the whole list, or what is newer than a version, waited for so long (ms).
+    """One request: for the whole list, or for changes since a version, with a long poll of ``wait_ms``.
 
-    ``number`` counts a process's calls from 1 on.
+    ``number`` counts a process's requests from 1 on.
     """
 
     since: int | None
@@ -145,13 +145,13 @@
     number: int = 0
 
     @property
-    def missed_by(self) -> float:
-        """From when on what this call should have brought counts as notified, should it bring nothing."""
-        return _missed_by(self.begun_at, self.wait_ms)
+    def deadline(self) -> float:
+        """When changes that it should have returned count as notified, should it fail."""
+        return _deadline(self.begun_at, self.wait_ms)
 
 
 class Watch:
-    """What one sender knows of its list. Times are milliseconds of one clock."""
+    """The list requests of one sender. Times are milliseconds of one clock."""
 
     def __init__(
         self,
@@ -161,160 +161,160 @@
         random: Random | None = None,
         can_be_outdated: bool = True,
     ) -> None:
-        """``version``: of the list that is held at the start; none: the whole list comes first.
+        """``version``: of the list that is known at the start; ``None``: the whole list is requested first.
 
-        ``random`` draws the waits of watches; none: each waits for all of ``wait_ms``. ``can_be_outdated``:
-        whether a discovery that is reached and silent may be up; the agent that lists are pushed to is silent
-        only while discovery is down.
+        ``random`` draws the waits of watches; ``None``: each waits for all of ``wait_ms``.
+        ``can_be_outdated``: whether a discovery that is reached and silent may be up; an agent that lists are
+        pushed to is silent only while discovery is down.
         """
         self._version, self._wait, self.timings = version, wait_ms, timings(senders)
-        self._random, self._lapses = random, can_be_outdated
-        self._wants = self._fetches = self._doubts = self._moved = False
-        self._ask: ListRequest | None = None
-        self._missed_by = inf  # the earliest deadline that a call left which was not refused
-        self._failed_by = inf  # the deadline that the last failure left, where that one counts
-        self._back_by = inf  # the deadline, had discovery been back right after it was last out of reach
-        self._silent_by = inf  # the earliest deadline that a silent call left, or took over from a failure
-        self._silences = 0  # silent calls in a row
-        self._goes_on = (
-            False  # whether the last call was answered, so that the next one goes on with its watch
-        )
-        self._reached = True  # whether the last call reached discovery
-        self._lapsed = False  # whether a whole lapse went by without an answer
+        self._random, self._can_be_outdated = random, can_be_outdated
+        self._active = self._wants_whole = self._invalid = self._moved = False
+        self._request: ListRequest | None = None
+        self._answer_due = inf  # the earliest that a request left which was not refused
+        self._retry_due = inf  # of the last failure: a refusal, or any while discovery is down
+        self._recovery_due = inf  # if discovery came back right after it was last out of reach
+        self._silent_due = inf  # the earliest that a silent request left or inherited
+        self._silent_requests = 0  # in a row
+        self._continues = False  # whether the last request was answered: the next one continues its watch
+        self._reached = True  # whether the last request reached discovery
+        self._was_outdated = False  # whether a whole outdated period went by without an answer
         self._down = False
-        self._asked = 0
+        self._request_count = 0
         self.first_deadline = inf  # the earliest deadline since the last answer, whether or not it has passed
 
     def state(self, now: float) -> State:
-        """How current the list is, by what the last call left."""
-        if self.outdated_period.holds(now):
+        """How current the list is."""
+        if self.outdated_period.contains(now):
             return State.OUTDATED
         if self._down:
             return State.DOWN
-        return State.CURRENT if self.overdue_by == inf else State.OVERDUE
+        return State.CURRENT if self.deadline == inf else State.OVERDUE
 
     @property
-    def outdated_period(self) -> Lapse:
-        """When the list that is held may not be acted on."""
-        if self._silent_by == inf or not self._reached or not self._lapses:
-            return NO_LAPSE
-        return Lapse(self._silent_by, self._silent_by + LAPSE_MS)
+    def outdated_period(self) -> OutdatedPeriod:
+        """When the list counts as outdated."""
+        if self._silent_due == inf or not self._reached or not self._can_be_outdated:
+            return NEVER_OUTDATED
+        return OutdatedPeriod(self._silent_due, self._silent_due + OUTDATED_MS)
 
     @property
-    def overdue_by(self) -> float:
-        """By when an answer has to be here; inf where nothing is missing."""
-        return min(self._missed_by, self._failed_by)
+    def deadline(self) -> float:
+        """When an answer is due; inf where nothing is missing."""
+        return min(self._answer_due, self._retry_due)
 
     def set_active(self, active: bool = True) -> None:
-        """Watch from now on, or no more."""
-        self._wants = active
+        """Begin or end the watch."""
+        self._active = active
 
     def fetch(self) -> None:
         """Request the whole list once."""
-        self._fetches = True
+        self._wants_whole = True
 
     def invalidate(self) -> None:
-        """What is held is not the list of any one version: ask for the whole list until it is answered."""
-        self._doubts = True
+        """The list is of no single version: request the whole list until it is answered."""
+        self._invalid = True
 
     def begin(self, now: float) -> ListRequest | None:
-        """The call to make now; none where nothing is wanted."""
-        if not (self._wants or self._fetches):
+        """The request to make now; ``None`` where nothing is wanted."""
+        if not (self._active or self._wants_whole):
             return None
-        whole, self._fetches = self._fetches or self._doubts or self._version is None, False
-        self._asked += 1
+        whole, self._wants_whole = self._wants_whole or self._invalid or self._version is None, False
+        self._request_count += 1
         if whole:
-            # Guards discovery against a fleet that starts at once: no short watch goes before this.
-            self._ask = ListRequest(None, 0.0, now + self._patience(WHOLE_MS), now, self._asked)
-        elif self.overdue_by < inf:
-            # Guards the deadline: a long watch would not tell "nothing new" from silence before it.
-            give_up_at = now + CATCH_UP_WAIT_MS + self._patience(self.timings.queued_ms)
+            # Not preceded by a short watch, which would overload discovery when a whole fleet starts.
+            self._request = ListRequest(
+                None, 0.0, now + self._answer_timeout(WHOLE_LIST_TIMEOUT_MS), now, self._request_count
+            )
+        elif self.deadline < inf:
+            # A long watch could not tell "no changes" from silence before the deadline.
+            give_up_at = now + CATCH_UP_WAIT_MS + self._answer_timeout(self.timings.queue_wait_ms)
             wait_ms = min(CATCH_UP_WAIT_MS, self._wait)
-            self._ask = ListRequest(self._version, wait_ms, give_up_at, now, self._asked)
+            self._request = ListRequest(self._version, wait_ms, give_up_at, now, self._request_count)
         else:
-            part = 1.0 if self._random is None else self._random.uniform(MIN_WAIT_FRACTION, 1.0)
-            wait_ms = part * self._wait
-            self._ask = ListRequest(
-                self._version, wait_ms, self._give_up_watch_at(now, wait_ms), now, self._asked
+            fraction = 1.0 if self._random is None else self._random.uniform(MIN_WAIT_FRACTION, 1.0)
+            wait_ms = fraction * self._wait
+            self._request = ListRequest(
+                self._version, wait_ms, self._give_up_watch_at(now, wait_ms), now, self._request_count
             )
         self._moved = False
-        return self._ask
+        return self._request
 
     def _give_up_watch_at(self, now: float, wait_ms: float) -> float:
-        """One that goes on with no watch may wait for its turn first, as far as the deadline allows."""
-        soonest = now + wait_ms + self.timings.aside_ms
-        if self._goes_on:
+        """A watch that continues no other may queue first, as far as the deadline allows."""
+        soonest = now + wait_ms + self.timings.watch_margin_ms
+        if self._continues:
             return soonest
-        latest = _missed_by(now, wait_ms) - self.timings.answer_ms
-        return max(soonest, min(now + wait_ms + self.timings.queued_ms, latest))
+        latest = _deadline(now, wait_ms) - self.timings.answer_ms
+        return max(soonest, min(now + wait_ms + self.timings.queue_wait_ms, latest))
 
-    def _patience(self, answer_ms: float) -> float:
-        """How long an answer may take: more after each silent call, as discovery may be slow."""
-        most = max(LONGEST_ANSWER_MS, answer_ms)
-        return min(answer_ms * float(2 ** min(max(self._silences - 1, 0), 10)), most)
+    def _answer_timeout(self, answer_ms: float) -> float:
+        """Doubles with each silent request, as discovery may be slow."""
+        longest = max(MAX_ANSWER_MS, answer_ms)
+        return min(answer_ms * float(2 ** min(max(self._silent_requests - 1, 0), 10)), longest)
 
     def answered(self, version: int) -> bool:
-        """An answer was read; whether it is believed."""
-        assert self._ask is not None
+        """An answer was read; returns whether it is accepted."""
+        assert self._request is not None
         older = self._version is not None and version < self._version
-        if older and not (self._doubts and self._ask.since is None):
-            self._doubts = self._fetches = True
+        if older and not (self._invalid and self._request.since is None):
+            self._invalid = self._wants_whole = True
             return False
-        self._version, self._doubts = version, False
-        self._missed_by = self._failed_by = self._back_by = self._silent_by = self.first_deadline = inf
-        self._silences, self._reached, self._goes_on = 0, True, True
-        self._down = self._lapsed = False
+        self._version, self._invalid = version, False
+        self._answer_due = self._retry_due = self._recovery_due = self._silent_due = self.first_deadline = inf
+        self._silent_requests, self._reached, self._continues = 0, True, True
+        self._down = self._was_outdated = False
         return True
 
     def moved(self, now: float) -> None:
-        """Discovery is at another address: what was asked of the old one is asked there."""
-        self._wants = self._moved = True
-        self._down = self._lapsed = False
-        self._silences = 0
-        self._missed_by = min(self._missed_by, now + MOVED_MS)
-        if self._ask is not None:
-            self._missed_by = min(self._missed_by, max(self._ask.missed_by, now))
-            if self._ask.since is None:
-                self._fetches = True
+        """Discovery has another address: what was requested at the old one is requested there."""
+        self._active = self._moved = True
+        self._down = self._was_outdated = False
+        self._silent_requests = 0
+        self._answer_due = min(self._answer_due, now + MOVED_MS)
+        if self._request is not None:
+            self._answer_due = min(self._answer_due, max(self._request.deadline, now))
+            if self._request.since is None:
+                self._wants_whole = True
 
     def failed(self, failure: Failure, now: float) -> float:
-        """A call brought nothing, and none goes until one is wanted again: by when (ms)."""
-        assert self._ask is not None
-        self._wants = self._moved  # guards a move that crosses the failure of a call to the old address
-        self._goes_on = False
-        self._pass(now)
+        """A request failed, and the watch is off until it is set active again: by when that must be (ms)."""
+        assert self._request is not None
+        self._active = self._moved  # kept where a move came before the failure at the old address
+        self._continues = False
+        self._expire(now)
         if failure is not Failure.LOCAL:
             self._reached = failure is not Failure.UNREACHED
         match failure:
             case Failure.SILENT:
-                self._silences += 1
-                if not self._lapsed:
-                    self._silent_by = min(self._silent_by, self._ask.missed_by, self._back_by)
+                self._silent_requests += 1
+                if not self._was_outdated:
+                    self._silent_due = min(self._silent_due, self._request.deadline, self._recovery_due)
             case Failure.UNREACHED:
-                self._back_by = now + NOTIFIED_MS
-            case Failure.REFUSED | Failure.BROKEN | Failure.LOCAL:  # it may be there, and crowded
-                self._back_by = min(self._back_by, now + NOTIFIED_MS)
+                self._recovery_due = now + NOTIFIED_MS
+            case Failure.REFUSED | Failure.BROKEN | Failure.LOCAL:  # discovery may be up, and overloaded
+                self._recovery_due = min(self._recovery_due, now + NOTIFIED_MS)
         broken = inf if failure is Failure.SILENT else now + NOTIFIED_MS
         if failure is Failure.REFUSED:
-            # Guards discovery: what turns calls away may be overbooked, and would stay so.
-            self._failed_by = now + NOTIFIED_MS
+            # Earlier retries would keep an overloaded discovery overloaded.
+            self._retry_due = now + NOTIFIED_MS
         elif self._down:
-            self._failed_by = min(self._ask.missed_by, broken)
+            self._retry_due = min(self._request.deadline, broken)
         else:
-            self._missed_by = min(self._missed_by, self._ask.missed_by, broken, self._silent_by)
-        self.first_deadline = min(self.first_deadline, self.overdue_by)
-        if self._ask.wait_ms > CATCH_UP_WAIT_MS and now >= self._ask.give_up_at:
+            self._answer_due = min(self._answer_due, self._request.deadline, broken, self._silent_due)
+        self.first_deadline = min(self.first_deadline, self.deadline)
+        if self._request.wait_ms > CATCH_UP_WAIT_MS and now >= self._request.give_up_at:
             return now
-        again_by = max(self.overdue_by - self.timings.answer_ms, now + self.timings.retry_ms)
-        if self.outdated_period.holds(now):
-            again_by = min(again_by, now + max(LAPSE_PAUSE_MS, 2 * self.timings.retry_ms))
-        return again_by
-
-    def _pass(self, now: float) -> None:
-        """Deadlines that have passed count no more; where no refusal left one, discovery is down."""
-        if self._missed_by <= now:
-            self._missed_by, self._down = inf, True
-        if self._failed_by <= now:
-            self._failed_by = inf
-        if self._silent_by + LAPSE_MS <= now:
-            self._silent_by, self._lapsed = inf, True
+        retry_by = max(self.deadline - self.timings.answer_ms, now + self.timings.retry_ms)
+        if self.outdated_period.contains(now):
+            retry_by = min(retry_by, now + max(OUTDATED_RETRY_MS, 2 * self.timings.retry_ms))
+        return retry_by
+
+    def _expire(self, now: float) -> None:
+        """Drop deadlines that have passed; unless a refusal left it, discovery is down."""
+        if self._answer_due <= now:
+            self._answer_due, self._down = inf, True
+        if self._retry_due <= now:
+            self._retry_due = inf
+        if self._silent_due + OUTDATED_MS <= now:
+            self._silent_due, self._was_outdated = inf, True
--- a/tests/test_clearance.py
+++ b/tests/test_clearance.py
@@ -20,7 +20,7 @@
     Result,
     Scope,
 )
-from springspread.core.watch import Lapse
+from springspread.core.watch import OutdatedPeriod
 
 GRACE_MS = 150.0
 READ_AT = 1000.0
@@ -116,7 +116,7 @@
 
 
 def test_no_call_begins_while_the_list_is_outdated(look: Look) -> None:
-    outdated_period = Lapse(READ_AT + 100.0, READ_AT + 6100.0)
+    outdated_period = OutdatedPeriod(READ_AT + 100.0, READ_AT + 6100.0)
     look.clearance.received(ListUpdate(Scope.FAILED, ask_by=READ_AT, outdated_period=outdated_period))
     assert look.reason(100.0 + GRACE_MS) is None
     assert look.reason(101.0 + GRACE_MS) is Withheld.LIST_OUTDATED
@@ -126,7 +126,9 @@
 
 @pytest.mark.parametrize("then", [news(), ListUpdate(Scope.FAILED)], ids=["answered", "not reached"])
 def test_calls_go_on_as_the_list_is_there_or_discovery_is_not_reached(look: Look, then: ListUpdate) -> None:
-    look.clearance.received(ListUpdate(Scope.FAILED, outdated_period=Lapse(READ_AT, READ_AT + 6000.0)))
+    look.clearance.received(
+        ListUpdate(Scope.FAILED, outdated_period=OutdatedPeriod(READ_AT, READ_AT + 6000.0))
+    )
     assert look.reason() is Withheld.LIST_OUTDATED
     look.clearance.received(then)
     assert look.reason() is None
--- a/tests/test_watch.py
+++ b/tests/test_watch.py
@@ -1,4 +1,4 @@
-"""The clock of the list: by when discovery is asked again, and which answers are believed."""
+"""The watch of discovery's list: when it is requested again, and which answers are accepted."""
 
 from __future__ import annotations
 
@@ -21,11 +21,11 @@
 from springspread.core.watch import (
     AFTER_WAIT_MS,
     ANSWER_MS,
-    LAPSE_MS,
     MIN_WAIT_FRACTION,
     MOVED_MS,
-    NO_LAPSE,
+    NEVER_OUTDATED,
     NOTIFIED_MS,
+    OUTDATED_MS,
     Failure,
     State,
     Watch,
@@ -41,64 +41,61 @@
 
 
 LARGE = 200  # senders: an answer may take ``ANSWER_MS``
-FLEETS = st.sampled_from([1, 4, 40, LARGE])
+SENDERS = st.sampled_from([1, 4, 40, LARGE])
 
 
-def watching(version: int | None = 7, senders: int = LARGE) -> Watch:
+def active_watch(version: int | None = 7, senders: int = LARGE) -> Watch:
     watch = Watch(version, WAIT_MS, senders)
     watch.set_active()
     return watch
 
 
 @pytest.mark.parametrize(
-    ("failure", "told"),
+    ("failure", "deadline"),
     [
         (Failure.SILENT, WAIT_MS + AFTER_WAIT_MS),
         (Failure.REFUSED, NOTIFIED_MS + 300.0),
         (Failure.UNREACHED, NOTIFIED_MS + 300.0),
     ],
 )
-def test_a_failed_call_is_made_again_before_what_it_missed_counts_as_told(
-    failure: Failure, told: float
+def test_a_failed_request_is_repeated_before_what_it_missed_counts_as_notified(
+    failure: Failure, deadline: float
 ) -> None:
-    watch = watching()
-    ask = watch.begin(0.0)
-    assert ask is not None and ask.since == 7
-    assert watch.failed(failure, 300.0) == told - ANSWER_MS
-    assert watch.begin(400.0) is None  # until it is wanted again
+    watch = active_watch()
+    request = watch.begin(0.0)
+    assert request is not None and request.since == 7
+    assert watch.failed(failure, 300.0) == deadline - ANSWER_MS
+    assert watch.begin(400.0) is None  # until it is set active again
 
 
 def test_a_silent_watch_is_given_up_while_another_can_still_answer_in_time() -> None:
-    watch = watching()
-    ask = watch.begin(0.0)
-    assert ask is not None
-    assert watch.failed(Failure.SILENT, ask.give_up_at) <= ask.give_up_at
-    assert ask.give_up_at + ANSWER_MS <= WAIT_MS + AFTER_WAIT_MS
+    watch = active_watch()
+    request = watch.begin(0.0)
+    assert request is not None
+    assert watch.failed(Failure.SILENT, request.give_up_at) <= request.give_up_at
+    assert request.give_up_at + ANSWER_MS <= WAIT_MS + AFTER_WAIT_MS
 
 
 @settings(derandomize=True, deadline=None, database=None)
-@given(FLEETS, st.lists(st.tuples(FAILURES, st.floats(0.0, 1.0)), min_size=1, max_size=8))
-def test_whatever_failed_the_next_call_is_answered_before_what_was_missed_counts_as_told(
+@given(SENDERS, st.lists(st.tuples(FAILURES, st.floats(0.0, 1.0)), min_size=1, max_size=8))
+def test_after_any_failures_the_next_request_is_answered_before_its_deadline(
     senders: int, calls: list[tuple[Failure, float]]
 ) -> None:
-    """By the page: 6 s after discovery had it and could be reached, or 2 s after a silent call's wait.
+    """Within 6 s after discovery had the change and could be reached, or 2 s after a silent request's wait.
 
-    Also where one failure follows another: none moves on what an earlier call left, refusals apart, as they
-    tell that discovery could not be reached. Up to the pause that discovery is owed after each failure.
+    Later failures, other than refusals, do not extend an earlier deadline. The pause after a failure is kept.
     """
-    watch, now, missed, back_by = watching(senders=senders), 0.0, list[float](), inf
+    watch, now, missed, back_by = active_watch(senders=senders), 0.0, list[float](), inf
     answer_ms, retry_ms = watch.timings.answer_ms, watch.timings.retry_ms
-    for failure, part in calls:
-        ask = watch.begin(now)
-        assert ask is not None
-        took = part * answer_ms
-        failed_at = ask.give_up_at if failure is Failure.SILENT else now + took
+    for failure, fraction in calls:
+        request = watch.begin(now)
+        assert request is not None
+        took = fraction * answer_ms
+        failed_at = request.give_up_at if failure is Failure.SILENT else now + took
         ask_by = max(watch.failed(failure, failed_at), failed_at)
-        assert (
-            ask_by + answer_ms <= failed_at + NOTIFIED_MS + 1e-6
-        )  # back in the pause: read within 6 s of that
+        assert ask_by + answer_ms <= failed_at + NOTIFIED_MS + 1e-6  # if discovery is back in the pause
         if failure is not Failure.REFUSED:
-            waited = now + ask.wait_ms + AFTER_WAIT_MS if ask.wait_ms else 0.0
+            waited = now + request.wait_ms + AFTER_WAIT_MS if request.wait_ms else 0.0
             broken = failed_at + NOTIFIED_MS if failure is not Failure.SILENT else inf
             missed.append(min(max(now + NOTIFIED_MS, waited), broken))
         if failure is Failure.UNREACHED:
@@ -107,19 +104,19 @@
             back_by = min(back_by, failed_at + NOTIFIED_MS)
         else:
             missed[-1] = min(missed[-1], back_by)
-        if missed and failed_at < min(missed):  # later nobody has answered for so long: it is down
+        if missed and failed_at < min(missed):  # later it is down
             assert ask_by <= max(min(missed) - answer_ms, failed_at + retry_ms)
         now = ask_by
         watch.set_active()
 
 
 @settings(derandomize=True, deadline=None, database=None)
-@given(FLEETS, st.lists(FAILURES, min_size=20, max_size=40))
-def test_a_discovery_that_answers_nothing_is_not_asked_without_rest(
+@given(SENDERS, st.lists(FAILURES, min_size=20, max_size=40))
+def test_requests_to_a_discovery_that_answers_nothing_are_limited(
     senders: int, failures: list[Failure]
 ) -> None:
-    """Of each kind of failure: by refusals one call in 5 s at the least, a pause after every other."""
-    watch, now, begun, alone = watching(senders=senders), 0.0, list[float](), set(failures)
+    """At most one request in 5 s where all are refused, and a pause after any other failure."""
+    watch, now, begun, alone = active_watch(senders=senders), 0.0, list[float](), set(failures)
     for failure in failures:
         begun.append(now)
         assert watch.begin(now) is not None
@@ -128,49 +125,49 @@
     gaps = [later - one for one, later in pairwise(begun)]
     if alone == {Failure.REFUSED}:
         assert min(gaps) >= NOTIFIED_MS - ANSWER_MS
-    # One that is left over from a silent watch is asked for in the last of its time, and then no sooner.
+    # Requests are densest just before the deadline of a silent watch.
     seconds = [sum(at <= other < at + NOTIFIED_MS for other in begun) for at in begun]
     assert max(seconds) <= 2 * (1 + ceil(watch.timings.answer_ms / watch.timings.retry_ms))
     assert max(gaps) <= WAIT_MS + AFTER_WAIT_MS
 
 
-def test_a_silent_watchs_deadline_outlasts_the_failures_that_follow() -> None:
+def test_later_failures_do_not_extend_a_silent_watchs_deadline() -> None:
     for senders in (1, 4, 40, LARGE):
-        watch = watching(senders=senders)
-        ask = watch.begin(0.0)
-        assert ask is not None
-        now = ask.give_up_at
-        assert watch.failed(Failure.SILENT, now) == now  # at once
+        watch = active_watch(senders=senders)
+        request = watch.begin(0.0)
+        assert request is not None
+        now = request.give_up_at
+        assert watch.failed(Failure.SILENT, now) == now  # retried at once
         for failure in (Failure.REFUSED, Failure.UNREACHED):
             watch.set_active()
             assert watch.begin(now) is not None
-            assert watch.overdue_by == WAIT_MS + AFTER_WAIT_MS
+            assert watch.deadline == WAIT_MS + AFTER_WAIT_MS
             failed_at = now + 1.0
             now = watch.failed(failure, failed_at)
             asked_by = WAIT_MS + AFTER_WAIT_MS - watch.timings.answer_ms
             assert now <= max(asked_by, failed_at + watch.timings.retry_ms)
             if now >= WAIT_MS + AFTER_WAIT_MS:
-                break  # in a large fleet one call more is all that discovery can bear
+                break  # in a large fleet there is time for one more request only
 
 
-def test_calls_are_short_until_an_answer_comes() -> None:
-    watch = watching(senders=4)
+def test_requests_are_short_until_an_answer_comes() -> None:
+    watch = active_watch(senders=4)
     watch.begin(0.0)
     watch.failed(Failure.UNREACHED, 10.0)
     watch.set_active()
-    ask = watch.begin(200.0)
-    assert ask is not None and ask.since == 7 and ask.wait_ms < 200.0
-    assert ask.give_up_at + watch.timings.answer_ms <= watch.overdue_by  # there is time for another one
+    request = watch.begin(200.0)
+    assert request is not None and request.since == 7 and request.wait_ms < 200.0
+    assert request.give_up_at + watch.timings.answer_ms <= watch.deadline  # there is time for another one
     assert watch.answered(7)
-    ask = watch.begin(300.0)
-    assert ask is not None and ask.wait_ms == WAIT_MS
+    request = watch.begin(300.0)
+    assert request is not None and request.wait_ms == WAIT_MS
 
 
-def test_how_late_an_answer_comes_is_known_although_its_deadline_has_passed() -> None:
-    watch = watching(senders=4)
-    ask = watch.begin(0.0)
-    assert ask is not None and watch.state(0.0) is State.CURRENT and watch.first_deadline == inf
-    now = ask.give_up_at
+def test_the_first_deadline_is_kept_after_it_has_passed() -> None:
+    watch = active_watch(senders=4)
+    request = watch.begin(0.0)
+    assert request is not None and watch.state(0.0) is State.CURRENT and watch.first_deadline == inf
+    now = request.give_up_at
     while now < WAIT_MS + AFTER_WAIT_MS:
         now = max(watch.failed(Failure.SILENT, now), now + 100.0)
         assert watch.first_deadline == WAIT_MS + AFTER_WAIT_MS
@@ -184,21 +181,23 @@
 
 
 @settings(derandomize=True, deadline=None, database=None)
-@given(FLEETS, st.lists(st.tuples(FAILURES, st.floats(0.0, 1.0)), min_size=1, max_size=30))
-def test_a_list_is_not_acted_on_while_what_a_silent_call_missed_counts_as_notified(
+@given(SENDERS, st.lists(st.tuples(FAILURES, st.floats(0.0, 1.0)), min_size=1, max_size=30))
+def test_a_list_is_outdated_from_a_silent_requests_deadline(
     senders: int, calls: list[tuple[Failure, float]]
 ) -> None:
-    """From that deadline on, if discovery was reached last; for one lapse, and no second one."""
-    watch, now, silent_by, back_by, lapsed = watching(senders=senders), 0.0, inf, inf, False
-    for failure, part in calls:
-        ask = watch.begin(now)
-        assert ask is not None
-        failed_at = ask.give_up_at if failure is Failure.SILENT else now + part * watch.timings.answer_ms
-        if failed_at >= silent_by + LAPSE_MS:
-            silent_by, lapsed = inf, True
-        if failure is Failure.SILENT and not lapsed:
-            silent_by = min(silent_by, ask.missed_by, back_by)
-        elif failure is Failure.UNREACHED:  # it can't be reached now: counted anew
+    """From that deadline on, if discovery was reached last; for one period, and no second one."""
+    watch, now, silent_by, back_by, was_outdated = active_watch(senders=senders), 0.0, inf, inf, False
+    for failure, fraction in calls:
+        request = watch.begin(now)
+        assert request is not None
+        failed_at = (
+            request.give_up_at if failure is Failure.SILENT else now + fraction * watch.timings.answer_ms
+        )
+        if failed_at >= silent_by + OUTDATED_MS:
+            silent_by, was_outdated = inf, True
+        if failure is Failure.SILENT and not was_outdated:
+            silent_by = min(silent_by, request.deadline, back_by)
+        elif failure is Failure.UNREACHED:  # counted anew, as it can't be reached now
             back_by = failed_at + NOTIFIED_MS
         elif failure is not Failure.SILENT:
             back_by = min(back_by, failed_at + NOTIFIED_MS)
@@ -206,81 +205,81 @@
         begin = silent_by if failure is not Failure.UNREACHED else inf
         if failure is not Failure.LOCAL:
             assert watch.outdated_period.begin == begin
-        assert watch.outdated_period.end == watch.outdated_period.begin + LAPSE_MS
+        assert watch.outdated_period.end == watch.outdated_period.begin + OUTDATED_MS
         now = again
         watch.set_active()
     watch.begin(now)
-    assert watch.answered(8) and watch.outdated_period == NO_LAPSE
+    assert watch.answered(8) and watch.outdated_period == NEVER_OUTDATED
 
 
 @pytest.mark.parametrize("failure", [one for one in Failure if one is not Failure.SILENT])
-def test_a_silent_call_after_a_failure_counts_from_that_failure(failure: Failure) -> None:
-    """Discovery may have been back, with news, from then on."""
-    watch = watching(senders=4)
+def test_a_silent_request_after_a_failure_counts_from_that_failure(failure: Failure) -> None:
+    """Discovery may have been back, with changes, from then on."""
+    watch = active_watch(senders=4)
     watch.begin(0.0)
     watch.failed(failure, 10.0)
     watch.set_active()
-    ask = watch.begin(700.0)
-    assert ask is not None
-    watch.failed(Failure.SILENT, ask.give_up_at)
+    request = watch.begin(700.0)
+    assert request is not None
+    watch.failed(Failure.SILENT, request.give_up_at)
     assert watch.outdated_period.begin == 10.0 + NOTIFIED_MS
 
 
-def test_a_call_that_this_machine_could_not_make_says_nothing_of_discovery() -> None:
-    watch = watching(senders=4)
+def test_a_local_error_says_nothing_about_discovery() -> None:
+    watch = active_watch(senders=4)
     watch.begin(0.0)
     watch.failed(Failure.SILENT, 1000.0)
     outdated_period = watch.outdated_period
     assert outdated_period.begin == WAIT_MS + AFTER_WAIT_MS
-    for failure, expected in ((Failure.LOCAL, outdated_period), (Failure.UNREACHED, NO_LAPSE)):
+    for failure, expected in ((Failure.LOCAL, outdated_period), (Failure.UNREACHED, NEVER_OUTDATED)):
         watch.set_active()
         watch.begin(1100.0)
         watch.failed(failure, 1110.0)
         assert watch.outdated_period == expected
 
 
-def test_a_silent_agent_is_one_whose_discovery_is_down() -> None:
+def test_a_silent_agent_does_not_make_the_list_outdated() -> None:
     watch = Watch(7, WAIT_MS, 4, can_be_outdated=False)
     watch.set_active()
     watch.begin(0.0)
     watch.failed(Failure.SILENT, 1000.0)
-    assert watch.outdated_period == NO_LAPSE
+    assert watch.outdated_period == NEVER_OUTDATED
 
 
-def test_each_silent_call_is_followed_by_one_that_is_given_twice_the_time() -> None:
-    """A discovery that takes longer than the first call is given is answered at last."""
+def test_each_silent_request_doubles_the_timeout() -> None:
+    """So a discovery that is slower than the first time-out is read in the end."""
     for senders in (1, 4, 40, LARGE):
-        watch, now = watching(senders=senders), 0.0
+        watch, now = active_watch(senders=senders), 0.0
         watch.begin(0.0)
         for nth in range(8):
             now = max(watch.failed(Failure.SILENT, now), now)
             watch.set_active()
-            ask = watch.begin(now)
-            assert ask is not None
-            given = ask.give_up_at - now - ask.wait_ms
+            request = watch.begin(now)
+            assert request is not None
+            given = request.give_up_at - now - request.wait_ms
             assert min(2**nth * watch.timings.answer_ms, NOTIFIED_MS) - 1.0 <= given <= NOTIFIED_MS + 1.0
-            now = ask.give_up_at
+            now = request.give_up_at
         assert given >= NOTIFIED_MS - 1.0
 
 
 @pytest.mark.parametrize("senders", [2, 6, 40, LARGE])
-def test_a_call_that_waits_for_its_turn_is_not_given_up_before_discovery_turns_it_away(senders: int) -> None:
-    """It would lose its place, and its turn would be spent on nobody. As far as the deadline allows."""
-    turned_away_ms = 2001.0
+def test_a_queued_request_does_not_time_out_before_discovery_rejects_it(senders: int) -> None:
+    """It would lose its place in the queue. As far as the deadline allows."""
+    rejected_ms = 2001.0
     watch = Watch(7, timings(senders).wait_ms, senders, Random(1))
     watch.set_active()
     first = watch.begin(0.0)
-    assert first is not None and first.give_up_at >= turned_away_ms + first.wait_ms
-    watch.failed(Failure.REFUSED, turned_away_ms)
+    assert first is not None and first.give_up_at >= rejected_ms + first.wait_ms
+    watch.failed(Failure.REFUSED, rejected_ms)
     watch.set_active()
     after = watch.begin(3000.0)
-    assert after is not None and after.give_up_at >= 3000.0 + turned_away_ms + after.wait_ms
+    assert after is not None and after.give_up_at >= 3000.0 + rejected_ms + after.wait_ms
     watch.answered(7)
     on = watch.begin(4000.0)
-    assert on is not None and on.give_up_at == 4000.0 + on.wait_ms + watch.timings.aside_ms
+    assert on is not None and on.give_up_at == 4000.0 + on.wait_ms + watch.timings.watch_margin_ms
 
 
-def test_watches_that_news_began_together_end_apart_and_leave_half_the_time_to_what_follows() -> None:
+def test_watches_that_began_together_end_spread_out_and_early_enough_for_retries() -> None:
     for senders in (6, 40, LARGE):
         ends = []
         for seed in range(senders):
@@ -288,26 +287,26 @@
             watch.set_active()
             watch.begin(0.0)
             watch.answered(7)
-            ask = watch.begin(0.0)
-            assert ask is not None
-            ends.append(ask.give_up_at)
+            request = watch.begin(0.0)
+            assert request is not None
+            ends.append(request.give_up_at)
         assert max(ends) <= NOTIFIED_MS - 2.5 * timings(senders).answer_ms
         apart = (1.0 - MIN_WAIT_FRACTION) * timings(senders).wait_ms
         assert max(ends) - min(ends) > 0.5 * apart
 
 
-def test_a_move_leaves_a_deadline_and_a_short_call() -> None:
-    watch = watching(senders=4)
+def test_a_move_leaves_a_deadline_and_a_short_request() -> None:
+    watch = active_watch(senders=4)
     watch.begin(0.0)
     watch.moved(100.0)
-    assert watch.overdue_by == 100.0 + MOVED_MS
-    ask = watch.begin(110.0)
-    assert ask is not None and ask.wait_ms < 200.0
-    assert ask.give_up_at + watch.timings.answer_ms <= watch.overdue_by  # there is time for another one
-    assert watch.failed(Failure.SILENT, ask.give_up_at) <= 100.0 + MOVED_MS - watch.timings.answer_ms
+    assert watch.deadline == 100.0 + MOVED_MS
+    request = watch.begin(110.0)
+    assert request is not None and request.wait_ms < 200.0
+    assert request.give_up_at + watch.timings.answer_ms <= watch.deadline  # there is time for another one
+    assert watch.failed(Failure.SILENT, request.give_up_at) <= 100.0 + MOVED_MS - watch.timings.answer_ms
 
 
-def test_the_pace_of_a_fleet_keeps_its_rate_of_retries() -> None:
+def test_retry_pauses_grow_with_the_fleet() -> None:
     assert timings(1).retry_ms == timings(40).retry_ms and timings(400).retry_ms == 10 * timings(40).retry_ms
     assert (
         timings(1).answer_ms
@@ -318,31 +317,31 @@
     )
 
 
-def test_an_older_list_is_left_out_and_one_that_counts_anew_is_believed() -> None:
-    watch = watching(40)
+def test_an_older_list_is_dropped_and_a_restarted_numbering_accepted() -> None:
+    watch = active_watch(40)
     assert watch.begin(0.0) is not None
-    assert not watch.answered(39)  # late, or of another service
-    ask = watch.begin(20.0)
-    assert ask is not None and ask.since is None
-    assert watch.answered(3)  # the whole list says so, too
-    ask = watch.begin(40.0)
-    assert ask is not None and ask.since == 3
+    assert not watch.answered(39)  # late, or from another service
+    request = watch.begin(20.0)
+    assert request is not None and request.since is None
+    assert watch.answered(3)  # confirmed by the whole list
+    request = watch.begin(40.0)
+    assert request is not None and request.since == 3
 
 
-def test_a_doubted_list_is_asked_for_whole_also_after_a_failure() -> None:
-    watch = watching(40)
+def test_an_invalid_list_is_requested_whole_also_after_a_failure() -> None:
+    watch = active_watch(40)
     watch.begin(0.0)
     watch.answered(39)
     watch.begin(20.0)
     watch.failed(Failure.REFUSED, 30.0)
     watch.set_active()
-    ask = watch.begin(40.0)
-    assert ask is not None and ask.since is None
+    request = watch.begin(40.0)
+    assert request is not None and request.since is None
 
 
-def test_a_move_that_crosses_a_failure_is_not_lost() -> None:
+def test_a_move_at_the_time_of_a_failure_is_not_lost() -> None:
     for order in ("moved first", "failed first"):
-        watch = watching()
+        watch = active_watch()
         watch.begin(0.0)
         if order == "moved first":
             watch.moved(5.0)
@@ -354,7 +353,7 @@
 
 @dataclass
 class Discovery:
-    """A raw stand-in: each call gets the next script, which is given its socket; then calls hang."""
+    """A raw server: each request runs the next script on its socket; later ones get no answer."""
 
     scripts: list[Callable[[socket.socket], None]]
     sock: socket.socket
@@ -376,13 +375,13 @@
         return "127.0.0.1", self.sock.getsockname()[1]
 
 
-def written(version: int, state: str = "Ready", indent: int | None = None) -> bytes:
+def encoded_list(version: int, state: str = "Ready", indent: int | None = None) -> bytes:
     line = {"name": "s-1", "address": "127.0.0.1:9", "group": 7, "status": state, "weight": 1.0}
     body = json.dumps({"index": version, "snapshot": False, "endpoints": [line]}, indent=indent).encode()
     return b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%b" % (len(body), body)
 
 
-def says(data: bytes, then: str = "stays open") -> Callable[[socket.socket], None]:
+def sends(data: bytes, then: str = "stays open") -> Callable[[socket.socket], None]:
     def script(sock: socket.socket) -> None:
         sock.sendall(data)
         if then == "ends":
@@ -391,7 +390,7 @@
     return script
 
 
-LIST = written(8, "Terminating")
+LIST = encoded_list(8, "Terminating")
 HEAD = LIST[: LIST.index(b"\r\n\r\n") + 4]
 
 
@@ -411,10 +410,10 @@
 
 
 class Loop:
-    """Stands for the loop: takes in news, and asks again at the latest moment that it is told."""
+    """Stands for the loop: records updates, and sets the watch active again as late as allowed."""
 
     def __init__(self, discovery: Discovery, wait_ms: float = 500.0) -> None:
-        self.news: list[ListUpdate] = []
+        self.updates: list[ListUpdate] = []
         limits = replace(Limits(), watch_ms=wait_ms)
         names = Names(("portal",), ("a",), ())
         self.watcher = Watcher(discovery.address, names, 7, limits, self.put, Silent(), senders=LARGE)
@@ -422,24 +421,24 @@
 
     def put(self, event: CoreEvent) -> None:
         assert isinstance(event, ListUpdate)
-        self.news.append(event)
+        self.updates.append(event)
         if event.scope is Scope.FAILED:
             threading.Timer(max(event.ask_by - clock(), 0.0) / 1000.0, self.watcher.watch, (True,)).start()
 
-    def told(self) -> list[EndpointState]:
-        return [member.state for news in self.news for member in news.members]
+    def states(self) -> list[EndpointState]:
+        return [member.state for update in self.updates for member in update.members]
 
 
-def test_a_watch_that_falls_silent_is_followed_by_its_news_before_they_count_as_told(
+def test_a_silent_watch_is_retried_before_its_changes_count_as_notified(
     discovery: Callable[..., Discovery],
 ) -> None:
-    """Silent from the start, after its head, in its body, and in its first line; all at once."""
+    """Silent from the start, after the head, in the body, and in the first line."""
     for wait_ms in (500.0, 4500.0):
-        there = [discovery(says(part), says(LIST)) for part in (b"", HEAD, LIST[:-5], LIST[:20])]
-        loops = [Loop(one, wait_ms) for one in there]
-        begun = [one.asked.get(timeout=10.0)[0] for one in there]
-        for one, loop, at in zip(there, loops, begun, strict=True):
-            until(lambda it=loop: it.told() == [EndpointState.DRAINING], "the change")  # type: ignore[misc]
+        servers = [discovery(sends(part), sends(LIST)) for part in (b"", HEAD, LIST[:-5], LIST[:20])]
+        loops = [Loop(one, wait_ms) for one in servers]
+        begun = [one.asked.get(timeout=10.0)[0] for one in servers]
+        for one, loop, at in zip(servers, loops, begun, strict=True):
+            until(lambda it=loop: it.states() == [EndpointState.DRAINING], "the change")  # type: ignore[misc]
             again, target = one.asked.get(timeout=10.0)
             assert "since=7" in target
             assert again - at < max(NOTIFIED_MS, wait_ms + AFTER_WAIT_MS) - ANSWER_MS + 200.0
@@ -448,79 +447,82 @@
 @pytest.mark.parametrize(
     "broken",
     [
-        says(b"HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n"),
-        says(b"", "ends"),
-        says(HEAD, "ends"),
-        says(LIST[:-5], "ends"),
-        says(b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\n[]"),
-        says(b"\x16\x03\x01\x00"),
+        sends(b"HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n"),
+        sends(b"", "ends"),
+        sends(HEAD, "ends"),
+        sends(LIST[:-5], "ends"),
+        sends(b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\n[]"),
+        sends(b"\x16\x03\x01\x00"),
     ],
     ids=["refused", "ended", "ended after its head", "ended in its body", "no list", "noise"],
 )
-def test_a_call_that_fails_is_told_with_the_moment_by_which_it_is_to_be_made_again(
+def test_a_failed_request_is_reported_with_the_time_by_which_to_retry(
     discovery: Callable[..., Discovery], broken: Callable[[socket.socket], None]
 ) -> None:
-    there = discovery(broken, says(LIST))
-    loop = Loop(there)
-    begun, _ = there.asked.get(timeout=10.0)
-    until(lambda: loop.news, "the failure")
-    assert loop.news[0].scope is Scope.FAILED
-    assert loop.news[0].ask_by <= begun + NOTIFIED_MS
+    server = discovery(broken, sends(LIST))
+    loop = Loop(server)
+    begun, _ = server.asked.get(timeout=10.0)
+    until(lambda: loop.updates, "the failure")
+    assert loop.updates[0].scope is Scope.FAILED
+    assert loop.updates[0].ask_by <= begun + NOTIFIED_MS
     loop.watcher.watch(True)
-    until(lambda: loop.told() == [EndpointState.DRAINING], "the change")
+    until(lambda: loop.states() == [EndpointState.DRAINING], "the change")
 
 
 def test_an_indented_list_is_read(discovery: Callable[..., Discovery]) -> None:
-    loop = Loop(discovery(says(written(8, "Terminating", indent=4))))
-    until(lambda: loop.told() == [EndpointState.DRAINING], "the change")
+    loop = Loop(discovery(sends(encoded_list(8, "Terminating", indent=4))))
+    until(lambda: loop.states() == [EndpointState.DRAINING], "the change")
 
 
-def test_an_older_index_after_a_newer_brings_no_endpoint_back(
+def test_an_older_index_after_a_newer_restores_no_endpoint(
     discovery: Callable[..., Discovery],
 ) -> None:
-    there = discovery(says(LIST), says(written(6, "Ready")), says(written(9, "Gone")))
-    loop = Loop(there)
-    until(lambda: len(loop.told()) == 2, "the list asked for whole")
-    assert loop.told() == [EndpointState.DRAINING, EndpointState.GONE]
-    targets = [there.asked.get(timeout=10.0)[1] for _ in range(3)]
+    server = discovery(sends(LIST), sends(encoded_list(6, "Ready")), sends(encoded_list(9, "Gone")))
+    loop = Loop(server)
+    until(lambda: len(loop.states()) == 2, "the whole list")
+    assert loop.states() == [EndpointState.DRAINING, EndpointState.GONE]
+    targets = [server.asked.get(timeout=10.0)[1] for _ in range(3)]
     assert "since=7" in targets[0] and "since=8" in targets[1] and "since" not in targets[2]
 
 
-def moved_under_an_answer(old: Discovery, new: Discovery, monkeypatch: pytest.MonkeyPatch) -> Loop:
-    """A sender that moves between the moment in which the old address's answer is read and its being used."""
-    held, moved = threading.Event(), threading.Event()
+def move_before_answer_is_used(old: Discovery, new: Discovery, monkeypatch: pytest.MonkeyPatch) -> Loop:
+    """A watcher that moves after the old address's answer is read and before it is used."""
+    answer_read, moved = threading.Event(), threading.Event()
     read = exchange.Connection.read
 
     def late(connection: exchange.Connection, until_ms: float) -> object:
-        answer = read(connection, until_ms)  # whole, and not yet handed on
+        answer = read(connection, until_ms)  # complete, and not yet returned
         if connection.address == old.address:
-            held.set()
+            answer_read.set()
             moved.wait(10.0)
         return answer
 
     monkeypatch.setattr(exchange.Connection, "read", late)
     loop = Loop(old)
-    assert held.wait(10.0)
+    assert answer_read.wait(10.0)
     loop.watcher.move(new.address)
     moved.set()
     return loop
 
 
-def test_an_answer_of_the_old_address_that_crosses_a_move_is_none(
+def test_an_answer_of_the_old_address_during_a_move_is_ignored(
     discovery: Callable[..., Discovery], monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    old, new = discovery(says(written(9, "Ready"))), discovery(says(LIST))
-    loop = moved_under_an_answer(old, new, monkeypatch)
-    until(lambda: loop.told(), "the new address's answer")
-    assert loop.told() == [EndpointState.DRAINING]
+    old, new = discovery(sends(encoded_list(9, "Ready"))), discovery(sends(LIST))
+    loop = move_before_answer_is_used(old, new, monkeypatch)
+    until(lambda: loop.states(), "the new address's answer")
+    assert loop.states() == [EndpointState.DRAINING]
 
 
-def test_a_drain_that_the_old_address_had_written_before_a_move_is_in_force(
+def test_a_drain_that_the_old_address_sent_before_a_move_is_applied(
     discovery: Callable[..., Discovery], monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """It counts as notified, whatever becomes of the new address; what is ready is left to that one."""
-    old, new = discovery(says(written(9, "Terminating"))), discovery(says(b""), says(written(3, "Ready")))
-    loop = moved_under_an_answer(old, new, monkeypatch)
-    until(lambda: loop.told() == [EndpointState.DRAINING], "the drain")
-    assert "since" not in new.asked.get(timeout=10.0)[1]  # the whole list: it may be ready there
-    until(lambda: loop.told()[-1] is EndpointState.READY, "the new address's word")
+    """It counts as notified; which endpoints are ready is up to the new address."""
+    old, new = (
+        discovery(sends(encoded_list(9, "Terminating"))),
+        discovery(sends(b""), sends(encoded_list(3, "Ready"))),
+    )
+    loop = move_before_answer_is_used(old, new, monkeypatch)
+    until(lambda: loop.states() == [EndpointState.DRAINING], "the drain")
+    assert "since" not in new.asked.get(timeout=10.0)[1]  # the whole list, as it may be ready there
+    until(lambda: loop.states()[-1] is EndpointState.READY, "the new address's list")
