--- a/springspread/core/clearance.py
+++ b/springspread/core/clearance.py
@@ -1,4 +1,4 @@
-"""The last look before a call's first byte: told waits, drains and cancellations that came meanwhile."""
+"""The last check before a call's first byte: retry-after waits, drains, cancellations, leases, policies."""
 
 from __future__ import annotations
 
@@ -15,144 +15,145 @@
 from springspread.core.watch import NEVER_OUTDATED
 
 
-class Withheld(Enum):
-    """Why a call that was decided may not go out."""
+class WithheldReason(Enum):
+    """Why a call that was decided on is not sent."""
 
-    RETRY_AFTER = "retry after"  # its endpoint told a wait
-    LEAVING = "leaving"  # its endpoint drains or is gone
-    LIST_OUTDATED = "list outdated"  # what the list lacks counts as notified
+    RETRY_AFTER = "retry after"  # its endpoint asked for a wait
+    LEAVING = "leaving"  # its endpoint is draining or gone
+    LIST_OUTDATED = "list outdated"  # newer changes count as notified
     CANCELLED = "cancelled"
-    LATE = "late"  # its time is up
-    STOPPING = "stopping"  # the process is about to end
-    WITHDRAWN = "withdrawn"  # its client left before the attempt was on record
-    UNRECORDED = "unrecorded"  # the attempt could not be put on record
+    LATE = "late"  # its deadline has passed
+    STOPPING = "stopping"  # the process is shutting down
+    WITHDRAWN = "withdrawn"  # its client left before the attempt was recorded
+    UNRECORDED = "unrecorded"  # the attempt could not be recorded
     NO_LEASE = "no lease"
     OTHER_POLICY = "other policy"
 
 
 class Refusal(NamedTuple):
-    """A call that may not go out: what its attempts end in, and the rest of a told wait (ms)."""
+    """A call that may not be sent: how its attempts end, and the rest of its endpoint's retry-after (ms)."""
 
     result: Result
     wait_ms: float
-    reason: Withheld
+    reason: WithheldReason
 
 
-def _not_sent(reason: Withheld) -> Refusal:
+def _not_sent(reason: WithheldReason) -> Refusal:
     return Refusal(Result.NOT_SENT, 0.0, reason)
 
 
 class Clearance:
-    """Asked by the threads that write; fed by them and by the loop."""
+    """Safe from any thread: asked by the threads that write calls, updated by them and by the loop."""
 
     def __init__(
         self, journal: Journal | Lanes, grace_ms: float, clock: Clock = SYSTEM, shares: Shares | None = None
     ) -> None:
-        self._journal, self._grace, self._clock, self._shares = journal, grace_ms, clock, shares
+        self._journal, self._grace_ms, self._clock, self._shares = journal, grace_ms, clock, shares
         self._lock = threading.Lock()
-        self._bars: dict[tuple[int, int], float] = {}
+        self._retry_after: dict[tuple[int, int], float] = {}
         self._stopped = False
-        self._unapplied: list[tuple[ListUpdate, ListIndex]] = []  # read, and not in force yet
-        self._lapse = NEVER_OUTDATED
-        self._board = journal.board if isinstance(journal, Lanes) else None
+        self._unapplied: list[tuple[ListUpdate, ListIndex]] = []  # read, and not yet applied by the loop
+        self._outdated_period = NEVER_OUTDATED
+        self._shared = journal.board if isinstance(journal, Lanes) else None
 
     def set_retry_after(self, endpoint: Endpoint, wait_ms: float) -> None:
-        """An endpoint told a wait; it binds at once, before the loop has heard of it."""
+        """Apply an endpoint's retry-after at once, before the loop has handled the answer."""
         with self._lock:
             now = self._clock.now()
-            until = max(now + wait_ms, self._bars.get(endpoint.bar_key, 0.0))
-            self._bars = {key: end for key, end in self._bars.items() if end > now}  # of those long gone, too
-            self._bars[endpoint.bar_key] = until
-        if self._board is not None and wait_ms > 0.0:
-            self._board.tell(endpoint.bar_name, until, now)
+            until = max(now + wait_ms, self._retry_after.get(endpoint.retry_after_key, 0.0))
+            self._retry_after = {
+                key: end for key, end in self._retry_after.items() if end > now
+            }  # drops expired ones
+            self._retry_after[endpoint.retry_after_key] = until
+        if self._shared is not None and wait_ms > 0.0:
+            self._shared.tell(endpoint.retry_after_name, until, now)
 
     def retry_after_left_ms(self, endpoint: Endpoint) -> float:
-        """How long a told wait still bars an endpoint."""
+        """How much of an endpoint's retry-after is left."""
         now = self._clock.now()
-        other = 0.0 if self._board is None else self._board.until(endpoint.bar_name, now)
+        other = 0.0 if self._shared is None else self._shared.until(endpoint.retry_after_name, now)
         with self._lock:
-            return max(self._bars.get(endpoint.bar_key, 0.0) - now, other - now, 0.0)
+            return max(self._retry_after.get(endpoint.retry_after_key, 0.0) - now, other - now, 0.0)
 
-    def leaving(self, endpoint: Endpoint, state: EndpointState, notified_at: float) -> None:
-        """Note what discovery says of an endpoint; a drain counts from when it was first told."""
+    def set_state(self, endpoint: Endpoint, state: EndpointState, notified_at: float) -> None:
+        """Set an endpoint's state; a drain counts from its first notification."""
         with self._lock:
             endpoint.state = state
             ready = state is EndpointState.READY
             endpoint.leaving_at = inf if ready else min(endpoint.leaving_at, notified_at)
 
-    def received(self, news: ListUpdate) -> None:
-        """Note news of the list, or a failure to get it: it binds before the loop has heard of it."""
-        index = ListIndex(news)
+    def received(self, update: ListUpdate) -> None:
+        """Apply a list update, or a failure to get one, before the loop has handled it."""
+        index = ListIndex(update)
         with self._lock:
-            self._lapse = news.outdated_period
-            self._unapplied.append((news, index))
+            self._outdated_period = update.outdated_period
+            self._unapplied.append((update, index))
 
-    def applied(self, news: ListUpdate) -> None:
-        """The loop has put news in force."""
+    def applied(self, update: ListUpdate) -> None:
+        """The loop has applied an update."""
         with self._lock:
-            self._unapplied = [one for one in self._unapplied if one[0] is not news]
+            self._unapplied = [one for one in self._unapplied if one[0] is not update]
 
     def _leaving_at(self, endpoint: Endpoint) -> float:
-        taken_away = [news.notified_at for news, index in self._unapplied if index.takes_away(endpoint)]
-        return min([endpoint.leaving_at, *taken_away])
+        removed_at = [update.notified_at for update, index in self._unapplied if index.removes(endpoint)]
+        return min([endpoint.leaving_at, *removed_at])
 
     def stop(self) -> None:
-        """Clear nothing from now on: the process is about to end."""
+        """Refuse all calls from now on: the process is shutting down."""
         with self._lock:
             self._stopped = True
 
     def check(self, call: Call) -> Refusal | None:
-        """Why a call may not go out now, with the rest of the wait; else it is journalled as begun."""
-        # First, as these may wait: whatever came meanwhile is looked at after them.
+        """Why a call may not be sent now; ``None``: it may, and its attempts are recorded as begun."""
+        # First, as these may block: what changes meanwhile is checked after them.
         shares = self._shares
         if shares is not None and not shares.wait_for_policy(call.policy):
-            return _not_sent(Withheld.OTHER_POLICY)
-        right = inf if shares is None else shares.acquire(call.endpoint)
-        if (refused := self._look(call, right)) is not None:
+            return _not_sent(WithheldReason.OTHER_POLICY)
+        lease_until = inf if shares is None else shares.acquire(call.endpoint)
+        if (refused := self._find_refusal(call, lease_until)) is not None:
             return refused
         try:
             for run in call.attempts:
-                # Guards against a client that leaves in this moment: what the journal takes in first holds.
-                if not self._journal.begun(run.number, run.nth):
-                    return _not_sent(Withheld.WITHDRAWN)
-            if call.once:  # guards rule 2 over a power loss
+                # Where the client leaves at the same moment, the first record in the journal wins.
+                if not self._journal.begun(run.number, run.index):
+                    return _not_sent(WithheldReason.WITHDRAWN)
+            if call.once:  # the record must outlast a power loss
                 self._journal.settle()
         except OSError:  # not on record, so it may not go out
-            return _not_sent(Withheld.UNRECORDED)
-        if shares is not None and self._clock.now() >= right:
-            # Guards the limit against a call that was held up since it got its right (by a slow disk, a full
-            # machine, a freeze): the right has been counted as used and is over by now.
-            right = shares.acquire(call.endpoint)
-        # Guards drains and told waits that came while the record was written.
-        if (refused := self._look(call, right)) is not None:
+            return _not_sent(WithheldReason.UNRECORDED)
+        if shares is not None and self._clock.now() >= lease_until:
+            # The lease expired while the call was delayed, by a slow disk or a frozen process.
+            lease_until = shares.acquire(call.endpoint)
+        # A drain or a retry-after may have come while the record was written.
+        if (refused := self._find_refusal(call, lease_until)) is not None:
             return refused
         if shares is None:
             return None
-        # Last: guards against a mixture of policies, also where this process was frozen until just now.
+        # Last, as no call may begin under an old policy even where this process was frozen until now.
         if not shares.may_begin(call.policy):
-            return _not_sent(Withheld.OTHER_POLICY)
-        return _not_sent(Withheld.NO_LEASE) if self._clock.now() >= right else None
+            return _not_sent(WithheldReason.OTHER_POLICY)
+        return _not_sent(WithheldReason.NO_LEASE) if self._clock.now() >= lease_until else None
 
-    def _look(self, call: Call, right: float) -> Refusal | None:
-        """What has come up against a call, after anything that may wait."""
-        if right <= 0.0:
-            return _not_sent(Withheld.NO_LEASE)
+    def _find_refusal(self, call: Call, lease_until: float) -> Refusal | None:
+        """Check what may have changed while the call was blocked."""
+        if lease_until <= 0.0:
+            return _not_sent(WithheldReason.NO_LEASE)
         if call.cancelled.is_set():
-            return Refusal(Result.CANCELLED, 0.0, Withheld.CANCELLED)
+            return Refusal(Result.CANCELLED, 0.0, WithheldReason.CANCELLED)
         if call.attempts and self._clock.now() >= call.until:
-            return _not_sent(Withheld.LATE)  # its connection came up, or was free, after its time
-        # Guards rule 5: a call queued before a wait was told must not slip out after it.
+            return _not_sent(WithheldReason.LATE)  # its connection was ready only after its deadline
+        # A call that was queued before the endpoint asked for a wait must not go out during it.
         wait = self.retry_after_left_ms(call.endpoint)
         if wait > 0.0:
-            return Refusal(Result.REJECTED, wait, Withheld.RETRY_AFTER)
+            return Refusal(Result.REJECTED, wait, WithheldReason.RETRY_AFTER)
         with self._lock:
             if self._stopped:
-                return _not_sent(Withheld.STOPPING)
-            # Guards rule 3: a call that was still opening its connection when the drain was told.
+                return _not_sent(WithheldReason.STOPPING)
+            # The call may still have been opening its connection when the drain was notified.
             now = self._clock.now()
-            if now > self._leaving_at(call.endpoint) + self._grace:
-                return _not_sent(Withheld.LEAVING)
-            # Guards the same against a drain that this sender has not read and counts as notified of.
-            if self._lapse.contains(now, self._grace):
-                return _not_sent(Withheld.LIST_OUTDATED)
+            if now > self._leaving_at(call.endpoint) + self._grace_ms:
+                return _not_sent(WithheldReason.LEAVING)
+            # A drain may count as notified that this sender has not read.
+            if self._outdated_period.contains(now, self._grace_ms):
+                return _not_sent(WithheldReason.LIST_OUTDATED)
         return None
--- a/springspread/core/clock.py
+++ b/springspread/core/clock.py
@@ -1,4 +1,4 @@
-"""Time as an object that is handed in, so that a day can be played faster than life, and twice alike."""
+"""Time as an interface, so that tests and simulations can replace the system clock."""
 
 from __future__ import annotations
 
@@ -7,20 +7,20 @@
 
 
 class Clock(Protocol):
-    """Milliseconds that never step (``now``), and Unix time for what a later process reads (``wall``)."""
+    """Monotonic milliseconds (``now``), and Unix time for what a later process reads (``wall``)."""
 
     def now(self) -> float:
-        """Milliseconds on a clock of this process alone; it never steps back."""
+        """Monotonic milliseconds, meaningful in this process only."""
 
     def wall(self) -> float:
         """Unix time in milliseconds; it may step."""
 
     def sleep(self, ms: float) -> None:
-        """Let so many milliseconds pass."""
+        """Wait."""
 
 
 class SystemClock:
-    """The machine's clocks."""
+    """The system clocks."""
 
     def now(self) -> float:
         """Milliseconds on the monotonic clock."""
--- a/springspread/core/figures.py
+++ b/springspread/core/figures.py
@@ -1,6 +1,6 @@
-"""What a sender counts from its start on, by class; told by ``platform.management``.
+"""A sender's counters since its start, which ``platform.management`` reports.
 
-Counted where it happens: by the loop, by the threads that write calls, and where clients are turned away.
+Counted where it happens: by the loop, by the threads that write calls, and where clients are refused.
 """
 
 from __future__ import annotations
@@ -11,7 +11,7 @@
 
 
 class Figure(Enum):
-    """Messages, each counted once; but for attempts, which count each time that one is written whole."""
+    """Messages, each counted once, and attempts, each counted when it is completely written."""
 
     SERVED = "served"
     REFUSED = "refused"
@@ -20,43 +20,43 @@
 
 
 class Occurrence(Enum):
-    """What is counted by its reason rather than by class."""
+    """What is counted by reason instead of by class."""
 
-    CALLS_WITHHELD = "calls_withheld"  # decided, and not sent: by ``clearance.Withheld``
-    LIST_FAILURES = "list_failures"  # requests to discovery that brought nothing: by ``watch.Failure``
-    LISTS_LATE = "lists_late"  # the list came after its deadline: by the ``watch.State`` that it ended
+    CALLS_WITHHELD = "calls_withheld"  # decided on, and not sent: by ``clearance.WithheldReason``
+    LIST_FAILURES = "list_failures"  # failed requests to discovery: by ``watch.Failure``
+    LISTS_LATE = "lists_late"  # lists that came after their deadline: by the ``watch.State`` before
     CONNECTIONS_CLOSED = "connections_closed"  # to endpoints: by ``net.endpoints.Closed``
 
 
 class Figures:
-    """Safe from any thread. Of classes that the settings do not name nothing is kept."""
+    """Counters, safe from any thread. Classes that the settings do not name are not counted."""
 
     def __init__(self, classes: Iterable[str]) -> None:
         self._lock = threading.Lock()
         self._counts: dict[tuple[Figure, str], int] = {}
-        self._occurred: dict[tuple[Occurrence, Enum], int] = {}  # as many as there are reasons
+        self._occurred: dict[tuple[Occurrence, Enum], int] = {}
         self.follow(classes)
 
     def count(self, figure: Figure, cls: str) -> None:
-        """One more."""
+        """Count one message or attempt."""
         with self._lock:
             if (figure, cls) in self._counts:
                 self._counts[figure, cls] += 1
 
     def count_occurrence(self, occurrence: Occurrence, reason: Enum) -> None:
-        """Once more, for a reason that is one of a fixed set."""
+        """Count one occurrence; ``reason`` is one of a fixed set."""
         with self._lock:
             key = (occurrence, reason)
             self._occurred[key] = self._occurred.get(key, 0) + 1
 
     def follow(self, classes: Iterable[str]) -> None:
-        """Other settings hold: classes that come anew are counted, too."""
+        """Count new classes, too, after a change of the settings."""
         names = list(classes)
         with self._lock:
             self._counts = {(figure, cls): 0 for figure in Figure for cls in names} | self._counts
 
     def now(self) -> Mapping[tuple[Figure, str], int]:
-        """All counts."""
+        """All counts by class."""
         with self._lock:
             return dict(self._counts)
 
--- a/springspread/core/loop.py
+++ b/springspread/core/loop.py
@@ -1,4 +1,4 @@
-"""The sender's loop: one thread that owns the module, the message table, the slots and the timers."""
+"""The sender's event loop: one thread that owns the decision module, messages, slots and timers."""
 
 from __future__ import annotations
 
@@ -17,14 +17,14 @@
 from springspread.core.figures import Figure, Figures
 from springspread.core.journal import Journal, JournalFull, Owed
 from springspread.core.lanes import LOOK_MS, Lanes
-from springspread.core.start import Start
+from springspread.core.start import Startup
 from springspread.core.types import (
     Attempt,
     AttemptEnd,
     Call,
     ClientLeft,
     CoreEvent,
-    Directory,
+    Discovery,
     Endpoint,
     EndpointState,
     Executor,
@@ -46,17 +46,17 @@
 
 
 @dataclass(slots=True, eq=False)
-class Held:
-    """A message in the table: the module still has to end it."""
+class OpenMessage:
+    """An accepted message that the decision module has not ended yet."""
 
     owed: Owed
     spec: i.ClassSpec
     deadline: float
-    speakers: int = 1  # how often it was handed in by clients that have not left
+    waiting_clients: int = 1  # requests for it whose clients have not left
 
 
 class Sender:
-    """Feeds the module what came in, a tick at a time, and has its actions carried out."""
+    """Passes events to the decision module in batches, one per tick, and has its actions carried out."""
 
     def __init__(
         self,
@@ -69,50 +69,49 @@
         policy: int = 0,
         figures: Figures | None = None,
     ) -> None:
-        """``policy``: the number of the fleet's policy that ``config`` is of."""
+        """``policy``: the number of the fleet's policy that ``config`` contains."""
         self._clock, self._shares, self._policy = clock, shares, policy
-        self._set, self._limits = config.settings, config.limits
+        self._settings, self._limits = config.settings, config.limits
         self._journal, self._clearance, self._log = journal, clearance, log
         self._lanes = journal if isinstance(journal, Lanes) else None
         self._figures = figures or Figures(())
         self._module = Dispatcher(config.settings, config.seed)
         self._classes = {spec.name: n for n, spec in enumerate(config.settings.classes)}
-        self._endpoints = translate.Endpoints(config.settings.kinds, clock)
+        self._endpoints = translate.EndpointTable(config.settings.kinds, clock)
         self._inbox: SimpleQueue[CoreEvent] = SimpleQueue()
-        self._held: dict[int, Held] = {}
-        self._numbers: dict[str, int] = {}  # of all that is owed, notices that are out included
-        self._recent: OrderedDict[str, bool] = OrderedDict()  # lately over: whether it was delivered
+        self._open_messages: dict[int, OpenMessage] = {}
+        self._numbers: dict[str, int] = {}  # by id; includes messages with an undelivered notice
+        self._recently_closed: OrderedDict[str, bool] = OrderedDict()  # by id: whether delivered
         self._calls: dict[Call, int] = {}
         self._destinations = KnownDestinations(config.limits.group_kept_ms, clock)
-        self._unconfirmed: list[Message] = []  # taken on in this batch, and not told before it is on disk
+        self._unconfirmed: list[Message] = []  # accepted in this batch, answered after the sync
         self._timers: list[tuple[float, int]] = []
         self._stop_at = float("inf")
-        self._last = 0.0
-        self._listed_at, self._version = clock.now(), 0  # when the list was last told, and which one
-        self.start = Start(config.waits, log, clock, journal.written_wall)
+        self._last_step_at = 0.0
+        self._listed_at, self._list_version = clock.now(), 0  # of the latest list update
+        self.start = Startup(config.waits, log, clock, journal.written_wall)
 
-    def attach(self, executor: Executor, directory: Directory, notices: NoticeSink) -> None:
-        """Name the drivers that carry out what the module decides."""
-        self._executor, self._directory, self._notices = executor, directory, notices
+    def attach(self, executor: Executor, discovery: Discovery, notices: NoticeSink) -> None:
+        """Set the drivers that carry out the decision module's actions."""
+        self._executor, self._discovery, self._notices = executor, discovery, notices
 
     def put(self, event: CoreEvent) -> None:
         """Hand in an event, from any thread."""
         self._inbox.put(event)
 
-    def put_list_update(self, news: ListUpdate) -> None:
-        """Hand in news of the list, from any thread.
+    def put_list_update(self, update: ListUpdate) -> None:
+        """Hand in a list update, from any thread.
 
-        Where two events cross: a call's first byte and a drain that was read. The drain binds here, however
-        long the loop is busy, or held up by the disk.
+        A drain that was read applies from here on, even while the loop is busy or blocked by the disk.
         """
-        self._clearance.received(news)
-        self._inbox.put(news)
+        self._clearance.received(update)
+        self._inbox.put(update)
 
     def restore(self, known: ListUpdate) -> None:
-        """Take up what the last process owed; only then may a client be told that this one is ready."""
+        """Recover the messages of the last process, before clients are told that this one is ready."""
         now = self._clock.now()
         events: list[i.Event] = [self._listed(known)]
-        waiting = self._taken_up(self._journal.owed.values())
+        waiting = self._recover(self._journal.owed.values())
         self.start.begin(now, waiting)
         for name, ranges in self._journal.damaged.items():
             places = [f"{one.start}-{one.end}" for one in ranges[:20]]
@@ -120,38 +119,40 @@
             self._log.error("journal damaged; set aside", file=name, ranges=places, ids=ids)
         if self._journal.owed or self._journal.cut_bytes:
             self._log.info("restored", owed=len(self._journal.owed), cut_bytes=self._journal.cut_bytes)
-        if not self._set.must_ask:
-            # Guards drains: what the agent that lists are pushed to has counts as told, asked for or not.
-            self._directory.watch(True)
-        self._decide(now, events + self._through(now))
+        if not self._settings.must_ask:
+            # A list that was pushed to the agent counts as notified even if nobody asks for it.
+            self._discovery.watch(True)
+        self._decide(now, events + self._advance_startup(now))
 
-    def _taken_up(self, found: Iterable[Owed]) -> list[tuple[Owed, float]]:
-        """What another process owed: what has no end coming goes on, with its class's time."""
+    def _recover(self, found: Iterable[Owed]) -> list[tuple[Owed, float]]:
+        """Recover another process's messages; returns those to resume, with their class's deadline (ms)."""
         waiting: list[tuple[Owed, float]] = []
         for owed in list(found):
             self._numbers[owed.id] = owed.number
             cls = self._classes.get(owed.cls)
-            spec = self._set.classes[cls] if cls is not None else None
+            spec = self._settings.classes[cls] if cls is not None else None
             if owed.ending is not None:
                 self._notices.deliver(Notice(owed.number, owed.id, *owed.ending))
             elif cls is None or spec is None or (owed.may_have_run and spec.effect is not i.Effect.SAFE):
-                # Guards rule 2: an attempt that was out at the end may have run, and nothing tells.
+                # An attempt without a recorded result may have run, and may not be repeated.
                 self._end(owed.number, deferred=False)
             else:
                 waiting.append((owed, spec.deadline_ms))
         return waiting
 
-    def _taken_over(self, now: float) -> list[i.Event]:
-        """What a process beside this one owed goes on here, once it has died."""
+    def _take_over(self, now: float) -> list[i.Event]:
+        """Take over the messages of another process on this folder, once it has died."""
         if self._lanes is None or not (found := self._lanes.look(now)):
             return []
         self._log.info("taken over", owed=len(found))
-        return [self._goes_on(now, owed, self.start.left(owed, most)) for owed, most in self._taken_up(found)]
+        return [
+            self._reopen(now, owed, self.start.time_left(owed, most)) for owed, most in self._recover(found)
+        ]
 
-    def _goes_on(self, now: float, owed: Owed, left: float) -> i.Taken:
+    def _reopen(self, now: float, owed: Owed, left: float) -> i.Taken:
         cls, deadline = self._classes[owed.cls], now + left
-        self._log.debug("goes on", number=owed.number, left_ms=round(left, 1), attempts=owed.attempts)
-        self._held[owed.number] = Held(owed, self._set.classes[cls], deadline)
+        self._log.debug("message resumed", number=owed.number, left_ms=round(left, 1), attempts=owed.attempts)
+        self._open_messages[owed.number] = OpenMessage(owed, self._settings.classes[cls], deadline)
         return i.Taken(
             owed.number,
             owed.group,
@@ -164,11 +165,11 @@
 
     @property
     def open(self) -> bool:
-        """Whether new clients may be let in; asked from any thread."""
+        """Whether new clients are served; safe from any thread."""
         return self.start.open
 
     def levels(self) -> Mapping[str, int]:
-        """What there is now; asked from any thread."""
+        """Current values of the gauges; safe from any thread."""
         endpoints, routes = list(self._endpoints.by_number.values()), self._module.routes
         flagged = {number for number, route in list(routes.items()) if route.health.flagged}
         avoided = [
@@ -179,34 +180,34 @@
             or self._clearance.retry_after_left_ms(endpoint) > 0.0
         ]
         return {
-            "in_flight": len(self._held),
+            "in_flight": len(self._open_messages),
             "endpoints_known": len(endpoints),
             "endpoints_excluded": len(avoided),
-            "list_version": self._version,
+            "list_version": self._list_version,
             "list_age_ms": int(self._clock.now() - self._listed_at),
         }
 
-    def _through(self, now: float) -> list[i.Event]:
-        """Through the gates that are open by now; what that sets free goes on."""
+    def _advance_startup(self, now: float) -> list[i.Event]:
+        """Leave the startup stages that are over, and resume the messages that this releases."""
         if self.start.open:
             return []
-        if self.start.asks(now, self._destinations.listed):
-            self._directory.fetch()
-        acts = self._shares is None or self._shares.may_begin(self._policy)
-        freed = self.start.through(now, self._set.slots, acts, self._destinations.listed)
-        return [self._goes_on(now, owed, left) for owed, left in freed]
+        if self.start.should_fetch_list(now, self._destinations.listed):
+            self._discovery.fetch()
+        policy_in_force = self._shares is None or self._shares.may_begin(self._policy)
+        freed = self.start.proceed(now, self._settings.slots, policy_in_force, self._destinations.listed)
+        return [self._reopen(now, owed, left) for owed, left in freed]
 
     def run(self) -> None:
-        """Handle batches until a stop is through."""
-        while not self._stopped():
+        """Handle batches until a shutdown is complete."""
+        while not self._is_stopped():
             first = self._next()
-            pause = self._last + self._set.tick_ms - self._clock.now()
+            pause = self._last_step_at + self._settings.tick_ms - self._clock.now()
             if pause > 0:
                 self._clock.sleep(pause)
             self.step(([] if first is None else [first]) + self.take_inbox())
 
     def take_inbox(self) -> list[CoreEvent]:
-        """Take what has come in, without waiting for more."""
+        """Take all queued events, without waiting for more."""
         batch: list[CoreEvent] = []
         while True:
             try:
@@ -220,35 +221,35 @@
         return self._timers[0][0] if self._timers else float("inf")
 
     def step(self, batch: list[CoreEvent]) -> None:
-        """Handle one batch with the timers that are due."""
-        now = self._last = self._clock.now()
+        """Handle one batch and the timers that are due."""
+        now = self._last_step_at = self._clock.now()
         events: list[i.Event] = []
         for event in batch:
-            events += self._take_in(event)
-        events += self._confirm()
+            events += self._handle(event)
+        events += self._confirm_accepted()
         while self._timers and self._timers[0][0] <= now:
             events.append(i.Woken(heappop(self._timers)[1]))
-        events += self._through(now) + self._taken_over(now)
+        events += self._advance_startup(now) + self._take_over(now)
         if events:
             self._decide(now, events)
 
-    def _confirm(self) -> list[i.Event]:
-        """Tell whoever handed in that it is taken on, after one sync for all of the batch."""
+    def _confirm_accepted(self) -> list[i.Event]:
+        """Answer the clients of the batch, after one sync for all of it."""
         waiting, self._unconfirmed = self._unconfirmed, []
         verdict, events = Verdict.ACCEPTED, list[i.Event]()
         if waiting:
             try:
                 self._journal.settle()
             except OSError as exc:
-                self._log.error("not on disk; nothing more is taken on", reason=str(exc))
+                self._log.error("journal sync failed; refusing new messages", reason=str(exc))
                 verdict = Verdict.REFUSED
         for message in waiting:
             if not message.answer(verdict) or verdict is Verdict.REFUSED:
-                events += self._gone(message)
+                events += self._client_left(message)
         return events
 
-    def _taken_on(self, message: Message) -> bool:
-        """Tell that it is on record, or see to it; false where its client has stopped waiting."""
+    def _acknowledge(self, message: Message) -> bool:
+        """Answer now, or after the batch's sync; false where the client has stopped waiting."""
         if self._journal.commit is None:
             return message.answer(Verdict.ACCEPTED)
         self._unconfirmed.append(message)
@@ -257,7 +258,7 @@
     def _next(self) -> CoreEvent | None:
         due = self.due
         if self._stop_at < float("inf") or not self.open:
-            due = min(due, self._clock.now() + 20.0)  # a stop's conditions and a gate's are looked at
+            due = min(due, self._clock.now() + 20.0)  # checks for the end of a shutdown or of a startup stage
         if self._lanes is not None and self._lanes.beside:
             due = min(due, self._clock.now() + LOOK_MS)
         try:
@@ -267,32 +268,32 @@
         except Empty:
             return None
 
-    def _stopped(self) -> bool:
+    def _is_stopped(self) -> bool:
         since = self._clock.now() - self._stop_at
         if since < self._limits.accept_after_stop_ms + 500.0:
             return False
-        return since >= self._limits.stop_ms or not (self._held or self._calls or self._numbers)
+        return since >= self._limits.stop_ms or not (self._open_messages or self._calls or self._numbers)
 
-    def _take_in(self, event: CoreEvent) -> list[i.Event]:
+    def _handle(self, event: CoreEvent) -> list[i.Event]:
         match event:
             case Message():
-                return self._handed_in(event)
+                return self._message_received(event)
             case AttemptEnd():
                 return self._attempt_end(event)
             case ListUpdate():
-                self.start.told(event.date, event.notified_at)
+                self.start.note_date(event.date, event.notified_at)
                 if event.scope is not Scope.FAILED:
-                    self._listed_at, self._version = event.notified_at, event.version
+                    self._listed_at, self._list_version = event.notified_at, event.version
                 listed = self._listed(event)
                 self._clearance.applied(event)
                 return [listed]
             case ProbeEnd():
                 return [translate.probed(event)]
             case ClientLeft(message):
-                return self._gone(message)
+                return self._client_left(message)
             case NoticesDelivered(numbers):
                 for number in numbers:
-                    self._forget(number, delivered=False)
+                    self._complete(number, delivered=False)
             case NewPolicy(number, config):
                 return [self._new_policy(number, config)]
             case Stop():
@@ -300,48 +301,49 @@
         return []
 
     def _new_policy(self, number: int, config: Config) -> i.Changed:
-        """Between two batches: calls decided from now on are of this policy, as are messages taken on."""
+        """Applies to calls decided on and messages accepted from now on."""
         new, names = config.settings, {spec.name for spec in config.settings.classes}
-        # Guards what is held: a class keeps its place, and one that no client may use any more stays at it.
-        places = {spec.name: spec for spec in (*self._set.classes, *new.classes)}
-        self._set = replace(new, classes=tuple(places.values()))
-        self._classes = {name: n for n, name in enumerate(places) if name in names}
+        # Open messages refer to classes by position, so removed classes keep theirs.
+        specs = {spec.name: spec for spec in (*self._settings.classes, *new.classes)}
+        self._settings = replace(new, classes=tuple(specs.values()))
+        self._classes = {name: n for n, name in enumerate(specs) if name in names}
         self._policy = number
         self._figures.follow(names)
         self._executor.grow(new.slots)
         self._log.info("policy", version=number, slots=new.slots)
-        return i.Changed(self._set)
+        return i.Changed(self._settings)
 
-    def _handed_in(self, message: Message) -> list[i.Event]:
+    def _message_received(self, message: Message) -> list[i.Event]:
         cls = self._classes.get(message.cls)
         if cls is None:
             message.answer(Verdict.UNKNOWN_CLASS)
         elif message.id in self._numbers:
-            # It is owed already, and sent once more as the answer got lost: both speak for it. Guards it
-            # against a client that uses another's id: only what is the same speaks for it.
+            # A retry by a client that got no answer; another client's message may not use the same id.
             number = self._numbers[message.id]
             owed = self._journal.owed[number]
             if (owed.cls, owed.group, owed.body) != (message.cls, message.group, message.body):
                 message.answer(Verdict.CONFLICT)
                 return []
             message.number = number
-            self._log.debug("handed in again", id=message.id, number=number)
-            if number in self._held:
-                self._held[number].speakers += 1
-            if not self._taken_on(message):
-                return self._gone(message)
-        elif self._recent.get(message.id):
+            self._log.debug("message handed in again", id=message.id, number=number)
+            if number in self._open_messages:
+                self._open_messages[number].waiting_clients += 1
+            if not self._acknowledge(message):
+                return self._client_left(message)
+        elif self._recently_closed.get(message.id):
             message.answer(Verdict.DELIVERED)
         elif self._lanes is not None and (other := self._lanes.elsewhere(message.id)) is not None:
-            # A process beside this one owes it, and tells its end.
+            # Another process on this folder is responsible for it.
             same = (other.cls, other.group, other.body) == (message.cls, message.group, message.body)
             message.answer(Verdict.ACCEPTED if same else Verdict.CONFLICT)
         elif not self._destinations.knows(message.group):
-            # Guards the table: a destination that does not exist would hold its messages to their end. Before
-            # discovery has told the list, it may be one that is new.
+            # Messages to a destination that does not exist would stay open until their deadline. Before
+            # discovery has answered, it may be a new one.
             message.answer(Verdict.UNKNOWN_GROUP if self._destinations.listed else Verdict.REFUSED)
-        elif len(self._held) >= self._set.max_held:
-            self._log.debug("turned away", id=message.id, group=message.group, cls=message.cls)
+        elif len(self._open_messages) >= self._settings.max_held:
+            self._log.debug(
+                "too many open messages; message refused", id=message.id, group=message.group, cls=message.cls
+            )
             message.answer(Verdict.REFUSED)
         else:
             return self._admit(message, cls)
@@ -365,7 +367,7 @@
         try:
             self._journal.taken(owed)
         except (JournalFull, OSError) as exc:
-            self._log.warning("not taken on", reason=repr(exc))
+            self._log.warning("message not recorded; refusing it", reason=repr(exc))
             message.answer(Verdict.REFUSED)
             return []
         message.number = number
@@ -377,35 +379,35 @@
             cls=message.cls,
             left_ms=round(left, 1),
         )
-        self._held[number] = Held(owed, self._set.classes[cls], message.deadline)
+        self._open_messages[number] = OpenMessage(owed, self._settings.classes[cls], message.deadline)
         self._numbers[message.id] = number
-        if not self._taken_on(message):
-            self._gone(message)
+        if not self._acknowledge(message):
+            self._client_left(message)
             return []
         again, orphan = message.again, message.orphan
         return [i.Taken(number, message.group, cls, message.deadline, again=again, orphan=orphan)]
 
-    def _gone(self, message: Message) -> list[i.Event]:
+    def _client_left(self, message: Message) -> list[i.Event]:
         number, message.number = message.number, 0
-        held = self._held.get(number)
-        if held is None:
+        open_message = self._open_messages.get(number)
+        if open_message is None:
             return []
-        if held.speakers > 1:
-            held.speakers -= 1
+        if open_message.waiting_clients > 1:
+            open_message.waiting_clients -= 1
             return []
         if not self._journal.withdraw(number):
-            return []  # a call is out, and how much of the answer was heard is not known: it is owed its end
-        self._log.debug("withdrawn", number=number)
-        del self._held[number]
-        self._over(held.owed, delivered=False)
+            return []  # a call is in flight, and the client may have read the answer: it needs its end
+        self._log.debug("message withdrawn", number=number)
+        del self._open_messages[number]
+        self._close(open_message.owed, delivered=False)
         return [i.Withdrawn(number)]
 
     def _attempt_end(self, end: AttemptEnd) -> list[i.Event]:
-        run, call = end.attempt, end.call
+        attempt, call = end.attempt, end.call
         self._log.debug(
             "attempt over",
-            number=run.number,
-            attempt=run.nth,
+            number=attempt.number,
+            attempt=attempt.index,
             endpoint=call.endpoint.name,
             result=end.result.name,
             took_ms=round(end.at - call.sent_at, 1),
@@ -430,50 +432,50 @@
                     limit=end.load.limit_per_s,
                 )
         if end.result.never_ran:
-            self._journal.not_run(run.number, run.nth)
-        held = self._held.get(run.number)
-        over = held is None
-        if held is not None and end.result is Result.DELIVERED and self._too_late(held, end):
-            # Guards the message's end: an answer that came after its time is none, and of one that came just
-            # before it the platform may be told too much, which does no harm.
-            over, held = True, None
-            self._end(run.number, deferred=False)
-        if held is not None and (end.result is Result.DELIVERED or end.over):
-            over = True
+            self._journal.not_run(attempt.number, attempt.index)
+        open_message = self._open_messages.get(attempt.number)
+        finished = open_message is None
+        if open_message is not None and end.result is Result.DELIVERED and self._too_late(open_message, end):
+            # An answer after the deadline counts as none. Shortly before it the platform may get a needless
+            # notice, which does no harm.
+            finished, open_message = True, None
+            self._end(attempt.number, deferred=False)
+        if open_message is not None and (end.result is Result.DELIVERED or end.final):
+            finished = True
             if end.result is Result.DELIVERED:
-                self._figures.count(Figure.SERVED, held.owed.cls)
-            del self._held[run.number]
-            self._forget(run.number, delivered=end.result is Result.DELIVERED)
-        return [translate.ended(end, over)]
-
-    def _too_late(self, held: Held, end: AttemptEnd) -> bool:
-        return end.at >= held.deadline - self._limits.deadline_margin_ms
-
-    def _listed(self, news: ListUpdate) -> i.Listed:
-        # Guards the destinations: whoever has a name or an address now has it alone.
-        replaced = self._endpoints.replaced(news)
-        listed = self._endpoints.listed(news, replaced)
+                self._figures.count(Figure.SERVED, open_message.owed.cls)
+            del self._open_messages[attempt.number]
+            self._complete(attempt.number, delivered=end.result is Result.DELIVERED)
+        return [translate.ended(end, finished)]
+
+    def _too_late(self, open_message: OpenMessage, end: AttemptEnd) -> bool:
+        return end.at >= open_message.deadline - self._limits.deadline_margin_ms
+
+    def _listed(self, update: ListUpdate) -> i.Listed:
+        # Names and addresses are unique, so a new holder replaces the old one.
+        replaced = self._endpoints.replaced_by(update)
+        listed = self._endpoints.listed(update, replaced)
         named = {entry.route for entry in listed.entries}
-        for member in news.members:
-            self._enters(self._endpoints.endpoint(member), member.state, news)
+        for member in update.members:
+            self._set_endpoint_state(self._endpoints.endpoint(member), member.state, update)
         if self._shares is not None:
-            self._shares.listed([self._endpoints.endpoint(member) for member in news.members])
-        lacking = news.scope in (Scope.WHOLE, Scope.CACHED)
+            self._shares.listed([self._endpoints.endpoint(member) for member in update.members])
+        complete = update.scope in (Scope.WHOLE, Scope.CACHED)
         for number, endpoint in list(self._endpoints.by_number.items()):
-            if endpoint in replaced or (lacking and number not in named):
-                self._enters(endpoint, EndpointState.GONE, news)
+            if endpoint in replaced or (complete and number not in named):
+                self._set_endpoint_state(endpoint, EndpointState.GONE, update)
             if endpoint.state is EndpointState.GONE:
-                # Guards memory on a long day: calls that are out know the endpoint themselves.
+                # Bounds memory; calls in flight keep a reference of their own.
                 self._endpoints.forget(endpoint)
                 self._executor.close_idle(endpoint)
-        here = {endpoint.group for endpoint in self._endpoints.by_number.values()}
-        self._destinations.note(here, listed=news.scope in (Scope.CHANGES, Scope.WHOLE))
+        current = {endpoint.group for endpoint in self._endpoints.by_number.values()}
+        self._destinations.note(current, listed=update.scope in (Scope.CHANGES, Scope.WHOLE))
         return listed
 
-    def _enters(self, endpoint: Endpoint, state: EndpointState, news: ListUpdate) -> None:
-        """Put an endpoint's state in force; changes are logged, the first state of a new one is not."""
+    def _set_endpoint_state(self, endpoint: Endpoint, state: EndpointState, update: ListUpdate) -> None:
+        """Set an endpoint's state; changes are logged, the first state of a new one is not."""
         before = endpoint.state
-        self._clearance.leaving(endpoint, state, news.notified_at)
+        self._clearance.set_state(endpoint, state, update.notified_at)
         if state is not before:
             self._log.info(
                 "endpoint",
@@ -481,33 +483,33 @@
                 group=endpoint.group,
                 before=before.value,
                 state=state.value,
-                version=news.version,
-                notified_ms_ago=round(self._clock.now() - news.notified_at, 1),
+                version=update.version,
+                notified_ms_ago=round(self._clock.now() - update.notified_at, 1),
             )
 
-    def _forget(self, number: int, *, delivered: bool) -> None:
+    def _complete(self, number: int, *, delivered: bool) -> None:
         owed = self._journal.owed.get(number)
         if owed is None:
             return
-        self._log.debug("over", number=number, delivered=delivered)
+        self._log.debug("message closed", number=number, delivered=delivered)
         self._journal.over(number)
-        self._over(owed, delivered)
+        self._close(owed, delivered)
 
-    def _over(self, owed: Owed, delivered: bool) -> None:
-        self.start.ended(owed.number)
+    def _close(self, owed: Owed, delivered: bool) -> None:
+        self.start.message_ended(owed.number)
         self._numbers.pop(owed.id, None)
-        self._recent[owed.id] = delivered
-        if len(self._recent) > self._limits.recent_ends:
-            self._recent.popitem(last=False)
+        self._recently_closed[owed.id] = delivered
+        if len(self._recently_closed) > self._limits.recent_ends:
+            self._recently_closed.popitem(last=False)
 
     def _end(self, number: int, *, deferred: bool, again_ms: float = 0.0) -> None:
-        """Tell the final answer at once; it is on record as over when the platform has taken it."""
+        """Send the final status; the message is closed in the journal once the platform has accepted it."""
         owed = self._journal.owed.get(number)
-        self._held.pop(number, None)
+        self._open_messages.pop(number, None)
         if owed is not None and owed.ending is None:
-            self.start.ended(number)
+            self.start.message_ended(number)
             self._figures.count(Figure.REFUSED if deferred else Figure.FAILED, owed.cls)
-            self._log.debug("ending", number=number, deferred=deferred, again_ms=again_ms)
+            self._log.debug("message ended", number=number, deferred=deferred, again_ms=again_ms)
             self._journal.ending(number, deferred, again_ms)
             self._notices.deliver(Notice(number, owed.id, deferred, again_ms))
 
@@ -526,9 +528,9 @@
                 case i.Wake(after_ms, token):
                     heappush(self._timers, (now + after_ms, token))
                 case i.Watch(active):
-                    self._directory.watch(active)
+                    self._discovery.watch(active)
                 case i.Fetch():
-                    self._directory.fetch()
+                    self._discovery.fetch()
                 case i.Probe(route):
                     if route in self._endpoints.by_number:
                         endpoint = self._endpoints.by_number[route]
@@ -539,30 +541,30 @@
                 case i.Log(text):
                     self._log.info("module", text=text)
                 case i.Tell():
-                    self._log.warning("no peer to tell")
+                    self._log.warning("no peer to notify")
         self._send(now, sends)
 
     def _send(self, now: float, sends: list[i.Send]) -> None:
-        """Group one reply's sends: those to one endpoint share a call, as far as its kind allows."""
+        """Start calls; sends to the same endpoint share one, as far as its kind allows."""
         groups: list[tuple[int, list[Attempt]]] = []
         last: dict[int, list[Attempt]] = {}
         for send in sends:
-            run = self._attempt(now, send)
-            if run is None:
+            attempt = self._attempt(now, send)
+            if attempt is None:
                 continue
             endpoint = self._endpoints.by_number[send.route]
             if len(last.get(send.route, ())) in (0, endpoint.per_call):
                 last[send.route] = []
                 groups.append((send.route, last[send.route]))
-            last[send.route].append(run)
+            last[send.route].append(attempt)
         for route, members in groups:
             endpoint = self._endpoints.by_number[route]
             call = Call(endpoint, tuple(members), now, policy=self._policy)
             if not self._may_start(now, call):
-                continue  # left to the next process, which finds it owed and not begun
-            if len(self._calls) >= self._set.slots:
-                for run in call.attempts:
-                    self._inbox.put(AttemptEnd(call, run, Result.NOT_SENT, now))
+                continue  # the next process finds it not begun
+            if len(self._calls) >= self._settings.slots:
+                for attempt in call.attempts:
+                    self._inbox.put(AttemptEnd(call, attempt, Result.NOT_SENT, now))
                 continue
             self._calls[call] = len(call.attempts)
             self._log.debug(
@@ -575,39 +577,46 @@
             self._executor.start(call)
 
     def _attempt(self, now: float, send: i.Send) -> Attempt | None:
-        held, endpoint = self._held.get(send.message), self._endpoints.by_number.get(send.route)
-        if held is None or endpoint is None:
+        open_message, endpoint = (
+            self._open_messages.get(send.message),
+            self._endpoints.by_number.get(send.route),
+        )
+        if open_message is None or endpoint is None:
             return None
-        attempt = self._module.held[send.message].attempts - 1
-        # An answer within the margin would be too late: not waited for, so that the end is told in time.
-        left = held.deadline - self._limits.deadline_margin_ms - now
+        index = self._module.held[send.message].attempts - 1
+        # An answer within the margin would be too late to report.
+        left = open_message.deadline - self._limits.deadline_margin_ms - now
         wait = min(send.timeout_ms, left) if send.timeout_ms > 0 else left
-        safe = held.spec.effect is i.Effect.SAFE
-        owed = held.owed
-        run = Attempt(send.message, attempt, owed.id, owed.body, now + wait, safe, cls=owed.cls)
-        if endpoint.group != held.owed.group:
-            # Guards the run: a call to an endpoint of another destination voids it.
-            self._log.error("send to another destination", endpoint=endpoint.name, group=held.owed.group)
-            self._inbox.put(AttemptEnd(Call(endpoint, (run,), now), run, Result.NOT_SENT, now))
+        safe = open_message.spec.effect is i.Effect.SAFE
+        owed = open_message.owed
+        attempt = Attempt(send.message, index, owed.id, owed.body, now + wait, safe, cls=owed.cls)
+        if endpoint.group != open_message.owed.group:
+            # Must never happen: the message would reach another partner.
+            self._log.error(
+                "send rejected: the endpoint belongs to another destination",
+                endpoint=endpoint.name,
+                group=open_message.owed.group,
+            )
+            self._inbox.put(AttemptEnd(Call(endpoint, (attempt,), now), attempt, Result.NOT_SENT, now))
             return None
-        return run
+        return attempt
 
     def _may_start(self, now: float, call: Call) -> bool:
-        """While stopping, start nothing that can't end in time."""
+        """Whether a call can end before the process stops."""
         if self._stop_at == float("inf"):
             return True
         left = self._stop_at + self._limits.stop_ms - now
-        safe = all(run.may_repeat for run in call.attempts)
+        safe = all(attempt.may_repeat for attempt in call.attempts)
         if left < (self._limits.stop_safe_ms if safe else self._limits.stop_unsafe_ms):
             return False
-        for run in call.attempts:
-            run.until = min(run.until, now + left) if run.may_repeat else run.until
+        for attempt in call.attempts:
+            attempt.until = min(attempt.until, now + left) if attempt.may_repeat else attempt.until
         return True
 
-    def _cancel(self, message: int, attempt: int) -> None:
+    def _cancel(self, number: int, index: int) -> None:
         for call in self._calls:
-            for run in call.attempts:
-                if run.number == message and run.nth == attempt:
-                    if len(call.attempts) == 1:  # others in the call go on
+            for attempt in call.attempts:
+                if attempt.number == number and attempt.index == index:
+                    if len(call.attempts) == 1:  # else the call continues for the others
                         self._executor.cancel(call)
                     return
--- a/springspread/core/start.py
+++ b/springspread/core/start.py
@@ -1,6 +1,6 @@
-"""What a start holds: what was owed before it, the gate before which it stands, and the time that counts.
+"""The startup of a sender: its stage, the messages that it has recovered, and the corrected wall clock.
 
-Used by the loop's thread alone; ``progress``, ``open`` and ``backlog`` may be looked at from any.
+Used by the loop's thread alone; ``progress``, ``open`` and ``backlog`` may be read from any.
 """
 
 from __future__ import annotations
@@ -14,101 +14,109 @@
 from springspread.core.startup_stages import Conditions, Progress, Stage, advance
 from springspread.core.types import Log
 
-ASK_MS = 500.0  # an answer that did not come is asked for again
+LIST_RETRY_MS = 500.0
 
 
-class Start:
-    """From a process's first moment on. ``written_wall``: of the journal's last write (Unix time, ms)."""
+class Startup:
+    """The startup of one process. ``written_wall``: the journal's last write (Unix time, ms)."""
 
     def __init__(self, waits: Waits, log: Log, clock: Clock, written_wall: float) -> None:
-        self._waits, self._log, self._clock, self._written = waits, log, clock, written_wall
+        self._waits, self._log, self._clock, self._written_wall = waits, log, clock, written_wall
         self.progress = Progress(Stage.CLOCK, clock.now())
-        self._world: tuple[float, float] | None = None  # the world's time, and when it was that
-        self._steady: tuple[float, float] | None = None  # the time that counts, and when it was that
-        self._waiting: list[tuple[Owed, float]] = []  # owed, and not set free yet; its class's time
-        self._backlog: set[int] = set()  # what was owed at the start, as far as it has no end yet
+        self._known_time: tuple[float, float] | None = (
+            None  # the time from an answer's date, and when it was read
+        )
+        self._anchor: tuple[float, float] | None = None  # the corrected wall-clock time, and when it was set
+        self._held_back: list[tuple[Owed, float]] = []  # with their class's deadline (ms)
+        self._backlog: set[int] = set()  # numbers of recovered messages that are still open
         self.backlog_at_start = 0
-        self._ask_at = 0.0
+        self._fetch_at = 0.0
 
     def begin(self, now: float, owed: Iterable[tuple[Owed, float]]) -> None:
-        """Stand before the first gate, with what is owed and the time (ms) that each one's class gives it."""
-        self.progress, self._waiting = Progress(Stage.CLOCK, now), list(owed)
-        self._backlog = {one.number for one, _ in self._waiting}
+        """Enter the first stage, with recovered messages and their class's deadline (ms)."""
+        self.progress, self._held_back = Progress(Stage.CLOCK, now), list(owed)
+        self._backlog = {one.number for one, _ in self._held_back}
         self.backlog_at_start = len(self._backlog)
 
     @property
     def open(self) -> bool:
-        """Whether it is through."""
+        """Whether all stages are over."""
         return self.progress.stage is Stage.OPEN
 
     @property
     def has_waits(self) -> bool:
-        """Whether it waits at any gate."""
+        """Whether it waits in any stage."""
         return self._waits != Waits()
 
     @property
     def backlog(self) -> int:
-        """Of what was owed at the start, how many have no end yet."""
+        """How many recovered messages are still open."""
         return len(self._backlog)
 
-    def ended(self, number: int) -> None:
-        """A message has its end."""
+    def message_ended(self, number: int) -> None:
+        """A message has ended."""
         self._backlog.discard(number)
 
-    def told(self, date: str, at: float) -> None:
-        """The world's time, as an answer told it."""
-        if self.progress.stage is Stage.CLOCK and (world := wall_clock.parse_date(date)) is not None:
-            self._world = (world, at)
+    def note_date(self, date: str, at: float) -> None:
+        """Note the date of an answer."""
+        if self.progress.stage is Stage.CLOCK and (reference := wall_clock.parse_date(date)) is not None:
+            self._known_time = (reference, at)
 
-    def asks(self, now: float, listed: bool) -> bool:
-        """Whether discovery is to be asked for its whole list now: a watch may wait for long."""
-        if not self.has_waits or listed or now < self._ask_at:
+    def should_fetch_list(self, now: float, listed: bool) -> bool:
+        """Whether to request the whole list now, as a watch may take long."""
+        if not self.has_waits or listed or now < self._fetch_at:
             return False
-        self._ask_at = now + ASK_MS
+        self._fetch_at = now + LIST_RETRY_MS
         return True
 
-    def through(self, now: float, slots: int, acts: bool, listed: bool) -> list[tuple[Owed, float]]:
-        """Through the gates that are open by now; what that sets free, with the time that each has left."""
+    def proceed(
+        self, now: float, slots: int, policy_in_force: bool, listed: bool
+    ) -> list[tuple[Owed, float]]:
+        """Leave the stages that are over; returns the messages that this releases, with their time left."""
         before = self.progress
-        seen = Conditions(len(self._backlog), slots, self._world is not None, acts, listed)
-        self.progress = advance(before, seen, self._waits, now)
-        since, freed = before.since, list[tuple[Owed, float]]()
+        conditions = Conditions(
+            len(self._backlog), slots, self._known_time is not None, policy_in_force, listed
+        )
+        self.progress = advance(before, conditions, self._waits, now)
+        since, released = before.since, list[tuple[Owed, float]]()
         for one in self.progress.passed[len(before.passed) :]:
             if self.has_waits:
                 waited = round(one.at - since, 1)
-                self._log.info("gate", gate=one.stage.value, met=one.met, after_ms=waited, owed=seen.backlog)
+                self._log.info(
+                    "gate", gate=one.stage.value, met=one.met, after_ms=waited, owed=conditions.backlog
+                )
             since = one.at
             if one.stage is Stage.CLOCK:
                 self._set_clock(now)
             if one.stage is Stage.LIST:
-                freed = self._set_free()
-        return freed
+                released = self._release()
+        return released
 
     def _set_clock(self, now: float) -> None:
-        """The time that counts, from now on by a clock that never steps; only where it was waited for."""
+        """Fix the wall-clock time, if the stage is in use; from now on it advances by the monotonic clock."""
         if not self._waits.clock_ms:
             return
-        machine, world = self._clock.wall(), None
-        if self._world is not None:
-            world = self._world[0] + now - self._world[1]
-        shift = wall_clock.offset(machine, world, self._written)
-        self._steady = (machine + shift, now)
+        system, reference = self._clock.wall(), None
+        if self._known_time is not None:
+            reference = self._known_time[0] + now - self._known_time[1]
+        shift = wall_clock.offset(system, reference, self._written_wall)
+        self._anchor = (system + shift, now)
         if shift:
-            by = "world" if world is not None else "record"
+            by = "world" if reference is not None else "record"
             self._log.error("the machine's clock is wrong", by_s=round(-shift / 1000.0, 1), told_by=by)
 
     def wall(self) -> float:
-        """The Unix time (ms) that counts."""
-        if self._steady is None:
+        """The corrected Unix time (ms)."""
+        if self._anchor is None:
             return self._clock.wall()
-        return self._steady[0] + self._clock.now() - self._steady[1]
+        return self._anchor[0] + self._clock.now() - self._anchor[1]
 
-    def left(self, owed: Owed, most: float) -> float:
-        """How much time (ms) a message has left, whose class gives it ``most``."""
+    def time_left(self, owed: Owed, most: float) -> float:
+        """How much time (ms) a message has left; ``most``: its class's deadline."""
         left = owed.deadline_wall - self.wall()
-        # Guards the partner against a clock that is too early: no message has more time than its class gives.
+        # With a clock that is too early a message would be sent long after its deadline.
         return min(left, most) if self._waits.clock_ms else left
 
-    def _set_free(self) -> list[tuple[Owed, float]]:
-        freed, self._waiting = self._waiting, []
-        return [(owed, self.left(owed, most)) for owed, most in freed]
+    def _release(self) -> list[tuple[Owed, float]]:
+        released, self._held_back = self._held_back, []
+        return [(owed, self.time_left(owed, most)) for owed, most in released]
--- a/springspread/core/startup_stages.py
+++ b/springspread/core/startup_stages.py
@@ -1,22 +1,22 @@
-"""The order in which a sender returns to service. No I/O, no clock; times are milliseconds.
-
-Theory of operation. A start goes through gates, in this order. Each opens as soon as what it names is so, or
-when its longest wait is over; a gate that has opened stays open, and a start that is cut off begins anew at
-the first one, as nothing is kept of it.
-
-    gate    opens when                                  its longest wait over    held back until it opens
-    clock   nothing is owed, or the world's time is     the best that is known   what is owed: neither sent
-            known                                       (``core.wall_clock``)     nor given up
-    policy  this process may act under the policy       goes on: each call       what is owed
-            that holds; at once where it stands alone   asks for itself
-    list    discovery has told its whole list           the list as last held    what is owed
-    owed    of what was owed at the start no more is    they compete             new clients: they are refused
-            left than there are slots                                            at once, with a time to
-                                                                                 come back
-    open    (never left)
-
-What was decided before, and what may have run and may not be repeated, waits for none of them: it is told at
-once. With no waits (a sender that no fleet started) all are open from the first moment.
+"""The stages of a sender's startup. No I/O, no clock; times are milliseconds.
+
+Theory of operation. A start passes these stages in order. Each ends as soon as its condition holds, or after
+its longest wait, and does not come back; an interrupted start begins with the first one again, as nothing of
+it is stored.
+
+    stage   ends when                                  after its longest wait    held back until then
+    clock   there is no backlog, or the true time is   the best known time       the backlog: neither sent
+            known from an answer's date                (``core.wall_clock``)     nor ended
+    policy  this process may act under the current     each call still checks    the backlog
+            policy; at once for a single sender        it
+    list    discovery has returned its list            the last known list       the backlog
+    owed    no more of the backlog is left than        both share the slots      new clients: they are refused
+            there are slots                                                      with a retry-after
+    open    (final)
+
+The backlog is what earlier processes accepted and did not end. Messages that have ended already, or that may
+have run and may not be repeated, wait for no stage: their final status is sent at once. With no waits (a
+sender that no fleet started) all stages end at once.
 """
 
 from __future__ import annotations
@@ -29,7 +29,7 @@
 
 
 class Stage(Enum):
-    """What a start waits for."""
+    """A stage, named after what it waits for."""
 
     CLOCK = "clock"
     POLICY = "policy"
@@ -40,18 +40,18 @@
 
 @dataclass(frozen=True, slots=True)
 class Conditions:
-    """What there is at a moment. ``owed``: of what was owed at the start, how many have no end yet."""
+    """What the stages check. ``backlog``: how many recovered messages are still open."""
 
     backlog: int
     slots: int
-    time_known: bool  # the world's time is known
+    time_known: bool  # from an answer's date
     policy: bool
     listed: bool
 
 
 @dataclass(frozen=True, slots=True)
-class Passed:
-    """A gate that is open: when it opened, and whether that was for what it names."""
+class PassedStage:
+    """A stage that is over: when it ended, and whether by its condition or by its longest wait."""
 
     stage: Stage
     at: float
@@ -60,29 +60,33 @@
 
 @dataclass(frozen=True, slots=True)
 class Progress:
-    """Before which gate a start stands, and since when."""
+    """The current stage, and since when."""
 
     stage: Stage
     since: float
-    passed: tuple[Passed, ...] = ()
+    passed: tuple[PassedStage, ...] = ()
 
 
 STAGES: tuple[tuple[Stage, Callable[[Conditions], bool], Callable[[Waits], float]], ...] = (
-    (Stage.CLOCK, lambda seen: not seen.backlog or seen.time_known, lambda waits: waits.clock_ms),
-    (Stage.POLICY, lambda seen: seen.policy, lambda waits: waits.policy_ms),
-    (Stage.LIST, lambda seen: seen.listed, lambda waits: waits.list_ms),
-    (Stage.OWED, lambda seen: seen.backlog <= seen.slots, lambda waits: waits.owed_ms),
+    (
+        Stage.CLOCK,
+        lambda conditions: not conditions.backlog or conditions.time_known,
+        lambda waits: waits.clock_ms,
+    ),
+    (Stage.POLICY, lambda conditions: conditions.policy, lambda waits: waits.policy_ms),
+    (Stage.LIST, lambda conditions: conditions.listed, lambda waits: waits.list_ms),
+    (Stage.OWED, lambda conditions: conditions.backlog <= conditions.slots, lambda waits: waits.owed_ms),
 )
 
 
-def advance(progress: Progress, seen: Conditions, waits: Waits, now: float) -> Progress:
-    """Through as many gates as are open."""
+def advance(progress: Progress, conditions: Conditions, waits: Waits, now: float) -> Progress:
+    """Leave all stages that are over."""
     for n, (stage, met, longest) in enumerate(STAGES):
         if stage is not progress.stage:
             continue
-        if not met(seen) and now < progress.since + longest(waits):
+        if not met(conditions) and now < progress.since + longest(waits):
             return progress
         after = STAGES[n + 1][0] if n + 1 < len(STAGES) else Stage.OPEN
-        passed = (*progress.passed, Passed(stage, now, met(seen)))
+        passed = (*progress.passed, PassedStage(stage, now, met(conditions)))
         progress = Progress(after, now, passed)
     return progress
--- a/springspread/core/translate.py
+++ b/springspread/core/translate.py
@@ -1,4 +1,4 @@
-"""Between the core's words and the module's: the only file that knows both."""
+"""Converts between the core's types and the decision module's: the only file that knows both."""
 
 from __future__ import annotations
 
@@ -41,45 +41,47 @@
 }
 
 
-def report(load: Load) -> i.Report:
+def to_report(load: Load) -> i.Report:
     """An endpoint's report."""
     return i.Report(load.left_share, load.limit_per_s)
 
 
-def ended(end: AttemptEnd, over: bool) -> i.Ended:
-    """An attempt's end as an attempt's."""
-    run, call = end.attempt, end.call
+def ended(end: AttemptEnd, final: bool) -> i.Ended:
+    """An attempt's end."""
+    attempt, call = end.attempt, end.call
     wait = end.wait_ms if end.result is Result.REJECTED else 0.0
     took = max(end.at - call.sent_at, 0.0)
     outcome = OUTCOMES[end.result]
-    return i.Ended(run.number, run.nth, call.endpoint.number, outcome, took, over, wait, report(end.load))
+    return i.Ended(
+        attempt.number, attempt.index, call.endpoint.number, outcome, took, final, wait, to_report(end.load)
+    )
 
 
 def probed(end: ProbeEnd) -> i.Probed:
     """A probe's end."""
-    return i.Probed(end.endpoint.number, OUTCOMES[end.result], end.took_ms, report(end.load))
+    return i.Probed(end.endpoint.number, OUTCOMES[end.result], end.took_ms, to_report(end.load))
 
 
-class Endpoints:
-    """The server endpoints by the numbers that the module knows them by."""
+class EndpointTable:
+    """The endpoints, by the numbers under which the decision module knows them."""
 
     def __init__(self, kinds: tuple[i.KindSpec, ...], clock: Clock) -> None:
         self._kinds, self._clock = kinds, clock
         self._numbers: dict[tuple[str, int], int] = {}
-        self._last = 0  # no number is used again
+        self._last = 0  # numbers are not reused
         self.by_number: dict[int, Endpoint] = {}
 
     def endpoint(self, member: Member) -> Endpoint:
-        """The endpoint of a list line. A name that moves to another group is another endpoint."""
+        """The endpoint of a list line. A name that moves to another group becomes another endpoint."""
         key = (member.name, member.group)
         if key not in self._numbers:
             self._last += 1
             self._numbers[key] = self._last
         number = self._numbers[key]
         kind = self._kinds[member.kind] if 0 <= member.kind < len(self._kinds) else i.KindSpec("")
-        held = self.by_number.get(number)
-        if held is None:
-            held = Endpoint(
+        endpoint = self.by_number.get(number)
+        if endpoint is None:
+            endpoint = Endpoint(
                 number,
                 member.name,
                 member.host,
@@ -88,24 +90,24 @@
                 kind.separate_routes,
                 kind.per_call,
             )
-            self.by_number[number] = held
-        held.host, held.port = member.host, member.port
-        return held
+            self.by_number[number] = endpoint
+        endpoint.host, endpoint.port = member.host, member.port
+        return endpoint
 
-    def replaced(self, news: ListUpdate) -> list[Endpoint]:
-        """Endpoints that the news does not name, but whose name or address another one in it has now."""
-        index = ListIndex(news)
+    def replaced_by(self, update: ListUpdate) -> list[Endpoint]:
+        """Endpoints that an update does not list, and whose name or address another one in it has."""
+        index = ListIndex(update)
         return [endpoint for endpoint in self.by_number.values() if index.replaces(endpoint)]
 
     def forget(self, endpoint: Endpoint) -> None:
-        """Drop an endpoint that is gone; one of that name that comes back is another."""
+        """Drop an endpoint that is gone; one that returns under its name is another endpoint."""
         self.by_number.pop(endpoint.number, None)
         self._numbers.pop((endpoint.name, endpoint.group), None)
 
-    def listed(self, news: ListUpdate, replaced: list[Endpoint]) -> i.Listed:
-        """News of the destinations as the module's list, with the endpoints that it replaces as gone."""
+    def listed(self, update: ListUpdate, replaced: list[Endpoint]) -> i.Listed:
+        """An update as the decision module's event, with replaced endpoints as gone."""
         entries = [i.RouteEntry(gone.number, 0, 0, gone.group, i.RouteState.GONE, 0.0) for gone in replaced]
-        for member in news.members:
+        for member in update.members:
             added = self._clock.now() - (self._clock.wall() - member.since_wall) if member.since_wall else 0.0
             endpoint = self.endpoint(member)
             kind = member.kind if member.kind >= 0 else len(self._kinds)
@@ -113,5 +115,5 @@
             entries.append(
                 i.RouteEntry(endpoint.number, member.zone, kind, member.group, state, member.rating, added)
             )
-        outdated = (news.outdated_period.begin, news.outdated_period.end)
-        return i.Listed(SCOPES[news.scope], news.version, tuple(entries), news.ask_by, *outdated)
+        outdated = (update.outdated_period.begin, update.outdated_period.end)
+        return i.Listed(SCOPES[update.scope], update.version, tuple(entries), update.ask_by, *outdated)
--- a/springspread/core/types.py
+++ b/springspread/core/types.py
@@ -1,4 +1,4 @@
-"""What fronts and drivers exchange with the core. Times are monotonic milliseconds unless named wall."""
+"""Types that the core exchanges with its drivers. Times are monotonic milliseconds unless named wall."""
 
 from __future__ import annotations
 
@@ -16,12 +16,12 @@
 
 
 def clock() -> float:
-    """Milliseconds on the process's own clock, which never steps; for drivers, which live in real time."""
+    """Monotonic milliseconds of the system clock; for drivers, which run in real time."""
     return SYSTEM.now()
 
 
 class Verdict(Enum):
-    """What a client is told as it hands a message in."""
+    """The answer to a client that hands a message in."""
 
     ACCEPTED = "accepted"
     DELIVERED = "delivered"
@@ -46,12 +46,12 @@
 
     @property
     def is_failure(self) -> bool:
-        """Whether it tells of trouble at the endpoint."""
+        """Whether it indicates trouble at the endpoint."""
         return self in (Result.ERROR, Result.REJECTED, Result.TIMED_OUT, Result.NOT_CONNECTED, Result.BROKEN)
 
     @property
     def never_ran(self) -> bool:
-        """Whether it proves that the message was not applied."""
+        """Whether it proves that the message was not processed."""
         return self in (Result.REJECTED, Result.NOT_CONNECTED, Result.NOT_SENT)
 
 
@@ -64,7 +64,7 @@
 
 
 class Scope(Enum):
-    """How news of the list relates to what is held."""
+    """How an update relates to the known list."""
 
     CHANGES = "changes"
     WHOLE = "whole"
@@ -72,16 +72,16 @@
     FAILED = "failed"
 
 
-def _nobody(message: Message) -> None:
-    """Nobody waits on one that no front handed in."""
+def _ignore_verdict(message: Message) -> None:
+    """For a message that no front handed in."""
 
 
 @dataclass(slots=True, eq=False)
 class Message:
-    """A message that a client hands in. ``on_verdict`` is called once, by the core's thread, at the verdict.
+    """A message that a client hands in. ``on_verdict`` is called once, by the core's thread.
 
-    Where two events cross: the core's verdict and the front's patience. Whichever settles it first holds,
-    and the other is told so: nobody hears that he is refused whose message is taken on.
+    The core's verdict and the front's time-out may race. The first one wins, and the other sees that it lost:
+    no client is refused whose message has been accepted.
     """
 
     id: str
@@ -91,15 +91,15 @@
     body: bytes
     again: bool = False
     orphan: bool = False
-    number: int = 0  # of the message that it speaks for, once that is taken on
+    number: int = 0  # of the accepted message that it belongs to; 0: none yet
     verdict: Verdict | None = None
-    on_verdict: Callable[[Message], None] = _nobody
-    _settling: threading.Lock = field(default_factory=threading.Lock, repr=False)
+    on_verdict: Callable[[Message], None] = _ignore_verdict
+    _verdict_lock: threading.Lock = field(default_factory=threading.Lock, repr=False)
     _withdrawn: bool = False
 
     def answer(self, verdict: Verdict) -> bool:
-        """Tell the front; false where it has stopped waiting, so that nothing may be taken on."""
-        with self._settling:
+        """Set the verdict; false where the front has stopped waiting, so that it may not be accepted."""
+        with self._verdict_lock:
             if self._withdrawn:
                 return False
             self.verdict = verdict
@@ -107,15 +107,15 @@
         return True
 
     def withdraw(self) -> bool:
-        """The front waits no longer; false where the verdict is there by now."""
-        with self._settling:
+        """Stop waiting for the verdict; false where it has come by now."""
+        with self._verdict_lock:
             self._withdrawn = self.verdict is None
             return self._withdrawn
 
 
 @dataclass(frozen=True, slots=True)
 class Member:
-    """One line of discovery's list, as it was read."""
+    """One line of discovery's list."""
 
     name: str
     host: str
@@ -130,17 +130,15 @@
 
 @dataclass(frozen=True, slots=True)
 class ListUpdate:
-    """News of discovery's list; with scope FAILED a watch failed and there are no members."""
+    """An update of discovery's list; with scope FAILED a request failed and there are no members."""
 
     scope: Scope
     version: int = 0
     members: tuple[Member, ...] = ()
-    notified_at: float = 0.0  # when its bytes were there
-    date: str = ""  # the world's time as the answer told it, at ``notified_at``
-    ask_by: float = float("inf")  # after a failure: when to ask again at the latest
-    outdated_period: OutdatedPeriod = (
-        NEVER_OUTDATED  # after a failure: when no call may begin by the list that is held
-    )
+    notified_at: float = 0.0  # when it was received
+    date: str = ""  # the answer's ``Date``
+    ask_by: float = float("inf")  # after a failure: the latest time of the next request
+    outdated_period: OutdatedPeriod = NEVER_OUTDATED  # after a failure: when no call may begin
 
 
 @dataclass(slots=True, eq=False)
@@ -155,22 +153,22 @@
     separate_routes: bool
     per_call: int
     state: EndpointState = EndpointState.READY
-    leaving_at: float = float("inf")  # when this sender was told that it drains or is gone
+    leaving_at: float = float("inf")  # when this sender was notified that it drains or is gone
 
     @property
-    def bar_key(self) -> tuple[int, int]:
-        """What a told wait binds: the endpoint where routes are apart, else its whole destination."""
+    def retry_after_key(self) -> tuple[int, int]:
+        """What a retry-after applies to: the endpoint if routes are separate, else its destination."""
         return (self.group, self.number if self.separate_routes else -1)
 
     @property
-    def bar_name(self) -> str:
-        """The same, as other processes know it."""
+    def retry_after_name(self) -> str:
+        """The same, valid across processes."""
         return f"{self.group}/{self.name if self.separate_routes else ''}"
 
 
 @dataclass(frozen=True, slots=True)
 class Load:
-    """What an answer told of the endpoint's limit."""
+    """What an answer reported about the endpoint's limit."""
 
     left_share: float | None = None
     limit_per_s: float | None = None
@@ -180,40 +178,40 @@
 class Attempt:
     """One attempt at one message."""
 
-    number: int
-    nth: int  # among its message's
+    number: int  # of its message
+    index: int  # among its message's attempts
     id: str
     body: bytes
     until: float
     may_repeat: bool
     done: bool = False
-    cls: str = ""  # its message's class
+    cls: str = ""  # of its message
 
 
 @dataclass(slots=True, eq=False)
 class Call:
-    """Attempts that travel together, on one slot. Without any it is a probe."""
+    """Attempts that share one HTTP exchange and one slot. Without any it is a probe."""
 
     endpoint: Endpoint
     attempts: Sequence[Attempt]
     sent_at: float
     cancelled: threading.Event = field(default_factory=threading.Event)
-    policy: int = 0  # that it was decided under
+    policy: int = 0  # under which it was decided
 
     @property
     def once(self) -> bool:
-        """Whether some of it may run only once."""
+        """Whether any attempt may run only once."""
         return not all(attempt.may_repeat for attempt in self.attempts)
 
     @property
     def until(self) -> float:
-        """When it is given up: whole, by closing its connection."""
+        """When the call times out as a whole."""
         return min(attempt.until for attempt in self.attempts)
 
 
 @dataclass(frozen=True, slots=True)
 class AttemptEnd:
-    """An attempt's end. ``over``: the endpoint says that nothing more is owed for the message."""
+    """An attempt's end. ``final``: the endpoint says that the message needs no further attempt."""
 
     call: Call
     attempt: Attempt
@@ -221,7 +219,7 @@
     at: float
     wait_ms: float = 0.0
     load: Load = Load()
-    over: bool = False
+    final: bool = False
 
 
 @dataclass(frozen=True, slots=True)
@@ -236,21 +234,21 @@
 
 @dataclass(frozen=True, slots=True)
 class ClientLeft:
-    """The client went away before it heard the verdict on its message."""
+    """The client disconnected before it read the verdict on its message."""
 
     message: Message
 
 
 @dataclass(frozen=True, slots=True)
 class NoticesDelivered:
-    """The platform took the notices of these messages."""
+    """The platform accepted the notices of these messages."""
 
     numbers: tuple[int, ...]
 
 
 @dataclass(frozen=True, slots=True)
 class NewPolicy:
-    """From now on the fleet acts under another policy: its number, and the configuration that it makes."""
+    """The fleet has changed to another policy: its number and the resulting configuration."""
 
     number: int
     config: Config
@@ -258,12 +256,12 @@
 
 @dataclass(frozen=True, slots=True)
 class Stop:
-    """The process is asked to end."""
+    """A request to shut down."""
 
 
 @dataclass(frozen=True, slots=True)
 class Notice:
-    """The end of a message that was taken on and not delivered."""
+    """The final status of a message that was accepted and not delivered."""
 
     number: int
     id: str
@@ -275,7 +273,7 @@
 
 
 class Executor(Protocol):
-    """Carries out calls on other threads and puts their ends on the core's queue."""
+    """Executes calls on other threads and puts their ends on the core's queue."""
 
     def start(self, call: Call) -> None:
         """Begin a call, or a probe where it has no attempts."""
@@ -284,68 +282,68 @@
         """Close the call's connection."""
 
     def close_idle(self, endpoint: Endpoint) -> None:
-        """Close the kept connections to an endpoint."""
+        """Close idle connections to an endpoint."""
 
     def grow(self, slots: int) -> None:
-        """See to it that so many calls can be out at once."""
+        """Allow at least ``slots`` concurrent calls."""
 
 
-class Directory(Protocol):
-    """Discovery, as the core sees it."""
+class Discovery(Protocol):
+    """Discovery, as the core uses it."""
 
     def watch(self, active: bool) -> None:
-        """Begin or end the watch; a running one goes on."""
+        """Begin or end the watch; beginning has no effect on a running one."""
 
     def fetch(self) -> None:
-        """Ask once for the whole list."""
+        """Request the whole list once."""
 
 
 class NoticeSink(Protocol):
-    """Where final answers go."""
+    """Receives notices for the platform."""
 
     def deliver(self, notice: Notice) -> None:
-        """Tell it until the platform has taken it."""
+        """Send it, and retry until the platform has accepted it."""
 
 
 class Shares(Protocol):
-    """What a fleet's instance may use of its partners' limits."""
+    """An instance's share of its partners' limits, and its fleet's policy."""
 
     def wait_for_policy(self, policy: int) -> bool:
-        """Whether a call that was decided under a policy may begin; may wait for it, a bounded time."""
+        """Whether a call that was decided under a policy may begin; may block for a bounded time."""
 
     def may_begin(self, policy: int) -> bool:
-        """Whether it may begin at this very moment."""
+        """Whether it may begin now."""
 
     def acquire(self, endpoint: Endpoint) -> float:
-        """Until when (ms) the right to begin one call to an endpoint is good; 0 where there is none.
+        """Until when (ms) a lease allows one call to an endpoint to begin; 0: not at all.
 
-        May wait for it, a bounded time.
+        May block for a bounded time.
         """
 
     def load(self, endpoint: Endpoint, load: Load) -> Load:
-        """What the decision module is told of an endpoint's limit: the instance's part of it."""
+        """The endpoint's limit for the decision module: this instance's share of it."""
 
     def listed(self, endpoints: Sequence[Endpoint]) -> None:
-        """Endpoints are on the list: calls to them may follow."""
+        """Endpoints are on the list, so calls to them may follow."""
 
     def failed(self, endpoint: Endpoint) -> None:
-        """An attempt at an endpoint failed or was rejected: its destination may be down or full."""
+        """An attempt at an endpoint failed or was rejected."""
 
     def served(self, endpoint: Endpoint) -> None:
-        """An attempt at an endpoint succeeded: its destination may be back."""
+        """An attempt at an endpoint succeeded."""
 
 
 class Log(Protocol):
     """The part of a structlog logger that the program uses."""
 
     def debug(self, event: str, **values: object) -> object:
-        """A step on a message's way, for who follows one."""
+        """A step of one message."""
 
     def info(self, event: str, **values: object) -> object:
-        """Something worth a line."""
+        """A notable event."""
 
     def warning(self, event: str, **values: object) -> object:
-        """Something from outside went wrong."""
+        """An external fault."""
 
     def error(self, event: str, **values: object) -> object:
-        """Something in here went wrong."""
+        """An internal fault."""
--- a/springspread/core/wall_clock.py
+++ b/springspread/core/wall_clock.py
@@ -1,39 +1,39 @@
-"""What time it is in the world, where the machine's own clock may have come up wrong. No I/O.
+"""The wall-clock time to use when the system clock may be wrong. No I/O.
 
-Theory of operation. Deadlines on record are Unix times, as a later process reads them. After a power loss the
-machine's clock may stand in 1970, an hour early or an hour late; whoever believes it gives up what has time
-left, or delivers what has none. What is known, the best first:
+Theory of operation. Deadlines in the journal are Unix times, as a later process reads them. After a power
+loss the system clock may show 1970, or be an hour off; a sender that trusts it ends messages that have time
+left, or delivers expired ones. The sources, best first:
 
-    the world's time    from an answer to a call of ours: true to a second, and to the call's own length
-    the machine's       true as far as nothing says otherwise
-    the record's        the latest write to the journal: it can't be earlier than that
+    date      from discovery's answer: exact to a second, plus the duration of the call
+    system    the system clock: taken to be right unless something contradicts it
+    record    the latest write to the journal: the time can't be earlier
 
-    the world's time    machine's clock             what counts
-    told                off by > ``TOLERANCE_MS``   the world's
-    told                within ``TOLERANCE_MS``     the machine's: it is finer
-    not told            before the record's         the record's, as if no time had passed since
-    not told            not before it               the machine's
+    date       system clock                        used
+    known      off by more than ``TOLERANCE_MS``   the date
+    known      within ``TOLERANCE_MS``             the system clock, which is finer
+    unknown    before the record                   the record, as if no time had passed since
+    unknown    not before it                       the system clock
 
-From then on the time goes by a clock that never steps, so that a machine's clock that is set right later
-moves no deadline. A message may be late by ``TOLERANCE_MS`` at most where the world told its time; else by as
-much as the machine's clock is wrong, and never by more than its class's own time.
+From then on a monotonic clock is added, so that a later correction of the system clock moves no deadline. A
+message may be late by ``TOLERANCE_MS`` at most where a date is known; else by the error of the system clock,
+but never by more than its class's deadline.
 """
 
 from __future__ import annotations
 
-TOLERANCE_MS = 2_000.0  # the world tells whole seconds, and an answer is on its way for a while
+TOLERANCE_MS = 2_000.0  # a date has whole seconds, and its answer takes time to arrive
 
 
-def offset(machine: float, world: float | None, record: float) -> float:
-    """What is to be added to the machine's clock (ms); ``world`` and ``record`` as they would stand now."""
-    if world is not None:
-        return world - machine if abs(world - machine) > TOLERANCE_MS else 0.0
-    return max(record - machine, 0.0)
+def offset(system: float, reference: float | None, record: float) -> float:
+    """The correction of the system clock (ms); ``reference`` and ``record``: what they would show now."""
+    if reference is not None:
+        return reference - system if abs(reference - system) > TOLERANCE_MS else 0.0
+    return max(record - system, 0.0)
 
 
 def parse_date(date: str) -> float | None:
-    """The Unix time (ms) of an answer's ``Date``, in the middle of its second; none where it tells none."""
-    from email.utils import parsedate_to_datetime  # a sender that asks no gate loads nothing of it
+    """The Unix time (ms) of an answer's ``Date``, at the middle of its second; ``None``: it has none."""
+    from email.utils import parsedate_to_datetime  # not loaded by a sender without startup stages
 
     try:
         return parsedate_to_datetime(date).timestamp() * 1000.0 + 500.0
--- a/springspread/simulator/sockets.py
+++ b/springspread/simulator/sockets.py
@@ -217,7 +217,7 @@
         if change.state:
             self._at(self._now() + self.day.list_lag_ms, self._listed, change)
 
-    # Directory and platform
+    # Discovery and platform
 
     def _listed(self, change: Change) -> None:
         self._states[change.endpoint] = EndpointState(change.state)
--- a/springspread/simulator/virtual.py
+++ b/springspread/simulator/virtual.py
@@ -369,7 +369,7 @@
         """Close the kept connections to an endpoint."""
         self._idle.pop(endpoint.number, None)
 
-    # Directory
+    # Discovery
 
     def watch(self, active: bool) -> None:
         """Begin or end the watch."""
--- a/tests/test_clearance.py
+++ b/tests/test_clearance.py
@@ -8,7 +8,7 @@
 
 import pytest
 
-from springspread.core.clearance import Clearance, Withheld
+from springspread.core.clearance import Clearance, WithheldReason
 from springspread.core.journal import Journal, Owed
 from springspread.core.types import (
     Attempt,
@@ -51,7 +51,7 @@
         self.clearance = Clearance(self.journal, GRACE_MS, self.clock)
         self.endpoint = Endpoint(1, "s-1", "127.0.0.1", 9, 7, True, 5)
 
-    def reason(self, after_ms: float = GRACE_MS + 1.0) -> Withheld | None:
+    def reason(self, after_ms: float = GRACE_MS + 1.0) -> WithheldReason | None:
         """Why the call may not begin so long after the list was read."""
         self.clock.at = READ_AT + after_ms
         number = self.journal.last_number + 1
@@ -96,7 +96,7 @@
 ) -> None:
     look.clearance.received(read)
     assert look.reason(GRACE_MS) is None
-    assert look.reason() is Withheld.LEAVING
+    assert look.reason() is WithheldReason.LEAVING
 
 
 @pytest.mark.parametrize("read", STAYING.values(), ids=STAYING)
@@ -108,10 +108,10 @@
 def test_news_that_are_in_force_are_not_kept(look: Look) -> None:
     read = news(line("s-1", state=EndpointState.DRAINING))
     look.clearance.received(read)
-    look.clearance.leaving(look.endpoint, EndpointState.DRAINING, read.notified_at)
+    look.clearance.set_state(look.endpoint, EndpointState.DRAINING, read.notified_at)
     look.clearance.applied(read)
-    assert look.reason() is Withheld.LEAVING
-    look.clearance.leaving(look.endpoint, EndpointState.READY, READ_AT + 500.0)
+    assert look.reason() is WithheldReason.LEAVING
+    look.clearance.set_state(look.endpoint, EndpointState.READY, READ_AT + 500.0)
     assert look.reason() is None
 
 
@@ -119,8 +119,8 @@
     outdated_period = OutdatedPeriod(READ_AT + 100.0, READ_AT + 6100.0)
     look.clearance.received(ListUpdate(Scope.FAILED, ask_by=READ_AT, outdated_period=outdated_period))
     assert look.reason(100.0 + GRACE_MS) is None
-    assert look.reason(101.0 + GRACE_MS) is Withheld.LIST_OUTDATED
-    assert look.reason(6099.0) is Withheld.LIST_OUTDATED
+    assert look.reason(101.0 + GRACE_MS) is WithheldReason.LIST_OUTDATED
+    assert look.reason(6099.0) is WithheldReason.LIST_OUTDATED
     assert look.reason(6101.0) is None
 
 
@@ -129,6 +129,6 @@
     look.clearance.received(
         ListUpdate(Scope.FAILED, outdated_period=OutdatedPeriod(READ_AT, READ_AT + 6000.0))
     )
-    assert look.reason() is Withheld.LIST_OUTDATED
+    assert look.reason() is WithheldReason.LIST_OUTDATED
     look.clearance.received(then)
     assert look.reason() is None
--- a/tests/test_core.py
+++ b/tests/test_core.py
@@ -9,7 +9,7 @@
 from springspread import config
 from springspread import interface as i
 from springspread.core import types as t
-from springspread.core.clearance import Clearance, Withheld
+from springspread.core.clearance import Clearance, WithheldReason
 from springspread.core.clock import SYSTEM
 from springspread.core.journal import Journal, Owed
 from springspread.core.loop import Sender
@@ -129,7 +129,7 @@
     rig.restore()
     assert len(rig.drivers.calls) == sent and len(rig.drivers.told) == told
     for call in rig.drivers.calls:
-        assert call.attempts[0].nth == 1  # the one of the last process counts
+        assert call.attempts[0].index == 1  # the one of the last process counts
     assert [notice.deferred for notice in rig.drivers.told] == [False] * told
 
 
@@ -263,9 +263,9 @@
     def sizes() -> list[int]:
         endpoints = sender._endpoints
         known = (endpoints.by_number, endpoints._numbers)
-        tables = (*known, sender._held, sender._numbers, sender._calls, module.held)
+        tables = (*known, sender._open_messages, sender._numbers, sender._calls, module.held)
         more = (module.routes, module.dests, module.flights, module.lines, module.dues, rig.journal.owed)
-        return [len(table) for table in (*tables, *more, rig.clearance._bars, module.dests[7].routes)]
+        return [len(table) for table in (*tables, *more, rig.clearance._retry_after, module.dests[7].routes)]
 
     def round(n: int) -> None:
         ready = [member(k) for k in (2 * n + 1, 2 * n + 2)]
@@ -291,7 +291,7 @@
     while any(now > then for now, then in zip(sizes(), before, strict=True)) and t.clock() < end:
         serve()
     assert all(now <= then for now, then in zip(sizes(), before, strict=True)), (sizes(), before)
-    assert len(sender._recent) <= rig.config.limits.recent_ends
+    assert len(sender._recently_closed) <= rig.config.limits.recent_ends
 
 
 def test_a_message_that_waits_takes_a_route_that_is_listed_later(tmp_path: Path) -> None:
@@ -377,12 +377,12 @@
     rig.hand_in("a")
     (call,) = rig.drivers.calls
     told_at = t.clock() - 440.0
-    rig.clearance.leaving(call.endpoint, t.EndpointState.DRAINING, told_at)
+    rig.clearance.set_state(call.endpoint, t.EndpointState.DRAINING, told_at)
     assert rig.clearance.check(call) is None  # within the grace
-    rig.clearance.leaving(call.endpoint, t.EndpointState.GONE, told_at + 300.0)  # counts from the first
-    rig.clearance.leaving(call.endpoint, t.EndpointState.DRAINING, told_at - 20.0)
+    rig.clearance.set_state(call.endpoint, t.EndpointState.GONE, told_at + 300.0)  # counts from the first
+    rig.clearance.set_state(call.endpoint, t.EndpointState.DRAINING, told_at - 20.0)
     refused = rig.clearance.check(call)
-    assert refused == (t.Result.NOT_SENT, 0.0, Withheld.LEAVING)
+    assert refused == (t.Result.NOT_SENT, 0.0, WithheldReason.LEAVING)
 
 
 @pytest.mark.parametrize("comes", ["a drain", "a told wait"])
@@ -397,7 +397,7 @@
 
     def slow(number: int, attempt: int) -> bool:
         if comes == "a drain":
-            rig.clearance.leaving(call.endpoint, t.EndpointState.DRAINING, t.clock() - 451.0)
+            rig.clearance.set_state(call.endpoint, t.EndpointState.DRAINING, t.clock() - 451.0)
         else:
             rig.clearance.set_retry_after(call.endpoint, 5000.0)
         return begun(number, attempt)
@@ -405,7 +405,7 @@
     monkeypatch.setattr(rig.journal, "begun", slow)
     refused = rig.clearance.check(call)
     assert refused is not None
-    assert refused.reason is (Withheld.LEAVING if comes == "a drain" else Withheld.RETRY_AFTER)
+    assert refused.reason is (WithheldReason.LEAVING if comes == "a drain" else WithheldReason.RETRY_AFTER)
     rig.sender.step([t.AttemptEnd(call, call.attempts[0], refused.result, t.clock())])
     assert not rig.journal.owed[1].may_have_run
 
--- a/tests/test_lifetimes.py
+++ b/tests/test_lifetimes.py
@@ -125,7 +125,12 @@
         life = list(self.lives.values())[which % len(self.lives)]
         number = life.message.number
         owed = self.journal.owed.get(number)
-        free = owed is not None and not owed.begun and owed.ending is None and number in self.sender._held
+        free = (
+            owed is not None
+            and not owed.begun
+            and owed.ending is None
+            and number in self.sender._open_messages
+        )
         life.left = life.left or free
         self.step(t.ClientLeft(life.message))
 
@@ -155,9 +160,9 @@
             self.step(t.ProbeEnd(call.endpoint, t.Result.DELIVERED, 5.0))
         for run, result in zip(call.attempts, results, strict=False):
             life = self.lives[run.id]
-            held = run.number in self.sender._held
+            held = run.number in self.sender._open_messages
             end = t.AttemptEnd(call, run, result, self.clock.now())
-            late = held and self.sender._too_late(self.sender._held[run.number], end)
+            late = held and self.sender._too_late(self.sender._open_messages[run.number], end)
             if result in NEVER:
                 life.may_have_run = False
             if result is t.Result.DELIVERED and held and not late:
@@ -195,7 +200,7 @@
 
     @invariant()
     def what_is_held_is_on_record(self) -> None:
-        assert set(self.sender._held) <= set(self.journal.owed)
+        assert set(self.sender._open_messages) <= set(self.journal.owed)
         assert set(self.sender._numbers.values()) == set(self.journal.owed)
 
     def teardown(self) -> None:
@@ -210,7 +215,7 @@
             self.step(t.NoticesDelivered((notice.number,)))
         for life in self.lives.values():
             assert life.left or life.delivered or life.told, "no end"
-        assert not self.journal.owed and not self.sender._held and not self.sender._calls
+        assert not self.journal.owed and not self.sender._open_messages and not self.sender._calls
         assert not self.sender._numbers and not self.sender._module.held
         self.journal.close()
         shutil.rmtree(self.folder)
--- a/tests/test_reuse.py
+++ b/tests/test_reuse.py
@@ -5,7 +5,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from springspread.core.reuse import EDGES_MS, FADE_MS, Bounds, Reuse
+from springspread.core.reuse import DECAY_MS, IDLE_BUCKETS_MS, Bounds, Reuse
 
 BOUNDS = Bounds(once=0.03, repeat=0.25)
 LINK, OTHER = 1, 2
@@ -62,7 +62,7 @@
 
 def test_what_was_learnt_fades_and_is_forgotten_with_its_link() -> None:
     reuse = learnt(100.0)
-    assert reuse.allows_reuse(LINK, 1000.0, False, 3 * FADE_MS)
+    assert reuse.allows_reuse(LINK, 1000.0, False, 3 * DECAY_MS)
     reuse.forget(LINK)
     assert not reuse._endpoints
 
@@ -82,5 +82,5 @@
         now += later
         reuse.note(endpoint, idle, broke, now)
     for endpoint in (1, 2, 3, 4):
-        risks = [reuse.risk(endpoint, idle, now) for idle in (0.0, *EDGES_MS)]
+        risks = [reuse.risk(endpoint, idle, now) for idle in (0.0, *IDLE_BUCKETS_MS)]
         assert risks == sorted(risks) and risks[0] >= 0.0 and risks[-1] <= 1.0
