--- a/springspread/core/reuse.py
+++ b/springspread/core/reuse.py
@@ -83,7 +83,7 @@
             highest = max(highest, break_share)
         return max(highest - base, 0.0)
 
-    def allows_reuse(self, endpoint: int, idle_ms: float, once: bool, now: float) -> bool:
+    def allows(self, endpoint: int, idle_ms: float, once: bool, now: float) -> bool:
         """Whether a call may use a connection that has been idle for ``idle_ms``."""
         return self.risk(endpoint, idle_ms, now) <= (self.bounds.once if once else self.bounds.repeat)
 
--- a/springspread/net/endpoints.py
+++ b/springspread/net/endpoints.py
@@ -62,9 +62,7 @@
         while True:
             with self._lock:
                 idle, now = self._idle.get(endpoint.number), clock()
-                if not idle or not self._reuse.allows_reuse(
-                    endpoint.number, now - idle[-1].idle_since, once, now
-                ):
+                if not idle or not self._reuse.allows(endpoint.number, now - idle[-1].idle_since, once, now):
                     return None
                 connection = idle.pop()
                 connection.idle_ms = now - connection.idle_since
--- a/tests/test_reuse.py
+++ b/tests/test_reuse.py
@@ -24,27 +24,23 @@
 def test_without_statistics_every_call_reuses_a_connection() -> None:
     reuse = Reuse(BOUNDS)
     assert all(
-        reuse.allows_reuse(ENDPOINT, idle, once, 0.0)
-        for idle in (0.0, 100.0, 3000.0)
-        for once in (True, False)
+        reuse.allows(ENDPOINT, idle, once, 0.0) for idle in (0.0, 100.0, 3000.0) for once in (True, False)
     )
 
 
 def test_after_a_break_unsafe_calls_avoid_connections_idle_as_long() -> None:
     reuse = Reuse(BOUNDS)
     reuse.note(ENDPOINT, 150.0, True, 0.0)
-    assert not reuse.allows_reuse(ENDPOINT, 150.0, True, 0.0)
-    assert not reuse.allows_reuse(ENDPOINT, 3000.0, True, 0.0)
-    assert reuse.allows_reuse(ENDPOINT, 10.0, True, 0.0)
-    assert reuse.allows_reuse(ENDPOINT, 150.0, False, 0.0)  # one break does not justify a handshake for each
+    assert not reuse.allows(ENDPOINT, 150.0, True, 0.0)
+    assert not reuse.allows(ENDPOINT, 3000.0, True, 0.0)
+    assert reuse.allows(ENDPOINT, 10.0, True, 0.0)
+    assert reuse.allows(ENDPOINT, 150.0, False, 0.0)  # one break does not justify a handshake for each
 
 
 def test_repeatable_calls_stop_reusing_where_breaks_are_frequent() -> None:
     reuse = with_breaks(100.0)
-    assert not reuse.allows_reuse(ENDPOINT, 150.0, False, 0.0) and reuse.allows_reuse(
-        ENDPOINT, 5.0, False, 0.0
-    )
-    assert not reuse.allows_reuse(
+    assert not reuse.allows(ENDPOINT, 150.0, False, 0.0) and reuse.allows(ENDPOINT, 5.0, False, 0.0)
+    assert not reuse.allows(
         OTHER, 150.0, False, 0.0
     )  # an endpoint without statistics is rated like the others
 
@@ -61,12 +57,12 @@
     for n in range(300):
         for idle in (None, 5.0, 150.0):
             reuse.note(ENDPOINT, idle, n % 10 == 0, 0.0)
-    assert reuse.allows_reuse(ENDPOINT, 150.0, True, 0.0)
+    assert reuse.allows(ENDPOINT, 150.0, True, 0.0)
 
 
 def test_statistics_decay_and_are_dropped_with_their_endpoint() -> None:
     reuse = with_breaks(100.0)
-    assert reuse.allows_reuse(ENDPOINT, 1000.0, False, 3 * DECAY_MS)
+    assert reuse.allows(ENDPOINT, 1000.0, False, 3 * DECAY_MS)
     reuse.forget(ENDPOINT)
     assert not reuse._endpoints
 
