--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -1,6 +1,6 @@
-"""Moments where two events cross, the bad order made each time: endpoints, notices and restarts.
+"""Races between two events, forced into the bad order: endpoints, notices and restarts.
 
-The table is docs/design/crossings.md. Peers hold a byte back until a condition is met; nothing waits on luck.
+The cases are listed in docs/design/crossings.md. Peers hold back a byte until a condition is met.
 """
 
 from __future__ import annotations
@@ -43,14 +43,14 @@
 RESET = b"\1\0\0\0\0\0\0\0"
 
 
-class StandIn:
-    """Takes down each connection's fate; after a whole request it does what the script says."""
+class RawServer:
+    """Records what each connection receives; runs the script after a complete request."""
 
     def __init__(self, script: Callable[[socket.socket], None]) -> None:
         self.script = script
         self.sock = socket.create_server(("127.0.0.1", 0))
         self.requests: list[bytes] = []
-        self.rest: list[bytes] = []  # what came on a connection after the script, up to its end
+        self.rest: list[bytes] = []  # received after the script, by connection
         serving(self.sock, self.serve)
 
     def serve(self, sock: socket.socket) -> None:
@@ -67,11 +67,11 @@
         sock.close()
 
 
-class Bench:
-    """The workers alone, on one slot and the one for a probe."""
+class WorkerRig:
+    """The workers alone, with one slot and one for probes."""
 
     def __init__(self, folder: Path, script: Callable[[socket.socket], None]) -> None:
-        self.endpoint = StandIn(script)
+        self.endpoint = RawServer(script)
         self.ends: list[CoreEvent] = []
         self.journal = Journal(folder, 3_000_000)
         clearance = Clearance(self.journal, 450.0)
@@ -85,21 +85,21 @@
             number = self.journal.last_number + 1
             self.journal.taken(Owed(number, f"m{number}", "note", 7, 0.0, b"body"))
         numbers = list(self.journal.owed)[-count:]
-        runs = [Attempt(n, 0, f"m{n}", b"body", now + wait_ms, safe) for n in numbers]
-        call = Call(self.target, runs, now)
+        attempts = [Attempt(n, 0, f"m{n}", b"body", now + wait_ms, safe) for n in numbers]
+        call = Call(self.target, attempts, now)
         self.workers.start(call)
         return call
 
     def result(self, count: int = 1) -> Result:
         until(lambda: len(self.ends) >= count, "an end for each")
-        until(lambda: not self.workers._open, "its connection is let go of")
-        assert len(self.ends) == count  # exactly one for each
+        until(lambda: not self.workers._open, "its connection is released")
+        assert len(self.ends) == count  # not more than one each
         found = {end.result for end in self.ends if isinstance(end, AttemptEnd)}
         assert len(found) == 1
         return found.pop()
 
-    def still_works(self) -> None:
-        """Whatever it was, its thread is free again for the next call."""
+    def check_reusable(self) -> None:
+        """Check that the thread is free for another call."""
         self.ends.clear()
         self.endpoint.script = lambda sock: sock.sendall(OK)
         self.start()
@@ -107,11 +107,11 @@
 
 
 @pytest.fixture
-def bench(tmp_path: Path) -> Iterator[Callable[..., Bench]]:
-    made: list[Bench] = []
+def make_rig(tmp_path: Path) -> Iterator[Callable[..., WorkerRig]]:
+    made: list[WorkerRig] = []
 
-    def make(script: Callable[[socket.socket], None]) -> Bench:
-        made.append(Bench(tmp_path, script))
+    def make(script: Callable[[socket.socket], None]) -> WorkerRig:
+        made.append(WorkerRig(tmp_path, script))
         return made[-1]
 
     yield make
@@ -120,7 +120,7 @@
         one.journal.close()
 
 
-def says(data: bytes) -> Callable[[socket.socket], None]:
+def sends(data: bytes) -> Callable[[socket.socket], None]:
     return lambda sock: sock.sendall(data)
 
 
@@ -145,11 +145,11 @@
 @pytest.mark.parametrize(
     ("script", "one", "many"),
     [
-        (says(b""), Result.TIMED_OUT, Result.TIMED_OUT),
-        (says(b"HTTP/1.1 20"), Result.TIMED_OUT, Result.TIMED_OUT),
-        (says(b"HTTP/1.1 200 O"), Result.TIMED_OUT, Result.TIMED_OUT),
-        (says(b"HTTP/1.1 200 OK\r\n"), Result.DELIVERED, Result.TIMED_OUT),
-        (says(b"HTTP/1.1 500 No\r\n"), Result.TIMED_OUT, Result.TIMED_OUT),
+        (sends(b""), Result.TIMED_OUT, Result.TIMED_OUT),
+        (sends(b"HTTP/1.1 20"), Result.TIMED_OUT, Result.TIMED_OUT),
+        (sends(b"HTTP/1.1 200 O"), Result.TIMED_OUT, Result.TIMED_OUT),
+        (sends(b"HTTP/1.1 200 OK\r\n"), Result.DELIVERED, Result.TIMED_OUT),
+        (sends(b"HTTP/1.1 500 No\r\n"), Result.TIMED_OUT, Result.TIMED_OUT),
         (then_end(b""), Result.BROKEN, Result.BROKEN),
         (then_end(b"HTTP/1.1 200"), Result.BROKEN, Result.BROKEN),
         (then_end(OK[:-2]), Result.DELIVERED, Result.BROKEN),
@@ -158,24 +158,24 @@
         (then_end(b"HTTP/1.1 503 Full\r\n"), Result.BROKEN, Result.BROKEN),
     ],
 )
-def test_an_answer_that_is_not_whole_ends_each_attempt_once_and_by_its_first_line_alone(
-    bench: Callable[..., Bench],
+def test_an_incomplete_answer_ends_each_attempt_once_and_by_its_status_line_alone(
+    make_rig: Callable[..., WorkerRig],
     script: Callable[[socket.socket], None],
     one: Result,
     many: Result,
     count: int,
 ) -> None:
-    it = bench(script)
-    it.start(wait_ms=300.0, count=count)
-    assert it.result(count) is (one if count == 1 else many)
-    until(lambda: it.endpoint.rest, "the endpoint sees the connection's end")
-    it.still_works()
+    rig = make_rig(script)
+    rig.start(wait_ms=300.0, count=count)
+    assert rig.result(count) is (one if count == 1 else many)
+    until(lambda: rig.endpoint.rest, "the endpoint sees the connection's end")
+    rig.check_reusable()
 
 
 @pytest.mark.parametrize("sent", [b"", b"HTTP/1.1 2", b"HTTP/1.1 200 OK\r\n", b"HTTP/1.1 503"])
 @pytest.mark.parametrize("first", ["the bytes", "the cancel"])
-def test_a_cancel_crosses_the_first_bytes_of_an_answer(
-    bench: Callable[..., Bench], sent: bytes, first: str
+def test_a_cancel_at_the_first_bytes_of_an_answer(
+    make_rig: Callable[..., WorkerRig], sent: bytes, first: str
 ) -> None:
     cancelled, wrote = threading.Event(), threading.Event()
 
@@ -185,23 +185,23 @@
         sock.sendall(sent)
         wrote.set()
 
-    it = bench(script)
-    call = it.start()
+    rig = make_rig(script)
+    call = rig.start()
     if first == "the bytes":
         assert wrote.wait(WAIT_S)
-        until(lambda: it.workers._open[call].heard or not sent, "they are read")
+        until(lambda: rig.workers._open[call].heard or not sent, "they are read")
     else:
-        until(lambda: it.endpoint.requests, "the request is there")
-    it.workers.cancel(call)
+        until(lambda: rig.endpoint.requests, "the request")
+    rig.workers.cancel(call)
     cancelled.set()
     whole_line = sent.endswith(b"\r\n") and first == "the bytes"
-    assert it.result() is (Result.DELIVERED if whole_line else Result.CANCELLED)
-    it.still_works()
+    assert rig.result() is (Result.DELIVERED if whole_line else Result.CANCELLED)
+    rig.check_reusable()
 
 
 @pytest.mark.parametrize("gone", ["cancelled", "out of time"])
-def test_a_connection_that_comes_up_after_its_message_was_given_up_carries_nothing(
-    bench: Callable[..., Bench], monkeypatch: pytest.MonkeyPatch, gone: str
+def test_a_connection_that_opens_after_its_call_has_ended_carries_nothing(
+    make_rig: Callable[..., WorkerRig], monkeypatch: pytest.MonkeyPatch, gone: str
 ) -> None:
     connecting, given_up = threading.Event(), threading.Event()
     create = socket.create_connection
@@ -211,24 +211,24 @@
         assert given_up.wait(WAIT_S)
         return create(*args, **kwargs)
 
-    it = bench(says(OK))
+    rig = make_rig(sends(OK))
     monkeypatch.setattr(socket, "create_connection", late)
-    call = it.start(wait_ms=200.0 if gone == "out of time" else 8000.0, safe=False)
+    call = rig.start(wait_ms=200.0 if gone == "out of time" else 8000.0, safe=False)
     assert connecting.wait(WAIT_S)
     if gone == "cancelled":
-        it.workers.cancel(call)
+        rig.workers.cancel(call)
     else:
-        until(lambda: clock() > call.until, "its time is over")
+        until(lambda: clock() > call.until, "its time-out")
     given_up.set()
-    assert it.result() is (Result.CANCELLED if gone == "cancelled" else Result.NOT_SENT)
-    until(lambda: it.endpoint.rest, "the endpoint sees the connection's end")
-    assert it.endpoint.requests == [b""]  # never a whole one
+    assert rig.result() is (Result.CANCELLED if gone == "cancelled" else Result.NOT_SENT)
+    until(lambda: rig.endpoint.rest, "the endpoint sees the connection's end")
+    assert rig.endpoint.requests == [b""]  # never a complete one
     monkeypatch.undo()
-    it.still_works()
+    rig.check_reusable()
 
 
-def test_a_reset_long_after_the_last_byte_is_no_proof_that_nothing_ran(
-    bench: Callable[..., Bench],
+def test_a_reset_long_after_the_last_byte_does_not_prove_that_nothing_ran(
+    make_rig: Callable[..., WorkerRig],
 ) -> None:
     go = threading.Event()
 
@@ -236,19 +236,21 @@
         go.wait(WAIT_S)
         then_reset(b"")(sock)
 
-    it = bench(script)
-    call = it.start(safe=False)
-    until(lambda: it.endpoint.requests, "the request is there, whole")
-    until(lambda: clock() - call.sent_at > 2 * Limits().break_ms, "it is no break of an idle connection")
+    rig = make_rig(script)
+    call = rig.start(safe=False)
+    until(lambda: rig.endpoint.requests, "the complete request")
+    until(
+        lambda: clock() - call.sent_at > 2 * Limits().break_ms, "too late for a break of an idle connection"
+    )
     go.set()
-    assert it.result() is Result.BROKEN  # not 'not connected': it may have run
-    it.still_works()
+    assert rig.result() is Result.BROKEN  # not NOT_CONNECTED, as it may have run
+    rig.check_reusable()
 
 
-def test_an_endpoint_that_ends_its_idle_connection_as_we_write_costs_no_message(
-    bench: Callable[..., Bench],
+def test_an_idle_connection_closed_during_a_write_loses_no_message(
+    make_rig: Callable[..., WorkerRig],
 ) -> None:
-    """It ends after our last look at the kept connection and before the call's last byte."""
+    """It ends after the last check of the connection and before the call's last byte."""
     ends: list[threading.Event] = []
 
     def script(sock: socket.socket) -> None:
@@ -258,28 +260,28 @@
             ends[0].wait(WAIT_S)
             sock.shutdown(socket.SHUT_RDWR)
 
-    it = bench(script)
-    it.start(safe=False)
-    assert it.result() is Result.DELIVERED
-    (kept,) = [line[0] for line in it.workers._kept._idle.values()]
+    rig = make_rig(script)
+    rig.start(safe=False)
+    assert rig.result() is Result.DELIVERED
+    (kept,) = [line[0] for line in rig.workers._kept._idle.values()]
     alive = kept.alive
 
-    def looked() -> bool:
-        good = alive()
+    def check_alive() -> bool:
+        result = alive()
         ends[0].set()
         kept.sock.settimeout(WAIT_S)
-        assert kept.sock.recv(1, socket.MSG_PEEK) == b""  # its end is here by now, after the look
-        return good
+        assert kept.sock.recv(1, socket.MSG_PEEK) == b""  # its end has arrived, after the check
+        return result
 
-    kept.alive = looked  # type: ignore[method-assign]
-    it.ends.clear()
-    it.start(safe=False)
-    assert it.result() is Result.DELIVERED  # over a new connection, as if none had been kept
-    assert sum(bool(request) for request in it.endpoint.requests) == 2
+    kept.alive = check_alive  # type: ignore[method-assign]
+    rig.ends.clear()
+    rig.start(safe=False)
+    assert rig.result() is Result.DELIVERED  # over a new connection
+    assert sum(bool(request) for request in rig.endpoint.requests) == 2
 
 
-class CrossingLock:
-    """Something else gets the lock first, each time: what it does happens right before it is taken."""
+class RacingLock:
+    """A lock before whose acquisition another thread's action runs."""
 
     def __init__(self, lock: threading.Lock, act: Callable[[], None]) -> None:
         self.lock, self.act = lock, act
@@ -292,58 +294,58 @@
         self.lock.release()
 
 
-@pytest.mark.parametrize("first", ["it goes", "it is given back"])
-def test_a_connection_that_is_given_back_as_its_endpoint_goes_is_not_kept(first: str) -> None:
-    stand_in = StandIn(says(OK))
-    address = ("127.0.0.1", stand_in.sock.getsockname()[1])
+@pytest.mark.parametrize("first", ["it is removed", "it is returned"])
+def test_a_connection_returned_while_its_endpoint_is_removed_is_not_kept(first: str) -> None:
+    server = RawServer(sends(OK))
+    address = ("127.0.0.1", server.sock.getsockname()[1])
     endpoint, kept = Endpoint(1, "s-1", *address, 7, True, 5), Kept(Limits(), Figures(()))
     lock = kept._lock
 
-    def goes() -> None:
+    def remove() -> None:
         kept._lock = lock
-        endpoint.state = EndpointState.GONE  # the loop's thread, in its order
+        endpoint.state = EndpointState.GONE  # in the order of the loop's thread
         kept.drop(endpoint)
 
-    if first == "it goes":
-        kept._lock = CrossingLock(lock, goes)  # type: ignore[assignment]
+    if first == "it is removed":
+        kept._lock = RacingLock(lock, remove)  # type: ignore[assignment]
     connection = Connection(address, clock() + 1000.0, Limits())
     kept.give(endpoint, connection)
-    if first == "it is given back":
-        goes()
+    if first == "it is returned":
+        remove()
     assert not kept._idle and connection.sock.fileno() < 0
-    stand_in.sock.close()
+    server.sock.close()
 
 
-def test_a_notice_whose_answer_is_lost_is_told_again_and_heard_once() -> None:
+def test_a_notice_whose_answer_is_lost_is_sent_again_and_confirmed_once() -> None:
     lost = [then_end(b""), then_reset(b""), then_end(b"HTTP/1.1 2")]
-    answers = [*lost, says(b"HTTP/1.1 204 No Content\r\n\r\n")]
-    platform = StandIn(lambda sock: answers.pop(0)(sock))
-    heard: list[CoreEvent] = []
+    answers = [*lost, sends(b"HTTP/1.1 204 No Content\r\n\r\n")]
+    platform = RawServer(lambda sock: answers.pop(0)(sock))
+    events: list[CoreEvent] = []
     address = ("127.0.0.1", platform.sock.getsockname()[1])
-    notices = Notices(address, Limits(), heard.append, Silent(), lambda: None)
+    notices = Notices(address, Limits(), events.append, Silent(), lambda: None)
     notices.deliver(Notice(4, "late", False))
-    until(lambda: heard, "its answer")
-    assert heard == [NoticesDelivered((4,))]
-    told = [request.split(b"\r\n\r\n")[1] for request in platform.requests if request]
-    assert len(told) == 4 and {json.loads(body)["id"] for body in told} == {"late"}
+    until(lambda: events, "its answer")
+    assert events == [NoticesDelivered((4,))]
+    bodies = [request.split(b"\r\n\r\n")[1] for request in platform.requests if request]
+    assert len(bodies) == 4 and {json.loads(body)["id"] for body in bodies} == {"late"}
     platform.sock.close()
 
 
-def test_a_platform_that_takes_longer_than_a_first_call_is_given_is_heard_and_told_all_at_once() -> None:
+def test_a_platform_slower_than_the_first_timeout_gets_all_notices_in_few_calls() -> None:
     limits = Limits(notice_ms=200.0)
 
     def slow(sock: socket.socket) -> None:
         threading.Event().wait(1.5 * limits.notice_ms / 1000.0)
         sock.sendall(b"HTTP/1.1 204 No Content\r\n\r\n")
 
-    platform = StandIn(slow)
-    heard: list[CoreEvent] = []
+    platform = RawServer(slow)
+    events: list[CoreEvent] = []
     address = ("127.0.0.1", platform.sock.getsockname()[1])
-    notices = Notices(address, limits, heard.append, Silent(), lambda: None)
+    notices = Notices(address, limits, events.append, Silent(), lambda: None)
     for number in range(10):
         notices.deliver(Notice(number, f"m{number}", False))
-    until(lambda: sum(len(cast(NoticesDelivered, one).numbers) for one in heard) == 10, "all of them")
-    assert len(platform.requests) <= 5  # a silent call tells nothing of what is in it: nobody is told alone
+    until(lambda: sum(len(cast(NoticesDelivered, one).numbers) for one in events) == 10, "all of them")
+    assert len(platform.requests) <= 5  # after a time-out no notice is sent separately
     platform.sock.close()
 
 
@@ -355,33 +357,31 @@
 
 
 def known(program: Program, peer: Peer, status: str) -> None:
-    """What the next process holds as its list; the watch tells the same."""
+    """Set the next process's cached list; the watch returns the same."""
     raw = json.loads(program.file.read_text())
     program.file.write_text(json.dumps({**raw, "known": peer.members(status)}))
 
 
 @pytest.mark.parametrize("how", [signal.SIGKILL, signal.SIGTERM])
-def test_a_message_between_taken_and_begun_is_tried_by_the_next_process(
+def test_a_message_accepted_and_not_begun_is_sent_by_the_next_process(
     program: Program, peer: Peer, how: signal.Signals
 ) -> None:
     with peer.lock:
         peer.watch_bodies = [json.dumps(peer.members("Terminating", 2)).encode()]
-    until(lambda: not peer.watch_bodies and "since=2" in peer.asked[-1], "the drain is in force")
+    until(lambda: not peer.watch_bodies and "since=2" in peer.asked[-1], "the drain is applied")
     assert [program.hand_in("safe"), program.hand_in("once", "pay")] == [202, 202]
     program.end(how)
     assert not peer.calls and not peer.notices
     known(program, peer, "Ready")
     program.start()
-    until(lambda: sorted(peer.ids()) == ["once", "safe"], "both are tried")
+    until(lambda: sorted(peer.ids()) == ["once", "safe"], "both are sent")
     assert not peer.notices
 
 
-def test_a_message_between_its_end_and_its_notice_is_told_by_the_next_process(
-    program: Program, peer: Peer
-) -> None:
+def test_a_notice_that_was_not_delivered_is_sent_by_the_next_process(program: Program, peer: Peer) -> None:
     peer.notice_answers = [503] * 10_000
     assert program.hand_in("late", left=1) == 202
-    until(lambda: len(peer.notice_answers) < 10_000, "a notice that was not taken")
+    until(lambda: len(peer.notice_answers) < 10_000, "a notice that was not accepted")
     program.end(signal.SIGKILL)
     peer.notice_answers = []
     program.start()
@@ -393,7 +393,7 @@
     assert [line["id"] for line in peer.notices] == ["late"] and "late" not in peer.ids()
 
 
-def test_records_of_another_deployment_end_as_undeliverable_and_are_never_sent(
+def test_records_of_an_unknown_class_end_as_undeliverable_and_are_never_sent(
     program: Program, peer: Peer
 ) -> None:
     program.end(signal.SIGKILL)
@@ -406,12 +406,10 @@
     until(lambda: len(peer.notices) == 3, "their ends")
     assert {line["status"] for line in peer.notices} == {"undeliverable"} and not peer.calls
     assert program.hand_in("ours") == 202
-    until(lambda: peer.ids() == ["ours"], "ours alone")
+    until(lambda: peer.ids() == ["ours"], "ours only")
 
 
-def test_a_start_with_a_full_journal_and_no_discovery_serves_within_its_time(
-    program: Program, peer: Peer
-) -> None:
+def test_a_start_with_a_full_journal_and_no_discovery_serves_in_time(program: Program, peer: Peer) -> None:
     program.end(signal.SIGKILL)
     journal, count = Journal(program.state, 3_000_000), 0
     wall = time.time() * 1000.0 + 60_000.0
@@ -423,8 +421,10 @@
     journal.close()
     assert count > 200
     raw = json.loads(program.file.read_text())
-    with socket.create_server(("127.0.0.1", 0)) as nobody:  # listens, and never answers
-        program.file.write_text(json.dumps({**raw, "discovery": f"127.0.0.1:{nobody.getsockname()[1]}"}))
+    with socket.create_server(("127.0.0.1", 0)) as silent_server:  # listens, and never answers
+        program.file.write_text(
+            json.dumps({**raw, "discovery": f"127.0.0.1:{silent_server.getsockname()[1]}"})
+        )
         begun = time.monotonic()
         program.start()
         assert time.monotonic() - begun < 10.0
@@ -432,25 +432,25 @@
         connection.request("GET", "/_health")
         assert connection.getresponse().status == 200
         connection.close()
-        told = {f"new-{n}": program.hand_in(f"new-{n}", body=b"x" * 60_000) for n in range(12)}
-        assert set(told.values()) <= {202, 503}
-        until(lambda: len(set(peer.ids())) >= 20, "what is owed goes on meanwhile")
+        statuses = {f"new-{n}": program.hand_in(f"new-{n}", body=b"x" * 60_000) for n in range(12)}
+        assert set(statuses.values()) <= {202, 503}
+        until(lambda: len(set(peer.ids())) >= 20, "recovered messages are sent meanwhile")
         size = sum(path.stat().st_size for path in program.state.iterdir() if path.is_file())
         assert size <= 3_000_000
-        taken = {id for id, status in told.items() if status == 202}
-        until(lambda: taken <= {*peer.ids(), *(line["id"] for line in peer.notices)}, "each one's end")
+        taken = {id for id, status in statuses.items() if status == 202}
+        until(lambda: taken <= {*peer.ids(), *(line["id"] for line in peer.notices)}, "the end of each")
     program.move(peer)
 
 
-def test_idle_clients_that_fill_their_descriptors_leave_the_watch_its_own(
+def test_idle_clients_that_use_up_their_descriptors_leave_one_for_the_watch(
     tmp_path: Path, peer: Peer, ended: Callable[[Program], None]
 ) -> None:
-    discovery = StandIn(then_reset(b""))
-    place = SimpleNamespace(port=discovery.sock.getsockname()[1])
-    program = Program(tmp_path, cast(Peer, place), sockets=96, known=peer.members())
+    discovery = RawServer(then_reset(b""))
+    address = SimpleNamespace(port=discovery.sock.getsockname()[1])
+    program = Program(tmp_path, cast(Peer, address), sockets=96, known=peer.members())
     ended(program)
     until(lambda: discovery.requests, "a watch")
-    discovery.sock.shutdown(socket.SHUT_RDWR)  # down: what is asked of it from now on is refused
+    discovery.sock.shutdown(socket.SHUT_RDWR)  # down: later requests are refused
     discovery.sock.close()
     until(lambda: any("Refused" in str(line.get("error")) for line in program.log), "it is refused")
     idle = [socket.create_connection(program.address, timeout=WAIT_S) for _ in range(60)]
@@ -458,11 +458,11 @@
     assert len(list(open_.iterdir())) < 96
     for n in range(20):
         assert program.hand_in(f"m{n}") in (202, 503)
-    with socket.create_server(("127.0.0.1", place.port)) as again:
+    with socket.create_server(("127.0.0.1", address.port)) as again:
         again.settimeout(WAIT_S)
         sock = again.accept()[0]
         assert b"/catalog/members" in read_request(sock)
         sock.close()
-    until(lambda: peer.ids(), "calls go on")
+    until(lambda: peer.ids(), "calls continue")
     for one in idle:
         one.close()
--- a/tests/test_reuse.py
+++ b/tests/test_reuse.py
@@ -40,9 +40,7 @@
 def test_repeatable_calls_stop_reusing_where_breaks_are_frequent() -> None:
     reuse = with_breaks(100.0)
     assert not reuse.allows(ENDPOINT, 150.0, False, 0.0) and reuse.allows(ENDPOINT, 5.0, False, 0.0)
-    assert not reuse.allows(
-        OTHER, 150.0, False, 0.0
-    )  # an endpoint without statistics is rated like the others
+    assert not reuse.allows(OTHER, 150.0, False, 0.0)  # without statistics it is rated like the others
 
 
 def test_an_endpoint_without_breaks_is_rated_by_its_own_calls() -> None:
