--- a/springspread/core/clearance.py
+++ b/springspread/core/clearance.py
@@ -61,9 +61,7 @@
         with self._lock:
             now = self._clock.now()
             until = max(now + wait_ms, self._retry_after.get(endpoint.retry_after_key, 0.0))
-            self._retry_after = {
-                key: end for key, end in self._retry_after.items() if end > now
-            }  # drops expired ones
+            self._retry_after = {key: end for key, end in self._retry_after.items() if end > now}
             self._retry_after[endpoint.retry_after_key] = until
         if self._shared is not None and wait_ms > 0.0:
             self._shared.tell(endpoint.retry_after_name, until, now)
@@ -113,13 +111,13 @@
         if (refused := self._find_refusal(call, lease_until)) is not None:
             return refused
         try:
-            for run in call.attempts:
+            for attempt in call.attempts:
                 # Where the client leaves at the same moment, the first record in the journal wins.
-                if not self._journal.begun(run.number, run.index):
+                if not self._journal.begun(attempt.number, attempt.index):
                     return _not_sent(WithheldReason.WITHDRAWN)
             if call.once:  # the record must outlast a power loss
                 self._journal.settle()
-        except OSError:  # not on record, so it may not go out
+        except OSError:  # not recorded, so it may not be sent
             return _not_sent(WithheldReason.UNRECORDED)
         if shares is not None and self._clock.now() >= lease_until:
             # The lease expired while the call was delayed, by a slow disk or a frozen process.
--- a/springspread/core/loop.py
+++ b/springspread/core/loop.py
@@ -56,7 +56,7 @@
 
 
 class Sender:
-    """Passes events to the decision module in batches, one per tick, and has its actions carried out."""
+    """Passes events to the decision module, one batch per tick, and has its actions carried out."""
 
     def __init__(
         self,
@@ -341,9 +341,7 @@
             # discovery has answered, it may be a new one.
             message.answer(Verdict.UNKNOWN_GROUP if self._destinations.listed else Verdict.REFUSED)
         elif len(self._open_messages) >= self._settings.max_held:
-            self._log.debug(
-                "too many open messages; message refused", id=message.id, group=message.group, cls=message.cls
-            )
+            self._log.debug("too many messages", id=message.id, group=message.group, cls=message.cls)
             message.answer(Verdict.REFUSED)
         else:
             return self._admit(message, cls)
@@ -468,8 +466,8 @@
                 # Bounds memory; calls in flight keep a reference of their own.
                 self._endpoints.forget(endpoint)
                 self._executor.close_idle(endpoint)
-        current = {endpoint.group for endpoint in self._endpoints.by_number.values()}
-        self._destinations.note(current, listed=update.scope in (Scope.CHANGES, Scope.WHOLE))
+        groups = {endpoint.group for endpoint in self._endpoints.by_number.values()}
+        self._destinations.note(groups, listed=update.scope in (Scope.CHANGES, Scope.WHOLE))
         return listed
 
     def _set_endpoint_state(self, endpoint: Endpoint, state: EndpointState, update: ListUpdate) -> None:
@@ -561,7 +559,7 @@
             endpoint = self._endpoints.by_number[route]
             call = Call(endpoint, tuple(members), now, policy=self._policy)
             if not self._may_start(now, call):
-                continue  # the next process finds it not begun
+                continue  # left to the next process
             if len(self._calls) >= self._settings.slots:
                 for attempt in call.attempts:
                     self._inbox.put(AttemptEnd(call, attempt, Result.NOT_SENT, now))
@@ -577,25 +575,22 @@
             self._executor.start(call)
 
     def _attempt(self, now: float, send: i.Send) -> Attempt | None:
-        open_message, endpoint = (
-            self._open_messages.get(send.message),
-            self._endpoints.by_number.get(send.route),
-        )
-        if open_message is None or endpoint is None:
+        message, endpoint = self._open_messages.get(send.message), self._endpoints.by_number.get(send.route)
+        if message is None or endpoint is None:
             return None
         index = self._module.held[send.message].attempts - 1
         # An answer within the margin would be too late to report.
-        left = open_message.deadline - self._limits.deadline_margin_ms - now
+        left = message.deadline - self._limits.deadline_margin_ms - now
         wait = min(send.timeout_ms, left) if send.timeout_ms > 0 else left
-        safe = open_message.spec.effect is i.Effect.SAFE
-        owed = open_message.owed
+        safe = message.spec.effect is i.Effect.SAFE
+        owed = message.owed
         attempt = Attempt(send.message, index, owed.id, owed.body, now + wait, safe, cls=owed.cls)
-        if endpoint.group != open_message.owed.group:
+        if endpoint.group != message.owed.group:
             # Must never happen: the message would reach another partner.
             self._log.error(
                 "send rejected: the endpoint belongs to another destination",
                 endpoint=endpoint.name,
-                group=open_message.owed.group,
+                group=message.owed.group,
             )
             self._inbox.put(AttemptEnd(Call(endpoint, (attempt,), now), attempt, Result.NOT_SENT, now))
             return None
--- a/springspread/core/reuse.py
+++ b/springspread/core/reuse.py
@@ -3,9 +3,9 @@
 Theory of operation: a *break* is a connection that ends under a call, soon and without a byte of an answer.
 Breaks are counted by how long the connection was idle, for all endpoints and for each one, with exponential
 decay; new connections give the base rate that idleness does not explain. An endpoint's own rate is smoothed
-by that of all endpoints, and that by a prior. Longer idleness is never rated safer. A break costs
-a call that may run once its message, and one that may be repeated some milliseconds: each has its own bound
-on the risk. As the second kind keeps trying connections that the first kind avoids, the estimate recovers.
+by that of all endpoints, and that by a prior. Longer idleness is never rated safer. A break costs a call that
+may run once its message, and one that may be repeated some milliseconds: each has its own bound on the risk.
+As the second kind keeps trying connections that the first kind avoids, the estimate recovers.
 """
 
 from __future__ import annotations
@@ -18,7 +18,7 @@
 """Edges of the idle-time buckets that are counted separately."""
 PRIOR_SHARE = 0.01  # assumed share of stale connections, on top of the rate of new ones
 PRIOR_WEIGHT = 10.0  # calls
-ENDPOINT_WEIGHT = 8.0  # calls: the weight of all endpoints' rate in an endpoint's own
+ENDPOINT_WEIGHT = 8.0  # calls
 DECAY_MS = 60_000.0  # time constant of the exponential decay
 
 
--- a/springspread/core/start.py
+++ b/springspread/core/start.py
@@ -23,10 +23,8 @@
     def __init__(self, waits: Waits, log: Log, clock: Clock, written_wall: float) -> None:
         self._waits, self._log, self._clock, self._written_wall = waits, log, clock, written_wall
         self.progress = Progress(Stage.CLOCK, clock.now())
-        self._known_time: tuple[float, float] | None = (
-            None  # the time from an answer's date, and when it was read
-        )
-        self._anchor: tuple[float, float] | None = None  # the corrected wall-clock time, and when it was set
+        self._known_time: tuple[float, float] | None = None  # an answer's date, and when it was read
+        self._anchor: tuple[float, float] | None = None  # the corrected wall clock, and when it was set
         self._held_back: list[tuple[Owed, float]] = []  # with their class's deadline (ms)
         self._backlog: set[int] = set()  # numbers of recovered messages that are still open
         self.backlog_at_start = 0
@@ -69,14 +67,10 @@
         self._fetch_at = now + LIST_RETRY_MS
         return True
 
-    def proceed(
-        self, now: float, slots: int, policy_in_force: bool, listed: bool
-    ) -> list[tuple[Owed, float]]:
+    def proceed(self, now: float, slots: int, policy: bool, listed: bool) -> list[tuple[Owed, float]]:
         """Leave the stages that are over; returns the messages that this releases, with their time left."""
         before = self.progress
-        conditions = Conditions(
-            len(self._backlog), slots, self._known_time is not None, policy_in_force, listed
-        )
+        conditions = Conditions(len(self._backlog), slots, self._known_time is not None, policy, listed)
         self.progress = advance(before, conditions, self._waits, now)
         since, released = before.since, list[tuple[Owed, float]]()
         for one in self.progress.passed[len(before.passed) :]:
@@ -102,8 +96,8 @@
         shift = wall_clock.offset(system, reference, self._written_wall)
         self._anchor = (system + shift, now)
         if shift:
-            by = "world" if reference is not None else "record"
-            self._log.error("the machine's clock is wrong", by_s=round(-shift / 1000.0, 1), told_by=by)
+            source = "world" if reference is not None else "record"
+            self._log.error("the machine's clock is wrong", by_s=round(-shift / 1000.0, 1), told_by=source)
 
     def wall(self) -> float:
         """The corrected Unix time (ms)."""
@@ -114,7 +108,7 @@
     def time_left(self, owed: Owed, most: float) -> float:
         """How much time (ms) a message has left; ``most``: its class's deadline."""
         left = owed.deadline_wall - self.wall()
-        # With a clock that is too early a message would be sent long after its deadline.
+        # A clock that is too early must not give a message more time than its class does.
         return min(left, most) if self._waits.clock_ms else left
 
     def _release(self) -> list[tuple[Owed, float]]:
--- a/tests/test_clearance.py
+++ b/tests/test_clearance.py
@@ -40,7 +40,7 @@
         self.at += ms
 
 
-class Checks:
+class ClearanceRig:
     """A clearance, its clock, and an endpoint s-1 of group 7."""
 
     def __init__(self, folder: Path) -> None:
@@ -61,8 +61,8 @@
 
 
 @pytest.fixture
-def checks(tmp_path: Path) -> Checks:
-    return Checks(tmp_path)
+def rig(tmp_path: Path) -> ClearanceRig:
+    return ClearanceRig(tmp_path)
 
 
 def line(name: str, group: int = 7, state: EndpointState = EndpointState.READY, port: int = 9) -> Member:
@@ -89,44 +89,46 @@
 
 
 @pytest.mark.parametrize("read", LEAVING.values(), ids=LEAVING)
-def test_an_endpoints_update_applies_before_the_loop_has_handled_it(checks: Checks, read: ListUpdate) -> None:
-    checks.clearance.received(read)
-    assert checks.reason(GRACE_MS) is None
-    assert checks.reason() is WithheldReason.LEAVING
+def test_an_endpoints_update_applies_before_the_loop_has_handled_it(
+    rig: ClearanceRig, read: ListUpdate
+) -> None:
+    rig.clearance.received(read)
+    assert rig.reason(GRACE_MS) is None
+    assert rig.reason() is WithheldReason.LEAVING
 
 
 @pytest.mark.parametrize("read", STAYING.values(), ids=STAYING)
-def test_updates_of_other_endpoints_stop_no_call(checks: Checks, read: ListUpdate) -> None:
-    checks.clearance.received(read)
-    assert checks.reason() is None
+def test_updates_of_other_endpoints_stop_no_call(rig: ClearanceRig, read: ListUpdate) -> None:
+    rig.clearance.received(read)
+    assert rig.reason() is None
 
 
-def test_updates_that_the_loop_has_applied_are_dropped(checks: Checks) -> None:
+def test_updates_that_the_loop_has_applied_are_dropped(rig: ClearanceRig) -> None:
     read = update(line("s-1", state=EndpointState.DRAINING))
-    checks.clearance.received(read)
-    checks.clearance.set_state(checks.endpoint, EndpointState.DRAINING, read.notified_at)
-    checks.clearance.applied(read)
-    assert checks.reason() is WithheldReason.LEAVING
-    checks.clearance.set_state(checks.endpoint, EndpointState.READY, READ_AT + 500.0)
-    assert checks.reason() is None
+    rig.clearance.received(read)
+    rig.clearance.set_state(rig.endpoint, EndpointState.DRAINING, read.notified_at)
+    rig.clearance.applied(read)
+    assert rig.reason() is WithheldReason.LEAVING
+    rig.clearance.set_state(rig.endpoint, EndpointState.READY, READ_AT + 500.0)
+    assert rig.reason() is None
 
 
-def test_no_call_begins_while_the_list_is_outdated(checks: Checks) -> None:
+def test_no_call_begins_while_the_list_is_outdated(rig: ClearanceRig) -> None:
     outdated_period = OutdatedPeriod(READ_AT + 100.0, READ_AT + 6100.0)
-    checks.clearance.received(ListUpdate(Scope.FAILED, ask_by=READ_AT, outdated_period=outdated_period))
-    assert checks.reason(100.0 + GRACE_MS) is None
-    assert checks.reason(101.0 + GRACE_MS) is WithheldReason.LIST_OUTDATED
-    assert checks.reason(6099.0) is WithheldReason.LIST_OUTDATED
-    assert checks.reason(6101.0) is None
+    rig.clearance.received(ListUpdate(Scope.FAILED, ask_by=READ_AT, outdated_period=outdated_period))
+    assert rig.reason(100.0 + GRACE_MS) is None
+    assert rig.reason(101.0 + GRACE_MS) is WithheldReason.LIST_OUTDATED
+    assert rig.reason(6099.0) is WithheldReason.LIST_OUTDATED
+    assert rig.reason(6101.0) is None
 
 
 @pytest.mark.parametrize("then", [update(), ListUpdate(Scope.FAILED)], ids=["answered", "not reached"])
 def test_calls_begin_again_after_an_answer_or_when_discovery_is_not_reached(
-    checks: Checks, then: ListUpdate
+    rig: ClearanceRig, then: ListUpdate
 ) -> None:
-    checks.clearance.received(
+    rig.clearance.received(
         ListUpdate(Scope.FAILED, outdated_period=OutdatedPeriod(READ_AT, READ_AT + 6000.0))
     )
-    assert checks.reason() is WithheldReason.LIST_OUTDATED
-    checks.clearance.received(then)
-    assert checks.reason() is None
+    assert rig.reason() is WithheldReason.LIST_OUTDATED
+    rig.clearance.received(then)
+    assert rig.reason() is None
