--- a/springspread/core/figures.py
+++ b/springspread/core/figures.py
@@ -35,7 +35,7 @@
         self._lock = threading.Lock()
         self._counts: dict[tuple[Figure, str], int] = {}
         self._occurred: dict[tuple[Occurrence, Enum], int] = {}
-        self.follow(classes)
+        self.add_classes(classes)
 
     def count(self, figure: Figure, cls: str) -> None:
         """Count one message or attempt."""
@@ -49,7 +49,7 @@
             key = (occurrence, reason)
             self._occurred[key] = self._occurred.get(key, 0) + 1
 
-    def follow(self, classes: Iterable[str]) -> None:
+    def add_classes(self, classes: Iterable[str]) -> None:
         """Count new classes, too, after a change of the settings."""
         names = list(classes)
         with self._lock:
--- a/springspread/core/loop.py
+++ b/springspread/core/loop.py
@@ -308,7 +308,7 @@
         self._settings = replace(new, classes=tuple(specs.values()))
         self._classes = {name: n for n, name in enumerate(specs) if name in names}
         self._policy = number
-        self._figures.follow(names)
+        self._figures.add_classes(names)
         self._executor.grow(new.slots)
         self._log.info("policy", version=number, slots=new.slots)
         return i.Changed(self._settings)
