--- a/springspread/__main__.py
+++ b/springspread/__main__.py
@@ -18,7 +18,7 @@
 from springspread.core.figures import Figures
 from springspread.core.lanes import Lanes, Taken
 from springspread.core.loop import Sender
-from springspread.core.types import ListNews, Log, Scope, Stop
+from springspread.core.types import ListUpdate, Log, Scope, Stop
 from springspread.logs import make_log
 from springspread.net.discovery import Watcher
 from springspread.net.endpoints import Workers
@@ -37,10 +37,10 @@
 GATE_S = 0.02  # how often a start looks whether it may let clients in
 
 
-def known_groups(config: Config) -> ListNews:
+def known_groups(config: Config) -> ListUpdate:
     """The list as this sender last held it; none is as good as an empty one."""
     if config.known is None:
-        return ListNews(Scope.CACHED)
+        return ListUpdate(Scope.CACHED)
     try:
         return read_groups(config.known, config.names, 0.0, cached=True)
     except Unreadable as exc:
@@ -105,11 +105,11 @@
     from springspread.fleet.wire import Returning
 
     start = sender.start
-    if not start.gated:
+    if not start.has_waits:
         return None
-    now = start.standing
+    now = start.progress
     damaged = sum(map(len, journal.damaged.values()))
-    return Returning(now.gate.value, round(now.since, 1), start.owed, start.owed_at_start, damaged)
+    return Returning(now.stage.value, round(now.since, 1), start.backlog, start.backlog_at_start, damaged)
 
 
 def serve(config: Config, log: Log, flush: Callable[[], None]) -> int:
@@ -133,7 +133,7 @@
         config.names,
         version,
         limits,
-        sender.put_list,
+        sender.put_list_update,
         log,
         figures,
         settings.senders,
--- a/springspread/core/start.py
+++ b/springspread/core/start.py
@@ -1,6 +1,6 @@
-"""What a start holds: what was owed before it, the gate before which it stands, and the time that counts.
+"""The startup of a sender: its stage, the messages that it has recovered, and the corrected wall clock.
 
-Used by the loop's thread alone; ``standing``, ``open`` and ``owed`` may be looked at from any.
+Used by the loop's thread alone; ``progress``, ``open`` and ``backlog`` may be read from any.
 """
 
 from __future__ import annotations
@@ -8,107 +8,109 @@
 from collections.abc import Iterable
 
 from springspread.config import Waits
-from springspread.core import worldtime
+from springspread.core import wall_clock
 from springspread.core.clock import Clock
-from springspread.core.gates import Gate, Seen, Standing, step
 from springspread.core.journal import Owed
+from springspread.core.startup_stages import Conditions, Progress, Stage, advance
 from springspread.core.types import Log
 
-ASK_MS = 500.0  # an answer that did not come is asked for again
+LIST_RETRY_MS = 500.0
 
 
-class Start:
-    """From a process's first moment on. ``written_wall``: of the journal's last write (Unix time, ms)."""
+class Startup:
+    """The startup of one process. ``written_wall``: the journal's last write (Unix time, ms)."""
 
     def __init__(self, waits: Waits, log: Log, clock: Clock, written_wall: float) -> None:
-        self._waits, self._log, self._clock, self._written = waits, log, clock, written_wall
-        self.standing = Standing(Gate.CLOCK, clock.now())
-        self._world: tuple[float, float] | None = None  # the world's time, and when it was that
-        self._steady: tuple[float, float] | None = None  # the time that counts, and when it was that
-        self._waiting: list[tuple[Owed, float]] = []  # owed, and not set free yet; its class's time
-        self._owed: set[int] = set()  # what was owed at the start, as far as it has no end yet
-        self.owed_at_start = 0
-        self._ask_at = 0.0
+        self._waits, self._log, self._clock, self._written_wall = waits, log, clock, written_wall
+        self.progress = Progress(Stage.CLOCK, clock.now())
+        self._known_time: tuple[float, float] | None = None  # an answer's date, and when it was read
+        self._anchor: tuple[float, float] | None = None  # the corrected wall clock, and when it was set
+        self._held_back: list[tuple[Owed, float]] = []  # with their class's deadline (ms)
+        self._backlog: set[int] = set()  # numbers of recovered messages that are still open
+        self.backlog_at_start = 0
+        self._fetch_at = 0.0
 
     def begin(self, now: float, owed: Iterable[tuple[Owed, float]]) -> None:
-        """Stand before the first gate, with what is owed and the time (ms) that each one's class gives it."""
-        self.standing, self._waiting = Standing(Gate.CLOCK, now), list(owed)
-        self._owed = {one.number for one, _ in self._waiting}
-        self.owed_at_start = len(self._owed)
+        """Enter the first stage, with recovered messages and their class's deadline (ms)."""
+        self.progress, self._held_back = Progress(Stage.CLOCK, now), list(owed)
+        self._backlog = {one.number for one, _ in self._held_back}
+        self.backlog_at_start = len(self._backlog)
 
     @property
     def open(self) -> bool:
-        """Whether it is through."""
-        return self.standing.gate is Gate.OPEN
+        """Whether all stages are over."""
+        return self.progress.stage is Stage.OPEN
 
     @property
-    def gated(self) -> bool:
-        """Whether it waits at any gate."""
+    def has_waits(self) -> bool:
+        """Whether it waits in any stage."""
         return self._waits != Waits()
 
     @property
-    def owed(self) -> int:
-        """Of what was owed at the start, how many have no end yet."""
-        return len(self._owed)
-
-    def ended(self, number: int) -> None:
-        """A message has its end."""
-        self._owed.discard(number)
-
-    def told(self, date: str, at: float) -> None:
-        """The world's time, as an answer told it."""
-        if self.standing.gate is Gate.CLOCK and (world := worldtime.read(date)) is not None:
-            self._world = (world, at)
-
-    def asks(self, now: float, listed: bool) -> bool:
-        """Whether discovery is to be asked for its whole list now: a watch may wait for long."""
-        if not self.gated or listed or now < self._ask_at:
+    def backlog(self) -> int:
+        """How many recovered messages are still open."""
+        return len(self._backlog)
+
+    def message_ended(self, number: int) -> None:
+        """A message has ended."""
+        self._backlog.discard(number)
+
+    def note_date(self, date: str, at: float) -> None:
+        """Note the date of an answer."""
+        if self.progress.stage is Stage.CLOCK and (reference := wall_clock.parse_date(date)) is not None:
+            self._known_time = (reference, at)
+
+    def should_fetch_list(self, now: float, listed: bool) -> bool:
+        """Whether to request the whole list now, as a watch may take long."""
+        if not self.has_waits or listed or now < self._fetch_at:
             return False
-        self._ask_at = now + ASK_MS
+        self._fetch_at = now + LIST_RETRY_MS
         return True
 
-    def through(self, now: float, slots: int, acts: bool, listed: bool) -> list[tuple[Owed, float]]:
-        """Through the gates that are open by now; what that sets free, with the time that each has left."""
-        before = self.standing
-        seen = Seen(len(self._owed), slots, self._world is not None, acts, listed)
-        self.standing = step(before, seen, self._waits, now)
-        since, freed = before.since, list[tuple[Owed, float]]()
-        for one in self.standing.passed[len(before.passed) :]:
-            if self.gated:
+    def proceed(self, now: float, slots: int, policy: bool, listed: bool) -> list[tuple[Owed, float]]:
+        """Leave the stages that are over; returns the messages that this releases, with their time left."""
+        before = self.progress
+        conditions = Conditions(len(self._backlog), slots, self._known_time is not None, policy, listed)
+        self.progress = advance(before, conditions, self._waits, now)
+        since, released = before.since, list[tuple[Owed, float]]()
+        for one in self.progress.passed[len(before.passed) :]:
+            if self.has_waits:
                 waited = round(one.at - since, 1)
-                self._log.info("gate", gate=one.gate.value, met=one.met, after_ms=waited, owed=seen.owed)
+                self._log.info(
+                    "gate", gate=one.stage.value, met=one.met, after_ms=waited, owed=conditions.backlog
+                )
             since = one.at
-            if one.gate is Gate.CLOCK:
+            if one.stage is Stage.CLOCK:
                 self._set_clock(now)
-            if one.gate is Gate.LIST:
-                freed = self._set_free()
-        return freed
+            if one.stage is Stage.LIST:
+                released = self._release()
+        return released
 
     def _set_clock(self, now: float) -> None:
-        """The time that counts, from now on by a clock that never steps; only where it was waited for."""
+        """Fix the wall-clock time, if the stage is in use; from now on it advances by the monotonic clock."""
         if not self._waits.clock_ms:
             return
-        machine, world = self._clock.wall(), None
-        if self._world is not None:
-            world = self._world[0] + now - self._world[1]
-        shift = worldtime.offset(machine, world, self._written)
-        self._steady = (machine + shift, now)
+        system, reference = self._clock.wall(), None
+        if self._known_time is not None:
+            reference = self._known_time[0] + now - self._known_time[1]
+        shift = wall_clock.offset(system, reference, self._written_wall)
+        self._anchor = (system + shift, now)
         if shift:
-            by = "world" if world is not None else "record"
-            self._log.error("the machine's clock is wrong", by_s=round(-shift / 1000.0, 1), told_by=by)
+            source = "world" if reference is not None else "record"
+            self._log.error("the machine's clock is wrong", by_s=round(-shift / 1000.0, 1), told_by=source)
 
     def wall(self) -> float:
-        """The Unix time (ms) that counts."""
-        if self._steady is None:
+        """The corrected Unix time (ms)."""
+        if self._anchor is None:
             return self._clock.wall()
-        return self._steady[0] + self._clock.now() - self._steady[1]
+        return self._anchor[0] + self._clock.now() - self._anchor[1]
 
-    def left(self, owed: Owed, most: float) -> float:
-        """How much time (ms) a message has left, whose class gives it ``most``."""
+    def time_left(self, owed: Owed, most: float) -> float:
+        """How much time (ms) a message has left; ``most``: its class's deadline."""
         left = owed.deadline_wall - self.wall()
-        # Guards the partner against a clock that is too early: no message has more time than its class gives.
+        # A clock that is too early must not give a message more time than its class does.
         return min(left, most) if self._waits.clock_ms else left
 
-    def _set_free(self) -> list[tuple[Owed, float]]:
-        freed, self._waiting = self._waiting, []
-        return [(owed, self.left(owed, most)) for owed, most in freed]
+    def _release(self) -> list[tuple[Owed, float]]:
+        released, self._held_back = self._held_back, []
+        return [(owed, self.time_left(owed, most)) for owed, most in released]
--- a/springspread/fleet/client.py
+++ b/springspread/fleet/client.py
@@ -42,7 +42,7 @@
 
     A name that no message holds is replaced by its hash; operators can't name such a key.
     """
-    if not endpoint.apart:
+    if not endpoint.separate_routes:
         return f"g{endpoint.group}"
     key = f"r{endpoint.group}/{endpoint.name}"
     name = endpoint.name.encode(errors="surrogatepass")
@@ -104,16 +104,16 @@
 
     # Asked by calls, from any thread
 
-    def enter(self, policy: int) -> bool:
+    def wait_for_policy(self, policy: int) -> bool:
         """The right to begin a call that was decided under a policy, now or within ``POLICY_WAIT_MS``."""
         until = self._clock.now() + POLICY_WAIT_MS
-        while not self.may(policy):
+        while not self.may_begin(policy):
             if self._clock.now() >= until or policy != self.policy:
                 return False
             self._wait_for_messages()
         return True
 
-    def may(self, policy: int) -> bool:
+    def may_begin(self, policy: int) -> bool:
         """Whether a call of a policy may begin at this moment."""
         return self._participant.may(policy)
 
--- a/springspread/net/discovery.py
+++ b/springspread/net/discovery.py
@@ -11,8 +11,8 @@
 
 from springspread.config import Address, Limits, Names
 from springspread.core.figures import Figures, Occurrence
-from springspread.core.types import EndpointState, ListNews, Log, Scope, clock
-from springspread.core.watch import Ask, Failure, State, Watch, pace
+from springspread.core.types import EndpointState, ListUpdate, Log, Scope, clock
+from springspread.core.watch import Failure, ListRequest, State, Watch, timings
 from springspread.http1.client import Answer
 from springspread.http1.message import Malformed
 from springspread.net.exchange import FAILURES, Caller, ConnectError, LateError, MovedError
@@ -62,7 +62,7 @@
         names: Names,
         version: int | None,
         limits: Limits,
-        put: Callable[[ListNews], None],
+        put: Callable[[ListUpdate], None],
         log: Log,
         figures: Figures | None = None,
         senders: int = 1,
@@ -76,15 +76,15 @@
         self._names, self._put, self._log = names, put, log
         self._lock = threading.Lock()
         sharing = 1 if pushed else senders
-        wait_ms = min(limits.watch_ms, pace(sharing).wait_ms)
-        self._machine = Watch(version, wait_ms, sharing, Random(seed), lapses=not pushed)
+        wait_ms = min(limits.watch_ms, timings(sharing).wait_ms)
+        self._machine = Watch(version, wait_ms, sharing, Random(seed), can_be_outdated=not pushed)
         self._wake = threading.Event()
         spawn("discovery", self._run, log)
 
     def watch(self, active: bool) -> None:
         """Begin or end the watch; a running one goes on."""
         with self._lock:
-            self._machine.want(active)
+            self._machine.set_active(active)
         self._wake.set()
 
     def fetch(self) -> None:
@@ -118,17 +118,17 @@
                 except FAILURES as exc:
                     self._failed(ask, _kind(exc), exc)
 
-    def _begin(self) -> Ask | None:
+    def _begin(self) -> ListRequest | None:
         with self._lock:
             return self._machine.begin(clock())
 
-    def _put_news(self, ask: Ask, news: ListNews) -> None:
+    def _put_news(self, ask: ListRequest, news: ListUpdate) -> None:
         with self._lock:
-            before, due_at = self._machine.state(news.notified_at), self._machine.due_at
+            before, first_deadline = self._machine.state(news.notified_at), self._machine.first_deadline
             believed = self._machine.answered(news.version)
-        late_ms = news.notified_at - due_at
+        late_ms = news.notified_at - first_deadline
         if late_ms > 0.0:
-            self._figures.occurred(Occurrence.LISTS_LATE, before)
+            self._figures.count_occurrence(Occurrence.LISTS_LATE, before)
         tell = self._log.info if news.members or before is not State.CURRENT else self._log.debug
         tell(
             "list received",
@@ -162,16 +162,20 @@
         if not leaving:
             return
         with self._lock:
-            self._machine.doubt()
+            self._machine.invalidate()
         self._log.info("left as the old address says", version=news.version, lines=len(leaving))
         self._put(replace(news, scope=Scope.CHANGES, members=leaving))
 
-    def _failed(self, ask: Ask, failure: Failure, exc: Exception) -> None:
+    def _failed(self, ask: ListRequest, failure: Failure, exc: Exception) -> None:
         with self._lock:
             now = clock()
             ask_by = self._machine.failed(failure, now)
-            state, due_at, lapse = self._machine.state(now), self._machine.due_at, self._machine.lapse
-        self._figures.occurred(Occurrence.LIST_FAILURES, failure)
+            state, first_deadline, outdated_period = (
+                self._machine.state(now),
+                self._machine.first_deadline,
+                self._machine.outdated_period,
+            )
+        self._figures.count_occurrence(Occurrence.LIST_FAILURES, failure)
         self._log.warning(
             "discovery failed",
             request=ask.number,
@@ -181,14 +185,14 @@
             took_ms=round(now - ask.begun_at, 1),
             again_within_ms=round(ask_by - now, 1),
             state=state.value,
-            due_in_ms=_rounded(due_at - now),
-            outdated_in_ms=_rounded(lapse.begin - now),
+            due_in_ms=_rounded(first_deadline - now),
+            outdated_in_ms=_rounded(outdated_period.begin - now),
         )
-        self._put(ListNews(Scope.FAILED, ask_by=ask_by, lapse=lapse))
+        self._put(ListUpdate(Scope.FAILED, ask_by=ask_by, outdated_period=outdated_period))
 
-    def _ask(self, ask: Ask) -> ListNews:
+    def _ask(self, ask: ListRequest) -> ListUpdate:
         with self._lock:
-            state, due_at = self._machine.state(ask.begun_at), self._machine.due_at
+            state, first_deadline = self._machine.state(ask.begun_at), self._machine.first_deadline
         tell = self._log.debug if state is State.CURRENT else self._log.info
         tell(
             "list request",
@@ -197,7 +201,7 @@
             wait_ms=ask.wait_ms,
             give_up_ms=round(ask.give_up_at - ask.begun_at, 1),
             state=state.value,
-            due_in_ms=_rounded(due_at - ask.begun_at),
+            due_in_ms=_rounded(first_deadline - ask.begun_at),
         )
         target = catalog.target(ask.since, ask.wait_ms)
         answer = self._caller.call("GET", target, {}, b"", ask.give_up_at, current=True)
--- a/springspread/net/endpoints.py
+++ b/springspread/net/endpoints.py
@@ -62,7 +62,7 @@
         while True:
             with self._lock:
                 idle, now = self._idle.get(endpoint.number), clock()
-                if not idle or not self._reuse.may(endpoint.number, now - idle[-1].idle_since, once, now):
+                if not idle or not self._reuse.allows(endpoint.number, now - idle[-1].idle_since, once, now):
                     return None
                 connection = idle.pop()
                 connection.idle_ms = now - connection.idle_since
@@ -118,7 +118,7 @@
 
     def close(self, connection: Connection, reason: Closed) -> None:
         """Close a connection and count why."""
-        self._figures.occurred(Occurrence.CONNECTIONS_CLOSED, reason)
+        self._figures.count_occurrence(Occurrence.CONNECTIONS_CLOSED, reason)
         connection.close()
 
     def drop(self, endpoint: Endpoint) -> None:
@@ -249,7 +249,7 @@
         return True
 
     def _exchange(self, call: Call, connection: Connection) -> bool:
-        refused = self._clearance.refuses(call)
+        refused = self._clearance.check(call)
         if refused is not None:
             self._withhold(call, refused)
             return refused.result is not Result.CANCELLED
@@ -271,7 +271,7 @@
                 raise StaleError from None
             if call.cancelled.is_set():
                 self._end_all(call, Result.CANCELLED)
-            elif (wait := self._clearance.barred_ms(call.endpoint)) > 0.0:
+            elif (wait := self._clearance.retry_after_left_ms(call.endpoint)) > 0.0:
                 # Guards the partner: a call stopped by a told wait does not say that it is unreachable.
                 self._end_all(call, Result.REJECTED, wait)
             else:
@@ -293,14 +293,14 @@
             result = Result.BROKEN
             if isinstance(exc, Malformed):
                 self._log.warning("bad answer", endpoint=call.endpoint.name, fault=str(exc))
-                result = Result.SPOILT
+                result = Result.MALFORMED
             result = Result.CANCELLED if call.cancelled.is_set() else result
             self._end_all(call, delivery.read_part(call, connection.status, result))
         return False
 
     def _withhold(self, call: Call, refused: Refusal) -> None:
         """End a call that may not go out, and tell why."""
-        self._figures.occurred(Occurrence.CALLS_WITHHELD, refused.reason)
+        self._figures.count_occurrence(Occurrence.CALLS_WITHHELD, refused.reason)
         self._log.debug(
             "call withheld",
             reason=refused.reason.value,
@@ -320,11 +320,11 @@
 
     def _clear(self, call: Call) -> bool:
         """Whether the last byte of a call may still be written."""
-        return not call.cancelled.is_set() and self._clearance.barred_ms(call.endpoint) <= 0.0
+        return not call.cancelled.is_set() and self._clearance.retry_after_left_ms(call.endpoint) <= 0.0
 
     def _read(self, call: Call, reading: delivery.Reading) -> None:
         if reading.wait_ms > 0:
-            self._clearance.bar(call.endpoint, reading.wait_ms)
+            self._clearance.set_retry_after(call.endpoint, reading.wait_ms)
         if reading.fault:
             self._log.warning("odd answer", endpoint=call.endpoint.name, fault=reading.fault)
         for end in reading.ends:
--- a/springspread/platform/intake.py
+++ b/springspread/platform/intake.py
@@ -7,7 +7,7 @@
 from dataclasses import dataclass, field
 
 from springspread.core.figures import Figure, Figures
-from springspread.core.types import CoreEvent, Gone, Message, Verdict
+from springspread.core.types import ClientLeft, CoreEvent, Message, Verdict
 from springspread.http1.message import Headers
 from springspread.http1.server import Request
 
@@ -79,14 +79,14 @@
             return Reply(400, {"X-Fault": str(exc)})
         if not self.ready:
             return self._refused(message, {"Retry-After": self._return})
-        message.told = told
+        message.on_verdict = told
         self._put(message)
         return message
 
     def verdict(self, message: Message) -> Reply:
         """The answer to a message; where no verdict has come, the client's time is up."""
         match message.verdict:
-            case Verdict.TAKEN:
+            case Verdict.ACCEPTED:
                 return Reply(202, message=message)
             case Verdict.DELIVERED:
                 return Reply(200)
@@ -108,4 +108,4 @@
 
     def gone(self, message: Message) -> None:
         """The client left before it heard that its message was taken on."""
-        self._put(Gone(message))
+        self._put(ClientLeft(message))
--- a/springspread/simulator/virtual.py
+++ b/springspread/simulator/virtual.py
@@ -25,12 +25,12 @@
     CoreEvent,
     Endpoint,
     EndpointState,
-    ListNews,
+    ListUpdate,
     Load,
     Member,
     Message,
     Notice,
-    NoticeHeard,
+    NoticesDelivered,
     ProbeEnd,
     Result,
     Scope,
@@ -63,7 +63,7 @@
     End.FULL: Result.REJECTED,
     End.REFUSED: Result.NOT_CONNECTED,
     End.RESET: Result.BROKEN,
-    End.SPOILT: Result.SPOILT,
+    End.SPOILT: Result.MALFORMED,
 }
 MEDIUM_MS = 0.5  # between an instance and the allocator, one way
 KEPT_MS = 3_500.0  # a connection idle for longer is opened anew
@@ -148,7 +148,7 @@
         self._watching = False
         self._step_at = inf
         self._stepped = -inf
-        self.sender.restore(ListNews(Scope.CACHED))
+        self.sender.restore(ListUpdate(Scope.CACHED))
         self.wake()
 
     # The loop: what came in is handled at the next tick, timers when they are due.
@@ -172,7 +172,7 @@
         if self.dead or planned != self._step_at:
             return  # an earlier step came in between
         self._step_at, self._stepped = inf, planned
-        self.sender.step(self.sender.waiting())
+        self.sender.step(self.sender.take_inbox())
         self.wake()
 
     def die(self) -> None:
@@ -232,11 +232,11 @@
             return
         self.start(call)
 
-    def enter(self, policy: int) -> bool:
+    def wait_for_policy(self, policy: int) -> bool:
         """No policy changes in virtual time."""
         return True
 
-    def may(self, policy: int) -> bool:
+    def may_begin(self, policy: int) -> bool:
         """No policy changes in virtual time."""
         return True
 
@@ -275,7 +275,7 @@
             return
         if self._lacks(call):
             return
-        refused = self.clearance.refuses(call)
+        refused = self.clearance.check(call)
         if refused is not None and not self._overrides(refused[0]):
             for run in call.attempts:
                 self.put(AttemptEnd(call, run, refused[0], now, refused[1]))
@@ -330,7 +330,7 @@
         if answer.wait_ms:
             self.town.checker.wait(now, self.name, key, answer.wait_ms)
             if not self.town.knobs.ignore_waits:
-                self.clearance.bar(call.endpoint, answer.wait_ms)
+                self.clearance.set_retry_after(call.endpoint, answer.wait_ms)
         ids = _ids(call)
         self.town.checker.tally.rejected += answer.end is End.FULL
         if answer.end is End.DONE:
@@ -369,7 +369,7 @@
         """Close the kept connections to an endpoint."""
         self._idle.pop(endpoint.number, None)
 
-    # Directory
+    # Discovery
 
     def watch(self, active: bool) -> None:
         """Begin or end the watch."""
@@ -382,7 +382,7 @@
         """Ask for the whole list."""
         town, now = self.town, self.town.clock.now()
         if town.day.away(Service.DIRECTORY, now) > now:
-            town.at(now + town.day.network_ms[0], self.put, ListNews(Scope.FAILED))
+            town.at(now + town.day.network_ms[0], self.put, ListUpdate(Scope.FAILED))
             return
         town.at(now + 2 * town.day.network_ms[0], self.told, Scope.WHOLE, list(town.states))
 
@@ -403,11 +403,11 @@
         members = tuple(town.member(name) for name in names)
         if town.knobs.ignore_drains:
             members = tuple(member for member in members if member.state is EndpointState.READY)
-        self.put(ListNews(scope, town.version, members, now))
+        self.put(ListUpdate(scope, town.version, members, now))
 
     # Platform
 
-    def tell(self, notice: Notice) -> None:
+    def deliver(self, notice: Notice) -> None:
         """Tell the platform a message's end."""
         town = self.town
         if not town.knobs.drop_notices:
@@ -419,7 +419,7 @@
             return  # its next process tells it
         town, now = self.town, self.town.clock.now()
         town.checker.notice(now, notice.id, "deferred" if notice.deferred else "undeliverable")
-        town.at(now + town.day.network_ms[0], self.put, NoticeHeard((notice.number,)))
+        town.at(now + town.day.network_ms[0], self.put, NoticesDelivered((notice.number,)))
         if notice.deferred:
             town.again(notice.id, notice.again_ms)
 
@@ -611,7 +611,7 @@
         )
         errand.counted = True
         until, body = now + left, arrival.body
-        message = Message(id, cls.name, arrival.group, until, body, again, orphan, told=self._heard)
+        message = Message(id, cls.name, arrival.group, until, body, again, orphan, on_verdict=self._heard)
         self._asked.setdefault(instance.name, {})[id] = message
         instance.put(message)
 
@@ -619,7 +619,7 @@
         return self.instances[number % len(self.instances)]
 
     def _heard(self, message: Message) -> None:
-        taken = message.verdict in (Verdict.TAKEN, Verdict.DELIVERED)
+        taken = message.verdict in (Verdict.ACCEPTED, Verdict.DELIVERED)
         self.checker.verdict(self.clock.now(), message.id, taken)
         for asked in self._asked.values():
             asked.pop(message.id, None)
--- a/tests/faults/test_return.py
+++ b/tests/faults/test_return.py
@@ -9,60 +9,60 @@
 from hypothesis import strategies as st
 
 from springspread.config import Waits
-from springspread.core.gates import TABLE, Gate, Seen, Standing, step
-from springspread.core.worldtime import DOUBT_MS, offset, read
+from springspread.core.startup_stages import STAGES, Conditions, Progress, Stage, advance
+from springspread.core.wall_clock import TOLERANCE_MS, offset, parse_date
 from springspread.faults.chaos import Chaos, fleet_of
 from springspread.faults.damage import Damaged
 from springspread.faults.observer import fullest
 from tests.peer import until
 
 HOUR = 3_600_000.0
-MET = Seen(owed=0, slots=5, world=True, policy=True, listed=True)
-NOTHING = Seen(owed=9, slots=5, world=False, policy=False, listed=False)
+MET = Conditions(backlog=0, slots=5, time_known=True, policy=True, listed=True)
+NOTHING = Conditions(backlog=9, slots=5, time_known=False, policy=False, listed=False)
 WAITS = Waits(100.0, 200.0, 300.0, 400.0)
-SEEN = st.builds(Seen, st.integers(0, 9), st.just(5), st.booleans(), st.booleans(), st.booleans())
+SEEN = st.builds(Conditions, st.integers(0, 9), st.just(5), st.booleans(), st.booleans(), st.booleans())
 
 
 @given(st.lists(st.tuples(SEEN, st.floats(0.0, 150.0)), max_size=60))
 def test_gates_open_in_their_order_each_when_it_may_or_at_its_longest_wait(
-    looks: list[tuple[Seen, float]],
+    looks: list[tuple[Conditions, float]],
 ) -> None:
-    now, standing = 0.0, Standing(Gate.CLOCK, 0.0)
-    order = [gate for gate, _, _ in TABLE]
+    now, progress = 0.0, Progress(Stage.CLOCK, 0.0)
+    order = [stage for stage, _, _ in STAGES]
     for seen, pause in [*looks, (NOTHING, 1_000.0)]:
         now += pause
-        before, standing = standing, step(standing, seen, WAITS, now)
-        assert [one.gate for one in standing.passed] == order[: len(standing.passed)]
-        assert standing.passed[: len(before.passed)] == before.passed
+        before, progress = progress, advance(progress, seen, WAITS, now)
+        assert [one.stage for one in progress.passed] == order[: len(progress.passed)]
+        assert progress.passed[: len(before.passed)] == before.passed
         since = before.since
-        for one in standing.passed[len(before.passed) :]:
-            met, longest = next((met, longest) for gate, met, longest in TABLE if gate is one.gate)
+        for one in progress.passed[len(before.passed) :]:
+            met, longest = next((met, longest) for stage, met, longest in STAGES if stage is one.stage)
             assert one.met == met(seen) and (one.met or now >= since + longest(WAITS))
             since = one.at
-        if standing.gate is not Gate.OPEN:
-            met, longest = next((met, longest) for gate, met, longest in TABLE if gate is standing.gate)
-            assert not met(seen) and now < standing.since + longest(WAITS)
+        if progress.stage is not Stage.OPEN:
+            met, longest = next((met, longest) for stage, met, longest in STAGES if stage is progress.stage)
+            assert not met(seen) and now < progress.since + longest(WAITS)
 
 
 def test_nothing_is_waited_for_by_who_has_no_waits_and_nothing_for_ever() -> None:
-    assert step(Standing(Gate.CLOCK, 5.0), NOTHING, Waits(), 5.0).gate is Gate.OPEN
-    assert step(Standing(Gate.CLOCK, 5.0), MET, WAITS, 5.0).gate is Gate.OPEN
-    standing, now = Standing(Gate.CLOCK, 0.0), 0.0
-    while standing.gate is not Gate.OPEN:
+    assert advance(Progress(Stage.CLOCK, 5.0), NOTHING, Waits(), 5.0).stage is Stage.OPEN
+    assert advance(Progress(Stage.CLOCK, 5.0), MET, WAITS, 5.0).stage is Stage.OPEN
+    progress, now = Progress(Stage.CLOCK, 0.0), 0.0
+    while progress.stage is not Stage.OPEN:
         now += 50.0
-        standing = step(standing, NOTHING, WAITS, now)
-    assert now == 1_000.0 and not any(one.met for one in standing.passed)
+        progress = advance(progress, NOTHING, WAITS, now)
+    assert now == 1_000.0 and not any(one.met for one in progress.passed)
 
 
 def test_the_time_that_counts_is_the_worlds_then_the_machines_but_never_before_the_record() -> None:
     noon = 1_800_000_000_000.0
     assert offset(noon + HOUR, noon, noon - 5.0) == -HOUR
     assert offset(0.0, noon, noon - 5.0) == noon
-    assert offset(noon + DOUBT_MS, noon, noon) == 0.0  # it tells whole seconds: the machine's is finer
+    assert offset(noon + TOLERANCE_MS, noon, noon) == 0.0  # it tells whole seconds: the machine's is finer
     assert offset(0.0, None, noon) == noon
     assert offset(noon, None, noon - HOUR) == 0.0
-    assert read("Fri, 15 Jan 2027 08:00:00 GMT") == noon + 500.0
-    assert read("") is read("yesterday") is None
+    assert parse_date("Fri, 15 Jan 2027 08:00:00 GMT") == noon + 500.0
+    assert parse_date("") is parse_date("yesterday") is None
 
 
 def test_a_fleet_whose_clock_comes_up_an_hour_late_gives_up_nothing_that_has_time_left() -> None:
--- a/tests/test_grown_fleet.py
+++ b/tests/test_grown_fleet.py
@@ -12,7 +12,7 @@
 
 from springspread import interface as i
 from springspread.config import Limits, Names
-from springspread.core.watch import ANSWER_MS, NOTIFIED_MS, SHORTEST_WAIT, Failure, Watch, pace
+from springspread.core.watch import ANSWER_MS, MIN_WAIT_FRACTION, NOTIFIED_MS, Failure, Watch, timings
 from springspread.net.discovery import Watcher
 from springspread.policy import Dispatcher
 from springspread.settings import SettingsError, parse_lines, read_settings
@@ -115,7 +115,7 @@
     settings, asked = make_settings(senders=40, must_ask=True), 0
     for seed in range(40):
         sender, watch, now = Dispatcher(settings, seed), Watch(1, 5000.0, 40), 0.0
-        watch.want()
+        watch.set_active()
         while now < 40_000.0:
             assert watch.begin(now) is not None
             asked += now >= 10_000.0
@@ -126,7 +126,7 @@
             while not any(isinstance(action, i.Watch) for action in sender.handle(now, [i.Woken(0)])):
                 now += 5.0
             assert now <= failed_at + NOTIFIED_MS - ANSWER_MS + 10.0
-            watch.want()
+            watch.set_active()
     assert asked <= 40 * 30 / 4.5
 
 
@@ -146,9 +146,9 @@
     watcher._caller = Held()  # type: ignore[assignment]
     watcher.watch(True)
     query = parse_qs(urlsplit(asked.get(timeout=WAIT_S)).query)
-    longest = pace(senders).wait_ms
+    longest = timings(senders).wait_ms
     assert query["since"] == ["7"]
-    assert SHORTEST_WAIT * longest - 1.0 <= float(query["timeout_ms"][0]) <= longest
+    assert MIN_WAIT_FRACTION * longest - 1.0 <= float(query["timeout_ms"][0]) <= longest
 
 
 def test_failures_of_endpoints_that_are_gone_throttle_nobody_who_takes_their_place() -> None:
