--- a/springspread/__main__.py
+++ b/springspread/__main__.py
@@ -16,7 +16,7 @@
 from springspread.core.clearance import Clearance
 from springspread.core.clock import SYSTEM
 from springspread.core.figures import Figures
-from springspread.core.lanes import Lanes, Taken
+from springspread.core.journal_ownership import Lanes, Taken
 from springspread.core.loop import Sender
 from springspread.core.types import ListNews, Log, Scope, Stop
 from springspread.logs import make_log
--- a/springspread/core/clearance.py
+++ b/springspread/core/clearance.py
@@ -9,7 +9,7 @@
 
 from springspread.core.clock import SYSTEM, Clock
 from springspread.core.journal import Journal
-from springspread.core.lanes import Lanes
+from springspread.core.journal_ownership import Lanes
 from springspread.core.list_index import ListIndex
 from springspread.core.types import Call, Endpoint, EndpointState, ListNews, Result, Shares
 from springspread.core.watch import NO_LAPSE
--- a/springspread/core/loop.py
+++ b/springspread/core/loop.py
@@ -16,7 +16,7 @@
 from springspread.core.destinations import KnownDestinations
 from springspread.core.figures import Figure, Figures
 from springspread.core.journal import Journal, JournalFull, Owed
-from springspread.core.lanes import LOOK_MS, Lanes
+from springspread.core.journal_ownership import LOOK_MS, Lanes
 from springspread.core.start import Start
 from springspread.core.types import (
     Attempt,
--- a/springspread/faults/stalls.py
+++ b/springspread/faults/stalls.py
@@ -8,7 +8,7 @@
 import time
 
 import springspread.__main__ as program
-from springspread.core import lanes
+from springspread.core import journal_ownership
 from springspread.core.journal import Journal
 
 EACH_S, STALL_S = 3.0, 0.9
@@ -26,5 +26,5 @@
 
 
 if __name__ == "__main__":
-    vars(lanes).update(Journal=Stalling)
+    vars(journal_ownership).update(Journal=Stalling)
     os._exit(program.main())
--- a/springspread/fleet/fit.py
+++ b/springspread/fleet/fit.py
@@ -9,7 +9,7 @@
 
 from springspread.config import Config, ConfigError, decoded, read
 from springspread.core.journal import Journal
-from springspread.core.lanes import Lanes
+from springspread.core.journal_ownership import Lanes
 from springspread.interface import Settings
 
 KEYS = {
--- a/springspread/fleet/instance_files.py
+++ b/springspread/fleet/instance_files.py
@@ -9,7 +9,7 @@
 from math import inf
 from pathlib import Path
 
-from springspread.core.lanes import owed_in
+from springspread.core.journal_ownership import owed_in
 
 LOG_BYTES = 4 << 20
 LOG_TAIL_BYTES = 1 << 18  # the ready line is searched for in the last part of a log
