--- a/springspread/core/journal_ownership.py
+++ b/springspread/core/journal_ownership.py
@@ -25,10 +25,10 @@
 from functools import partial
 from pathlib import Path
 
-from springspread.core.board import Board
 from springspread.core.commit import Commit
 from springspread.core.journal import PREFIX, Journal, Owed
 from springspread.core.salvage import Range, Reader
+from springspread.core.shared_backoff import Board
 
 LANES = 4  # processes on one folder at a time
 NUMBERS = 1 << 30  # messages that a lane may number
--- a/tests/test_lanes.py
+++ b/tests/test_lanes.py
@@ -16,10 +16,10 @@
 
 import pytest
 
-from springspread.core.board import FILE_BYTES, Board
 from springspread.core.files import Files
 from springspread.core.journal import Journal, JournalFull
 from springspread.core.journal_ownership import LANES, NUMBERS, Lanes, lane_folder, owed_in
+from springspread.core.shared_backoff import FILE_BYTES, Board
 from tests.peer import WAIT_S, Peer, Program, until
 from tests.test_config import make
 from tests.test_salvage import owed
