--- a/springspread/core/journal.py
+++ b/springspread/core/journal.py
@@ -1,8 +1,8 @@
 """The journal: what this sender owes, in append-only files that outlast the process.
 
-A file that is damaged in the middle loses the damaged records alone (``salvage``): they are set aside, all
-that is owed is written anew, and each message that was on record before the damage counts as one that may
-have run, as its *begun* may have been there.
+A file that is damaged in the middle loses the damaged records alone (``journal_repair``): they are set
+aside, all that is owed is written anew, and each message that was on record before the damage counts as one
+that may have run, as its *begun* may have been there.
 
 Records: *taken* (the message itself), *begun* (an attempt is about to write its first byte), *not run*
 (proof that one never ran), *ending* (the final answer that was decided) and *over*. Each carries its length
@@ -21,7 +21,7 @@
 from springspread.core import mark
 from springspread.core.commit import Commit
 from springspread.core.files import Files
-from springspread.core.salvage import BEGUN, ENDING, HEAD, OVER, POLICY, TAKEN, Range, Reader
+from springspread.core.journal_repair import BEGUN, ENDING, HEAD, OVER, POLICY, TAKEN, Range, Reader
 
 PREFIX = "journal."
 ASIDE = "damaged."  # and the file's number: what could not be read in it
--- a/springspread/core/journal_ownership.py
+++ b/springspread/core/journal_ownership.py
@@ -27,7 +27,7 @@
 
 from springspread.core.commit import Commit
 from springspread.core.journal import PREFIX, Journal, Owed
-from springspread.core.salvage import Range, Reader
+from springspread.core.journal_repair import Range, Reader
 from springspread.core.shared_backoff import Board
 
 LANES = 4  # processes on one folder at a time
--- a/tests/test_salvage.py
+++ b/tests/test_salvage.py
@@ -9,7 +9,7 @@
 from hypothesis import strategies as st
 
 from springspread.core.journal import Journal, Owed, _frame
-from springspread.core.salvage import HEAD, Range, Reader
+from springspread.core.journal_repair import HEAD, Range, Reader
 
 DISK = 3 << 20
 FIRST = "journal.00000001"
