--- a/springspread/core/journal.py
+++ b/springspread/core/journal.py
@@ -18,7 +18,7 @@
 from struct import error as StructError
 from zlib import crc32
 
-from springspread.core import mark
+from springspread.core import sync_position
 from springspread.core.commit import Commit
 from springspread.core.files import Files
 from springspread.core.journal_repair import BEGUN, ENDING, HEAD, OVER, POLICY, TAKEN, Range, Reader
@@ -165,7 +165,7 @@
     def remove(self) -> None:
         """Nothing is owed here any more: take its files away, the oldest first, and let go of it."""
         with self._lock:
-            mark.forget(self._files)
+            sync_position.forget(self._files)
             for number in sorted(self._sizes):  # cut off by a fault, it goes on where it was
                 self._files.unlink(_name(number))
                 del self._sizes[number]
@@ -201,7 +201,7 @@
         finally:
             self._files.close(file)
         with suppress(OSError):  # it tells less then
-            mark.write(self._files, number, size)
+            sync_position.write(self._files, number, size)
 
     def _open(self, number: int) -> None:
         if self._file >= 0:
@@ -239,7 +239,7 @@
 
     def _cut_off(self, newest: int) -> None:
         """Guards unsafe calls: what was synced and is not there any more may have been their *begun*."""
-        number, size = mark.read(self._files)
+        number, size = sync_position.read(self._files)
         if (number, size) <= (newest, self._sizes.get(newest, 0)):
             return
         name = _name(number)
@@ -266,7 +266,7 @@
             old = set(self._sizes)
             while old & set(self._sizes):
                 self._clear_oldest()
-            mark.forget(self._files)  # it was of those
+            sync_position.forget(self._files)  # it was of those
         except OSError:
             self.failures += 1  # the disk is full, say: the damaged files stay, and the next start finds them
 
