--- a/springspread/cli/journal.py
+++ b/springspread/cli/journal.py
@@ -11,7 +11,7 @@
 import click
 
 if TYPE_CHECKING:
-    from springspread.core.journal import Journal, Owed
+    from springspread.core.journal import Journal, PendingMessage
 
 FOLDER = click.Path(path_type=Path, file_okay=False, exists=True)
 TRIES = 5
@@ -33,7 +33,7 @@
     raise click.ClickException(f"{folder}: its files change faster than they can be read")
 
 
-def _owed(owed: Owed) -> dict[str, object]:
+def _owed(owed: PendingMessage) -> dict[str, object]:
     deadline = datetime.fromtimestamp(owed.deadline_wall / 1000.0, UTC)
     ending = None if owed.ending is None else ("deferred" if owed.ending[0] else "undeliverable")
     return {
--- a/springspread/core/journal.py
+++ b/springspread/core/journal.py
@@ -35,7 +35,7 @@
 
 
 @dataclass(slots=True)
-class Owed:
+class PendingMessage:
     """A message on record and what is known of its attempts."""
 
     number: int
@@ -117,7 +117,7 @@
         self._budget, self._room = self._whole, 0
         self._most_live = min(LIVE_PART * disk_bytes, self._whole - longest)
         self._lock = threading.Lock()
-        self.owed: dict[int, Owed] = {}
+        self.owed: dict[int, PendingMessage] = {}
         self.last_number = first_number
         self.cut_bytes = self.failures = 0
         self.damaged: dict[str, list[Range]] = {}  # by file
@@ -295,7 +295,9 @@
                 # stays, as a kill may have cut off the records that follow.
                 self.owed[number].file = file
                 return
-            owed = Owed(number, id_, text, group, deadline, body, again, orphan, file=file, policy=under)
+            owed = PendingMessage(
+                number, id_, text, group, deadline, body, again, orphan, file=file, policy=under
+            )
             self._add(owed)
         elif kind in (b"B", b"N"):
             _, number, attempt = BEGUN.unpack(payload)
@@ -312,7 +314,7 @@
             self.last_number = max(self.last_number, number)
             self._drop(number)
 
-    def _add(self, owed: Owed) -> None:
+    def _add(self, owed: PendingMessage) -> None:
         self.owed[owed.number] = owed
         self.last_number = max(self.last_number, owed.number)
         self._live += self._cost(owed)
@@ -322,11 +324,11 @@
         if owed is not None:
             self._live -= self._cost(owed)
 
-    def _cost(self, owed: Owed) -> int:
+    def _cost(self, owed: PendingMessage) -> int:
         fixed = HEAD.size + TAKEN.size + POLICY.size + len(owed.cls.encode()) + len(owed.id)
         return fixed + len(owed.body) + self._per_message
 
-    def taken(self, owed: Owed) -> None:
+    def taken(self, owed: PendingMessage) -> None:
         """Put a message on record, or raise ``JournalFull`` before the disk could overflow."""
         with self._lock:
             if self._live + self._cost(owed) > self._most_live:
--- a/springspread/core/journal_ownership.py
+++ b/springspread/core/journal_ownership.py
@@ -26,7 +26,7 @@
 from pathlib import Path
 
 from springspread.core.commit import Commit
-from springspread.core.journal import PREFIX, Journal, Owed
+from springspread.core.journal import PREFIX, Journal, PendingMessage
 from springspread.core.journal_repair import Range, Reader
 from springspread.core.shared_backoff import Board
 
@@ -45,9 +45,9 @@
     return folder / f"lane.{lane}" if lane else folder
 
 
-def owed_in(folder: Path) -> dict[int, Owed]:
+def owed_in(folder: Path) -> dict[int, PendingMessage]:
     """What all lanes of a folder owe, read beside whoever writes there; raises ``OSError``."""
-    found: dict[int, Owed] = {}
+    found: dict[int, PendingMessage] = {}
     for lane in range(LANES):
         if (place := lane_folder(folder, lane)).is_dir():
             found |= Journal(place, 1 << 40, read_only=True).owed
@@ -62,7 +62,7 @@
         self._read: dict[tuple[str, int], int] = {}  # by name and file on disk, up to where
         self._book = Journal.reading()
 
-    def owed(self, id: str) -> Owed | None:
+    def owed(self, id: str) -> PendingMessage | None:
         """A message that it owes, by its id."""
         for _ in range(TRIES):
             try:
@@ -142,7 +142,7 @@
 
     # Who else is there
 
-    def look(self, now: float) -> list[Owed]:
+    def look(self, now: float) -> list[PendingMessage]:
         """Look at the other lanes, now and then; what is owed in those that were taken over."""
         if now < self._look_at:
             return []
@@ -152,15 +152,15 @@
         except OSError:  # guards the loop: what can't be looked at now is looked at again
             return []
 
-    def _look_again(self) -> list[Owed]:
+    def _look_again(self) -> list[PendingMessage]:
         changed = self._folder.stat().st_mtime_ns  # as another lane's folder is made
         if changed == self._changed and not self._beside and len(self._books) == 1:
             return []
         return self._look()
 
-    def _look(self) -> list[Owed]:
+    def _look(self) -> list[PendingMessage]:
         self._changed = self._folder.stat().st_mtime_ns
-        found: list[Owed] = []
+        found: list[PendingMessage] = []
         for lane in range(LANES):
             if lane in self._books or not (lane_folder(self._folder, lane) / "lock").exists():
                 continue
@@ -190,7 +190,7 @@
         """Whether another process uses the folder, or has left something that is still owed."""
         return bool(self._beside) or len(self._books) > 1
 
-    def elsewhere(self, id: str) -> Owed | None:
+    def elsewhere(self, id: str) -> PendingMessage | None:
         """A message that a process beside this one owes, by its id."""
         return next((owed for one in self._beside.values() if (owed := one.owed(id)) is not None), None)
 
@@ -200,7 +200,7 @@
         return self._books.get(number // NUMBERS, self._books[self._own])
 
     @property
-    def owed(self) -> Mapping[int, Owed]:
+    def owed(self) -> Mapping[int, PendingMessage]:
         """All that this process owes, by number."""
         books = list(self._books.values())
         return books[0].owed if len(books) == 1 else ChainMap(*(book.owed for book in books))
@@ -230,7 +230,7 @@
         for book in list(self._books.values()):
             book.settle()
 
-    def taken(self, owed: Owed) -> None:
+    def taken(self, owed: PendingMessage) -> None:
         """As ``Journal.taken``, in this process's own lane."""
         self._books[self._own].taken(owed)
 
--- a/springspread/core/loop.py
+++ b/springspread/core/loop.py
@@ -15,7 +15,7 @@
 from springspread.core.clock import SYSTEM, Clock
 from springspread.core.destinations import KnownDestinations
 from springspread.core.figures import Figure, Figures
-from springspread.core.journal import Journal, JournalFull, Owed
+from springspread.core.journal import Journal, JournalFull, PendingMessage
 from springspread.core.journal_ownership import LOOK_MS, Lanes
 from springspread.core.start import Start
 from springspread.core.types import (
@@ -49,7 +49,7 @@
 class Held:
     """A message in the table: the module still has to end it."""
 
-    owed: Owed
+    owed: PendingMessage
     spec: i.ClassSpec
     deadline: float
     speakers: int = 1  # how often it was handed in by clients that have not left
@@ -125,9 +125,9 @@
             self._directory.watch(True)
         self._decide(now, events + self._through(now))
 
-    def _taken_up(self, found: Iterable[Owed]) -> list[tuple[Owed, float]]:
+    def _taken_up(self, found: Iterable[PendingMessage]) -> list[tuple[PendingMessage, float]]:
         """What another process owed: what has no end coming goes on, with its class's time."""
-        waiting: list[tuple[Owed, float]] = []
+        waiting: list[tuple[PendingMessage, float]] = []
         for owed in list(found):
             self._numbers[owed.id] = owed.number
             cls = self._classes.get(owed.cls)
@@ -148,7 +148,7 @@
         self._log.info("taken over", owed=len(found))
         return [self._goes_on(now, owed, self.start.left(owed, most)) for owed, most in self._taken_up(found)]
 
-    def _goes_on(self, now: float, owed: Owed, left: float) -> i.Taken:
+    def _goes_on(self, now: float, owed: PendingMessage, left: float) -> i.Taken:
         cls, deadline = self._classes[owed.cls], now + left
         self._log.debug("goes on", number=owed.number, left_ms=round(left, 1), attempts=owed.attempts)
         self._held[owed.number] = Held(owed, self._set.classes[cls], deadline)
@@ -351,7 +351,7 @@
         number = self._journal.last_number + 1
         left = message.deadline - self._clock.now()
         until = self.start.wall() + left
-        owed = Owed(
+        owed = PendingMessage(
             number,
             message.id,
             message.cls,
@@ -493,7 +493,7 @@
         self._journal.over(number)
         self._over(owed, delivered)
 
-    def _over(self, owed: Owed, delivered: bool) -> None:
+    def _over(self, owed: PendingMessage, delivered: bool) -> None:
         self.start.ended(owed.number)
         self._numbers.pop(owed.id, None)
         self._recent[owed.id] = delivered
--- a/springspread/core/start.py
+++ b/springspread/core/start.py
@@ -11,7 +11,7 @@
 from springspread.core import worldtime
 from springspread.core.clock import Clock
 from springspread.core.gates import Gate, Seen, Standing, step
-from springspread.core.journal import Owed
+from springspread.core.journal import PendingMessage
 from springspread.core.types import Log
 
 ASK_MS = 500.0  # an answer that did not come is asked for again
@@ -25,12 +25,12 @@
         self.standing = Standing(Gate.CLOCK, clock.now())
         self._world: tuple[float, float] | None = None  # the world's time, and when it was that
         self._steady: tuple[float, float] | None = None  # the time that counts, and when it was that
-        self._waiting: list[tuple[Owed, float]] = []  # owed, and not set free yet; its class's time
+        self._waiting: list[tuple[PendingMessage, float]] = []  # owed, and not set free yet; its class's time
         self._owed: set[int] = set()  # what was owed at the start, as far as it has no end yet
         self.owed_at_start = 0
         self._ask_at = 0.0
 
-    def begin(self, now: float, owed: Iterable[tuple[Owed, float]]) -> None:
+    def begin(self, now: float, owed: Iterable[tuple[PendingMessage, float]]) -> None:
         """Stand before the first gate, with what is owed and the time (ms) that each one's class gives it."""
         self.standing, self._waiting = Standing(Gate.CLOCK, now), list(owed)
         self._owed = {one.number for one, _ in self._waiting}
@@ -67,12 +67,12 @@
         self._ask_at = now + ASK_MS
         return True
 
-    def through(self, now: float, slots: int, acts: bool, listed: bool) -> list[tuple[Owed, float]]:
+    def through(self, now: float, slots: int, acts: bool, listed: bool) -> list[tuple[PendingMessage, float]]:
         """Through the gates that are open by now; what that sets free, with the time that each has left."""
         before = self.standing
         seen = Seen(len(self._owed), slots, self._world is not None, acts, listed)
         self.standing = step(before, seen, self._waits, now)
-        since, freed = before.since, list[tuple[Owed, float]]()
+        since, freed = before.since, list[tuple[PendingMessage, float]]()
         for one in self.standing.passed[len(before.passed) :]:
             if self.gated:
                 waited = round(one.at - since, 1)
@@ -103,12 +103,12 @@
             return self._clock.wall()
         return self._steady[0] + self._clock.now() - self._steady[1]
 
-    def left(self, owed: Owed, most: float) -> float:
+    def left(self, owed: PendingMessage, most: float) -> float:
         """How much time (ms) a message has left, whose class gives it ``most``."""
         left = owed.deadline_wall - self.wall()
         # Guards the partner against a clock that is too early: no message has more time than its class gives.
         return min(left, most) if self._waits.clock_ms else left
 
-    def _set_free(self) -> list[tuple[Owed, float]]:
+    def _set_free(self) -> list[tuple[PendingMessage, float]]:
         freed, self._waiting = self._waiting, []
         return [(owed, self.left(owed, most)) for owed, most in freed]
--- a/springspread/faults/crashes.py
+++ b/springspread/faults/crashes.py
@@ -19,7 +19,7 @@
 from pathlib import Path
 from random import Random
 
-from springspread.core.journal import Journal, Owed
+from springspread.core.journal import Journal, PendingMessage
 from springspread.faults.disk import Crash, Disk, MemoryFiles
 
 DISK_BYTES = 32_000  # files of 2,700 bytes, and room for three of them: they turn over often
@@ -38,7 +38,7 @@
     endings: dict[int, tuple[bool, float]] = field(default_factory=dict)
     over: set[int] = field(default_factory=set)
 
-    def broken(self, owed: dict[int, Owed]) -> str:
+    def broken(self, owed: dict[int, PendingMessage]) -> str:
         """What is wrong with what a journal says is owed; empty where nothing is."""
         for number in sorted(self.taken - self.over):
             if number not in owed:
@@ -64,7 +64,7 @@
             number += 1
             body = bytes([number % 251]) * rng.randrange(BODY_BYTES)
             facts.handed[number] = body
-            journal.taken(Owed(number, f"id-{number}", "pay", 7, 2e12, body))
+            journal.taken(PendingMessage(number, f"id-{number}", "pay", 7, 2e12, body))
             journal.settle()
             facts.taken.add(number)
             out[number] = 0
--- a/tests/cli/test_cli.py
+++ b/tests/cli/test_cli.py
@@ -16,7 +16,7 @@
 from springspread.cli.live import columns
 from springspread.cli.main import cli
 from springspread.config import ConfigError
-from springspread.core.journal import Journal, Owed
+from springspread.core.journal import Journal, PendingMessage
 from springspread.logs import make_log
 from tests.test_config import make
 
@@ -57,7 +57,7 @@
     state.mkdir()
     journal = Journal(state, 1 << 20)
     for n in (1, 2, 3):
-        journal.taken(Owed(n, f"id-{n}", "note", 7, 1_000.0 * time.time() + 5_000.0, b"hello"))
+        journal.taken(PendingMessage(n, f"id-{n}", "note", 7, 1_000.0 * time.time() + 5_000.0, b"hello"))
     journal.begun(2, 0)
     journal.over(3)
     journal.close()
--- a/tests/test_clearance.py
+++ b/tests/test_clearance.py
@@ -9,7 +9,7 @@
 import pytest
 
 from springspread.core.clearance import Clearance, Withheld
-from springspread.core.journal import Journal, Owed
+from springspread.core.journal import Journal, PendingMessage
 from springspread.core.types import (
     Attempt,
     Call,
@@ -55,7 +55,7 @@
         """Why the call may not begin so long after the list was read."""
         self.clock.at = READ_AT + after_ms
         number = self.journal.last_number + 1
-        self.journal.taken(Owed(number, f"m{number}", "note", 7, 0.0, b"body"))
+        self.journal.taken(PendingMessage(number, f"m{number}", "note", 7, 0.0, b"body"))
         run = Attempt(number, 0, f"m{number}", b"body", self.clock.at + 1000.0, True)
         refusal = self.clearance.refuses(Call(self.endpoint, (run,), self.clock.at))
         assert refusal is None or refusal.result is Result.NOT_SENT
--- a/tests/test_journal.py
+++ b/tests/test_journal.py
@@ -7,13 +7,13 @@
 
 import pytest
 
-from springspread.core.journal import Journal, JournalFull, Owed
+from springspread.core.journal import Journal, JournalFull, PendingMessage
 
 DISK = 3_000_000
 
 
-def owed(number: int, size: int = 10) -> Owed:
-    return Owed(number, f"id-{number}", "pay", 7, 1e12 + number, b"\x00\xff" * (size // 2))
+def owed(number: int, size: int = 10) -> PendingMessage:
+    return PendingMessage(number, f"id-{number}", "pay", 7, 1e12 + number, b"\x00\xff" * (size // 2))
 
 
 def on_disk(folder: Path) -> int:
--- a/tests/test_salvage.py
+++ b/tests/test_salvage.py
@@ -8,15 +8,15 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from springspread.core.journal import Journal, Owed, _frame
+from springspread.core.journal import Journal, PendingMessage, _frame
 from springspread.core.journal_repair import HEAD, Range, Reader
 
 DISK = 3 << 20
 FIRST = "journal.00000001"
 
 
-def owed(number: int, body: bytes = b"x" * 40) -> Owed:
-    return Owed(number, f"id-{number}", "pay", 7, 2e12, body)
+def owed(number: int, body: bytes = b"x" * 40) -> PendingMessage:
+    return PendingMessage(number, f"id-{number}", "pay", 7, 2e12, body)
 
 
 def filled(folder: Path, count: int) -> bytes:
