--- a/springspread/__main__.py
+++ b/springspread/__main__.py
@@ -16,7 +16,7 @@
 from springspread.core.clearance import Clearance
 from springspread.core.clock import SYSTEM
 from springspread.core.figures import Figures
-from springspread.core.journal_ownership import Lanes, Taken
+from springspread.core.journal_ownership import OwnedJournals, Taken
 from springspread.core.loop import Sender
 from springspread.core.types import ListNews, Log, Scope, Stop
 from springspread.logs import make_log
@@ -100,7 +100,7 @@
         raise ConfigError(f"mgmt: {address[0]}:{address[1]}: {exc.strerror}") from exc
 
 
-def standing(sender: Sender, journal: Lanes) -> Returning | None:
+def standing(sender: Sender, journal: OwnedJournals) -> Returning | None:
     """How far the start has come, for the fleet's daemon; nothing where it waits at no gate."""
     from springspread.fleet.wire import Returning
 
@@ -118,7 +118,7 @@
     limits, settings = config.limits, config.settings
     most, durable = settings.max_attempts, config.durability is Durability.POWER
     try:
-        journal = Lanes(config.state, limits.disk_bytes, most, limits.body_bytes, durable=durable)
+        journal = OwnedJournals(config.state, limits.disk_bytes, most, limits.body_bytes, durable=durable)
     except Taken as exc:
         raise ConfigError(f"state: {exc}") from exc
     grace = max(settings.rules.drain_grace_ms - limits.drain_margin_ms, 0.0)
--- a/springspread/core/clearance.py
+++ b/springspread/core/clearance.py
@@ -9,7 +9,7 @@
 
 from springspread.core.clock import SYSTEM, Clock
 from springspread.core.journal import Journal
-from springspread.core.journal_ownership import Lanes
+from springspread.core.journal_ownership import OwnedJournals
 from springspread.core.list_index import ListIndex
 from springspread.core.types import Call, Endpoint, EndpointState, ListNews, Result, Shares
 from springspread.core.watch import NO_LAPSE
@@ -46,7 +46,11 @@
     """Asked by the threads that write; fed by them and by the loop."""
 
     def __init__(
-        self, journal: Journal | Lanes, grace_ms: float, clock: Clock = SYSTEM, shares: Shares | None = None
+        self,
+        journal: Journal | OwnedJournals,
+        grace_ms: float,
+        clock: Clock = SYSTEM,
+        shares: Shares | None = None,
     ) -> None:
         self._journal, self._grace, self._clock, self._shares = journal, grace_ms, clock, shares
         self._lock = threading.Lock()
@@ -54,7 +58,7 @@
         self._stopped = False
         self._unapplied: list[tuple[ListNews, ListIndex]] = []  # read, and not in force yet
         self._lapse = NO_LAPSE
-        self._board = journal.board if isinstance(journal, Lanes) else None
+        self._board = journal.board if isinstance(journal, OwnedJournals) else None
 
     def bar(self, endpoint: Endpoint, wait_ms: float) -> None:
         """An endpoint told a wait; it binds at once, before the loop has heard of it."""
--- a/springspread/core/journal_ownership.py
+++ b/springspread/core/journal_ownership.py
@@ -96,7 +96,7 @@
         return 0
 
 
-class Lanes:
+class OwnedJournals:
     """A sender's journal, in as many lanes as it has; stands where a ``Journal`` does.
 
     Raises ``Taken`` where the folder has no lane left, or another ``OSError``.
--- a/springspread/core/loop.py
+++ b/springspread/core/loop.py
@@ -16,7 +16,7 @@
 from springspread.core.destinations import KnownDestinations
 from springspread.core.figures import Figure, Figures
 from springspread.core.journal import Journal, JournalFull, PendingMessage
-from springspread.core.journal_ownership import LOOK_MS, Lanes
+from springspread.core.journal_ownership import LOOK_MS, OwnedJournals
 from springspread.core.start import Start
 from springspread.core.types import (
     Attempt,
@@ -61,7 +61,7 @@
     def __init__(
         self,
         config: Config,
-        journal: Journal | Lanes,
+        journal: Journal | OwnedJournals,
         clearance: Clearance,
         log: Log,
         clock: Clock = SYSTEM,
@@ -73,7 +73,7 @@
         self._clock, self._shares, self._policy = clock, shares, policy
         self._set, self._limits = config.settings, config.limits
         self._journal, self._clearance, self._log = journal, clearance, log
-        self._lanes = journal if isinstance(journal, Lanes) else None
+        self._lanes = journal if isinstance(journal, OwnedJournals) else None
         self._figures = figures or Figures(())
         self._module = Dispatcher(config.settings, config.seed)
         self._classes = {spec.name: n for n, spec in enumerate(config.settings.classes)}
--- a/springspread/fleet/fit.py
+++ b/springspread/fleet/fit.py
@@ -9,7 +9,7 @@
 
 from springspread.config import Config, ConfigError, decoded, read
 from springspread.core.journal import Journal
-from springspread.core.journal_ownership import Lanes
+from springspread.core.journal_ownership import OwnedJournals
 from springspread.interface import Settings
 
 KEYS = {
@@ -21,7 +21,7 @@
 
 
 def under_policy(
-    running: Config, journal: Journal | Lanes, text: str, env: Mapping[str, str] = os.environ
+    running: Config, journal: Journal | OwnedJournals, text: str, env: Mapping[str, str] = os.environ
 ) -> Config:
     """The configuration of a running process with a policy's settings in place of its own.
 
@@ -42,7 +42,7 @@
     return replace(running, settings=new.settings)
 
 
-def _check_held(settings: Settings, journal: Journal | Lanes) -> None:
+def _check_held(settings: Settings, journal: Journal | OwnedJournals) -> None:
     """Raise ``ConfigError`` where messages that have no end yet could not be carried any more."""
     held = [message for message in list(journal.owed.values()) if message.ending is None]
     classes = {spec.name for spec in settings.classes}
--- a/tests/test_lanes.py
+++ b/tests/test_lanes.py
@@ -18,7 +18,7 @@
 
 from springspread.core.files import Files
 from springspread.core.journal import Journal, JournalFull
-from springspread.core.journal_ownership import LANES, NUMBERS, Lanes, lane_folder, owed_in
+from springspread.core.journal_ownership import LANES, NUMBERS, OwnedJournals, lane_folder, owed_in
 from springspread.core.shared_backoff import FILE_BYTES, Board
 from tests.peer import WAIT_S, Peer, Program, until
 from tests.test_config import make
@@ -138,7 +138,7 @@
 def test_a_folder_with_no_lane_left_is_refused_by_name(tmp_path: Path, peer: Peer) -> None:
     program = Program(tmp_path, peer)
     for _ in range(LANES - 1):
-        Lanes(program.state, 3_000_000, 8, 65536)
+        OwnedJournals(program.state, 3_000_000, 8, 65536)
     env = {**os.environ, "RELAY_CONFIG": str(program.file)}
     done = subprocess.run([sys.executable, "-m", "springspread"], env=env, capture_output=True, text=True)
     assert done.returncode == 2 and f"state: {program.state}: {LANES} processes" in done.stderr
@@ -147,9 +147,9 @@
 
 def test_lanes_keep_the_disks_limit_together_and_give_room_back(tmp_path: Path) -> None:
     disk = 1_000_000
-    first = Lanes(tmp_path, disk, 8, 4096)
+    first = OwnedJournals(tmp_path, disk, 8, 4096)
     fill(first, 1)
-    second = Lanes(tmp_path, disk, 8, 4096)
+    second = OwnedJournals(tmp_path, disk, 8, 4096)
     first.look(time.monotonic() * 1e6)
     fill(second, 1)
     fill(first, 500)  # it sees the other one, and takes no more than its half
@@ -164,7 +164,7 @@
     assert sum(path.stat().st_size for path in tmp_path.rglob("journal.*")) > 0.5 * disk
 
 
-def fill(lanes: Lanes, number: int) -> None:
+def fill(lanes: OwnedJournals, number: int) -> None:
     while True:
         try:
             one = owed(lanes.last_number + 1)
@@ -175,7 +175,7 @@
 
 
 def test_lanes_number_apart_and_read_each_other_through_files_that_are_cleared_away(tmp_path: Path) -> None:
-    old, new = (Lanes(tmp_path, 400_000, 8, 4096) for _ in range(2))
+    old, new = (OwnedJournals(tmp_path, 400_000, 8, 4096) for _ in range(2))
     assert (old.last_number, new.last_number) == (0, NUMBERS)
     for number in range(1, 3000):
         one = owed(number)
@@ -223,7 +223,7 @@
 def test_a_lane_that_cant_be_opened_or_removed_now_is_taken_over_later(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    old, new = (Lanes(tmp_path, 400_000, 8, 4096) for _ in range(2))
+    old, new = (OwnedJournals(tmp_path, 400_000, 8, 4096) for _ in range(2))
     old.taken(owed(1))
     os.close(old._locks.pop(0))  # as its process dies
 
