--- a/springspread/__main__.py
+++ b/springspread/__main__.py
@@ -16,7 +16,7 @@
 from springspread.core.clearance import Clearance
 from springspread.core.clock import SYSTEM
 from springspread.core.figures import Figures
-from springspread.core.journal_ownership import OwnedJournals, Taken
+from springspread.core.journal_ownership import OwnedJournals, TooManyProcesses
 from springspread.core.loop import Sender
 from springspread.core.types import ListNews, Log, Scope, Stop
 from springspread.logs import make_log
@@ -119,7 +119,7 @@
     most, durable = settings.max_attempts, config.durability is Durability.POWER
     try:
         journal = OwnedJournals(config.state, limits.disk_bytes, most, limits.body_bytes, durable=durable)
-    except Taken as exc:
+    except TooManyProcesses as exc:
         raise ConfigError(f"state: {exc}") from exc
     grace = max(settings.rules.drain_grace_ms - limits.drain_margin_ms, 0.0)
     shares = fleet_shares(log)
--- a/springspread/core/journal_ownership.py
+++ b/springspread/core/journal_ownership.py
@@ -36,7 +36,7 @@
 TRIES = 5
 
 
-class Taken(OSError):
+class TooManyProcesses(OSError):
     """So many processes use the folder that there is no lane left."""
 
 
@@ -99,7 +99,7 @@
 class OwnedJournals:
     """A sender's journal, in as many lanes as it has; stands where a ``Journal`` does.
 
-    Raises ``Taken`` where the folder has no lane left, or another ``OSError``.
+    Raises ``TooManyProcesses`` where the folder has no lane left, or another ``OSError``.
     """
 
     def __init__(
@@ -111,7 +111,7 @@
         self._beside: dict[int, Beside] = {}
         self._own = next((lane for lane in range(LANES) if self._lock(lane)), -1)
         if self._own < 0:
-            raise Taken(f"{folder}: {LANES} processes use it already")
+            raise TooManyProcesses(f"{folder}: {LANES} processes use it already")
         self._books = {self._own: self._opened(self._own)}
         self._changed = -1
         self._look_at = 0.0
