--- a/springspread/core/journal_ownership.py
+++ b/springspread/core/journal_ownership.py
@@ -28,7 +28,7 @@
 from springspread.core.commit import Commit
 from springspread.core.journal import PREFIX, Journal, PendingMessage
 from springspread.core.journal_repair import Range, Reader
-from springspread.core.shared_backoff import Board
+from springspread.core.shared_backoff import SharedBackoff
 
 LANES = 4  # processes on one folder at a time
 NUMBERS = 1 << 30  # messages that a lane may number
@@ -116,7 +116,7 @@
         self._changed = -1
         self._look_at = 0.0
         self._look()
-        self.board = Board(lane_folder(folder, self._own), self._beside_folders)
+        self.board = SharedBackoff(lane_folder(folder, self._own), self._beside_folders)
         self.written_wall = max(book.written_wall for book in self._books.values())
 
     def _beside_folders(self) -> list[Path]:
--- a/springspread/core/shared_backoff.py
+++ b/springspread/core/shared_backoff.py
@@ -18,7 +18,7 @@
 FILE_BYTES = 1 << 14
 
 
-class Board:
+class SharedBackoff:
     """Safe from any thread. ``others``: the folders of the lanes whose processes live beside this one."""
 
     def __init__(self, place: Path, others: Callable[[], Iterable[Path]]) -> None:
--- a/tests/test_lanes.py
+++ b/tests/test_lanes.py
@@ -19,7 +19,7 @@
 from springspread.core.files import Files
 from springspread.core.journal import Journal, JournalFull
 from springspread.core.journal_ownership import LANES, NUMBERS, OwnedJournals, lane_folder, owed_in
-from springspread.core.shared_backoff import FILE_BYTES, Board
+from springspread.core.shared_backoff import FILE_BYTES, SharedBackoff
 from tests.peer import WAIT_S, Peer, Program, until
 from tests.test_config import make
 from tests.test_salvage import owed
@@ -210,7 +210,7 @@
     one, other = tmp_path / "one", tmp_path / "other"
     one.mkdir()
     other.mkdir()
-    writer, reader = Board(one, lambda: []), Board(other, lambda: [one])
+    writer, reader = SharedBackoff(one, lambda: []), SharedBackoff(other, lambda: [one])
     for now in range(1_500):
         writer.tell(f"{now % 50}/s-{now}", now + 20.0, float(now))
         assert reader.until(f"{now % 50}/s-{now}", float(now)) == now + 20.0
