--- a/springspread/core/clearance.py
+++ b/springspread/core/clearance.py
@@ -58,7 +58,7 @@
         self._stopped = False
         self._unapplied: list[tuple[ListNews, ListIndex]] = []  # read, and not in force yet
         self._lapse = NO_LAPSE
-        self._board = journal.board if isinstance(journal, OwnedJournals) else None
+        self._board = journal.shared_backoff if isinstance(journal, OwnedJournals) else None
 
     def bar(self, endpoint: Endpoint, wait_ms: float) -> None:
         """An endpoint told a wait; it binds at once, before the loop has heard of it."""
--- a/springspread/core/journal_ownership.py
+++ b/springspread/core/journal_ownership.py
@@ -116,7 +116,7 @@
         self._changed = -1
         self._look_at = 0.0
         self._look()
-        self.board = SharedBackoff(lane_folder(folder, self._own), self._beside_folders)
+        self.shared_backoff = SharedBackoff(lane_folder(folder, self._own), self._beside_folders)
         self.written_wall = max(book.written_wall for book in self._books.values())
 
     def _beside_folders(self) -> list[Path]:
