--- a/springspread/__main__.py
+++ b/springspread/__main__.py
@@ -185,7 +185,7 @@
     clearance.stop()
     listener.emptied(ends_at - SYSTEM.now())  # guards answers that are written and not yet read
     told = {"syncs": journal.commit.syncs} if journal.commit else {}
-    log.info("stopped", owed=len(journal.owed), **told)
+    log.info("stopped", owed=len(journal.pending), **told)
     flush()
     return 0
 
--- a/springspread/cli/journal.py
+++ b/springspread/cli/journal.py
@@ -54,14 +54,14 @@
 def show(folder: Path, as_json: bool) -> None:
     """List the messages that FOLDER's sender owes."""
     seen = _look(folder)
-    for owed in seen.owed.values():
+    for owed in seen.pending.values():
         told = _owed(owed)
         if as_json:
             click.echo(json.dumps(told))
         else:
             click.echo("  ".join(f"{key} {value}" for key, value in told.items() if value is not None))
     if not as_json:
-        click.echo(f"{len(seen.owed)} messages owed, {len(seen.files)} files")
+        click.echo(f"{len(seen.pending)} messages owed, {len(seen.files)} files")
 
 
 @journal.command()
@@ -85,7 +85,7 @@
         files.append(entry)
     damaged = [entry for entry in files if entry["damaged"] or (entry["rest"] and not entry["newest"])]
     if as_json:
-        click.echo(json.dumps({"files": files, "owed": len(seen.owed), "damaged": len(damaged)}))
+        click.echo(json.dumps({"files": files, "owed": len(seen.pending), "damaged": len(damaged)}))
     else:
         for entry in files:
             tail = f", {entry['rest']} bytes that cannot be read" if entry["rest"] else ""
@@ -95,5 +95,5 @@
                 click.echo(f"  bytes {one.start} to {one.end} are damaged{ids}")
             for id in seen.doubted.get(str(entry["file"]), []):
                 click.echo(f"  may have run, as a record of it may be lost: {id}")
-        click.echo(f"{len(damaged)} damaged files, {len(seen.owed)} messages owed")
+        click.echo(f"{len(damaged)} damaged files, {len(seen.pending)} messages owed")
     sys.exit(bool(damaged))
--- a/springspread/core/journal.py
+++ b/springspread/core/journal.py
@@ -117,7 +117,7 @@
         self._budget, self._room = self._whole, 0
         self._most_live = min(LIVE_PART * disk_bytes, self._whole - longest)
         self._lock = threading.Lock()
-        self.owed: dict[int, PendingMessage] = {}
+        self.pending: dict[int, PendingMessage] = {}
         self.last_number = first_number
         self.cut_bytes = self.failures = 0
         self.damaged: dict[str, list[Range]] = {}  # by file
@@ -141,7 +141,7 @@
     def reading(cls) -> Journal:
         """One that knows of no files, and is told records by ``note``."""
         book = cls.__new__(cls)
-        book.owed, book.last_number, book._live, book._per_message = {}, 0, 0, 0
+        book.pending, book.last_number, book._live, book._per_message = {}, 0, 0, 0
         return book
 
     def note(self, payload: bytes) -> None:
@@ -248,7 +248,7 @@
 
     def _doubt(self) -> list[str]:
         """A record may be lost here: a *begun* of anything that is owed by now, perhaps. Their ids."""
-        doubted = [owed for owed in self.owed.values() if not owed.may_have_run]
+        doubted = [owed for owed in self.pending.values() if not owed.may_have_run]
         for owed in doubted:
             owed.begun.add(owed.attempts)
         return [owed.id for owed in doubted]
@@ -290,10 +290,10 @@
             body = payload[at + cls + name : end]
             under = POLICY.unpack_from(payload, end)[0] if len(payload) >= end + POLICY.size else 0
             again, orphan = bool(flags & 1), bool(flags & 2)
-            if number in self.owed:
+            if number in self.pending:
                 # Written anew as its file was cleared away. Guards rule 2: what is known of its attempts
                 # stays, as a kill may have cut off the records that follow.
-                self.owed[number].file = file
+                self.pending[number].file = file
                 return
             owed = PendingMessage(
                 number, id_, text, group, deadline, body, again, orphan, file=file, policy=under
@@ -302,25 +302,25 @@
         elif kind in (b"B", b"N"):
             _, number, attempt = BEGUN.unpack(payload)
             self.last_number = max(self.last_number, number)
-            if number in self.owed:
-                owed = self.owed[number]
+            if number in self.pending:
+                owed = self.pending[number]
                 (owed.begun if kind == b"B" else owed.not_run).add(attempt)
         elif kind == b"E":
             _, number, deferred, again_ms = ENDING.unpack(payload)
-            if number in self.owed:
-                self.owed[number].ending = (bool(deferred), again_ms)
+            if number in self.pending:
+                self.pending[number].ending = (bool(deferred), again_ms)
         elif kind == b"O":
             _, number = OVER.unpack(payload)
             self.last_number = max(self.last_number, number)
             self._drop(number)
 
     def _add(self, owed: PendingMessage) -> None:
-        self.owed[owed.number] = owed
+        self.pending[owed.number] = owed
         self.last_number = max(self.last_number, owed.number)
         self._live += self._cost(owed)
 
     def _drop(self, number: int) -> None:
-        owed = self.owed.pop(number, None)
+        owed = self.pending.pop(number, None)
         if owed is not None:
             self._live -= self._cost(owed)
 
@@ -342,16 +342,16 @@
     def begun(self, number: int, attempt: int) -> bool:
         """An attempt is about to write its first byte; false where its message is owed no more."""
         with self._lock:
-            if number in self.owed:
+            if number in self.pending:
                 self._append(_frame(BEGUN.pack(b"B", number, attempt)))
-                self.owed[number].begun.add(attempt)
+                self.pending[number].begun.add(attempt)
                 return True
         return False
 
     def withdraw(self, number: int) -> bool:
         """Owe a message no more, unless a call with it has begun; whether it is so."""
         with self._lock:
-            if number not in self.owed or self.owed[number].begun:
+            if number not in self.pending or self.pending[number].begun:
                 return False
             self._drop(number)
             self._note(_frame(OVER.pack(b"O", number)))
@@ -360,21 +360,21 @@
     def not_run(self, number: int, attempt: int) -> None:
         """An attempt is proved not to have run; nothing is written for one that never began."""
         with self._lock:
-            if number in self.owed and attempt in self.owed[number].begun:
-                self.owed[number].not_run.add(attempt)
+            if number in self.pending and attempt in self.pending[number].begun:
+                self.pending[number].not_run.add(attempt)
                 self._note(_frame(BEGUN.pack(b"N", number, attempt)))
 
     def ending(self, number: int, deferred: bool, again_ms: float) -> None:
         """The final answer is decided and still has to be told."""
         with self._lock:
-            if number in self.owed:
-                self.owed[number].ending = (deferred, again_ms)
+            if number in self.pending:
+                self.pending[number].ending = (deferred, again_ms)
                 self._note(_frame(ENDING.pack(b"E", number, deferred, again_ms)))
 
     def over(self, number: int) -> None:
         """Nothing more is owed for a message."""
         with self._lock:
-            if number in self.owed:
+            if number in self.pending:
                 self._drop(number)
                 self._note(_frame(OVER.pack(b"O", number)))
 
@@ -409,7 +409,7 @@
         oldest = min(self._sizes)
         if oldest == self._last:
             self._open(self._last + 1)
-        for owed in [owed for owed in self.owed.values() if owed.file == oldest]:
+        for owed in [owed for owed in self.pending.values() if owed.file == oldest]:
             self._write(owed.records())
             owed.file = self._last
         self._sync_file()  # the copies are on disk before what they are of is gone
--- a/springspread/core/journal_ownership.py
+++ b/springspread/core/journal_ownership.py
@@ -50,7 +50,7 @@
     found: dict[int, PendingMessage] = {}
     for lane in range(LANES):
         if (place := lane_folder(folder, lane)).is_dir():
-            found |= Journal(place, 1 << 40, read_only=True).owed
+            found |= Journal(place, 1 << 40, read_only=True).pending
     return found
 
 
@@ -70,7 +70,7 @@
                 break
             except FileNotFoundError:
                 continue  # it clears a file away meanwhile: what is owed in it stands in a later one
-        return next((owed for owed in self._book.owed.values() if owed.id == id), None)
+        return next((owed for owed in self._book.pending.values() if owed.id == id), None)
 
     def _follow(self) -> None:
         names = sorted(entry.name for entry in self._place.iterdir() if entry.name.startswith(PREFIX))
@@ -174,8 +174,8 @@
                 self._beside.setdefault(lane, Beside(lane_folder(self._folder, lane)))
                 continue
             self._beside.pop(lane, None)
-            found += self._books[lane].owed.values()
-        for lane in [lane for lane, book in self._books.items() if lane != self._own and not book.owed]:
+            found += self._books[lane].pending.values()
+        for lane in [lane for lane, book in self._books.items() if lane != self._own and not book.pending]:
             with suppress(OSError):  # what could not be removed is looked at again
                 self._books[lane].remove()
                 del self._books[lane]
@@ -200,10 +200,10 @@
         return self._books.get(number // NUMBERS, self._books[self._own])
 
     @property
-    def owed(self) -> Mapping[int, PendingMessage]:
+    def pending(self) -> Mapping[int, PendingMessage]:
         """All that this process owes, by number."""
         books = list(self._books.values())
-        return books[0].owed if len(books) == 1 else ChainMap(*(book.owed for book in books))
+        return books[0].pending if len(books) == 1 else ChainMap(*(book.pending for book in books))
 
     @property
     def commit(self) -> Commit | None:
--- a/springspread/core/loop.py
+++ b/springspread/core/loop.py
@@ -112,14 +112,14 @@
         """Take up what the last process owed; only then may a client be told that this one is ready."""
         now = self._clock.now()
         events: list[i.Event] = [self._listed(known)]
-        waiting = self._taken_up(self._journal.owed.values())
+        waiting = self._taken_up(self._journal.pending.values())
         self.start.begin(now, waiting)
         for name, ranges in self._journal.damaged.items():
             places = [f"{one.start}-{one.end}" for one in ranges[:20]]
             ids = [id for one in ranges for id in one.ids][:20]
             self._log.error("journal damaged; set aside", file=name, ranges=places, ids=ids)
-        if self._journal.owed or self._journal.cut_bytes:
-            self._log.info("restored", owed=len(self._journal.owed), cut_bytes=self._journal.cut_bytes)
+        if self._journal.pending or self._journal.cut_bytes:
+            self._log.info("restored", owed=len(self._journal.pending), cut_bytes=self._journal.cut_bytes)
         if not self._set.must_ask:
             # Guards drains: what the agent that lists are pushed to has counts as told, asked for or not.
             self._directory.watch(True)
@@ -320,7 +320,7 @@
             # It is owed already, and sent once more as the answer got lost: both speak for it. Guards it
             # against a client that uses another's id: only what is the same speaks for it.
             number = self._numbers[message.id]
-            owed = self._journal.owed[number]
+            owed = self._journal.pending[number]
             if (owed.cls, owed.group, owed.body) != (message.cls, message.group, message.body):
                 message.answer(Verdict.CONFLICT)
                 return []
@@ -486,7 +486,7 @@
             )
 
     def _forget(self, number: int, *, delivered: bool) -> None:
-        owed = self._journal.owed.get(number)
+        owed = self._journal.pending.get(number)
         if owed is None:
             return
         self._log.debug("over", number=number, delivered=delivered)
@@ -502,7 +502,7 @@
 
     def _end(self, number: int, *, deferred: bool, again_ms: float = 0.0) -> None:
         """Tell the final answer at once; it is on record as over when the platform has taken it."""
-        owed = self._journal.owed.get(number)
+        owed = self._journal.pending.get(number)
         self._held.pop(number, None)
         if owed is not None and owed.ending is None:
             self.start.ended(number)
--- a/springspread/faults/crashes.py
+++ b/springspread/faults/crashes.py
@@ -126,7 +126,7 @@
 
 def _recover(left: Disk, facts: Facts, make: Make, found: Searched, place: str, again: int) -> None:
     found.states += 1
-    found.broken = facts.broken(make(MemoryFiles(deepcopy(left))).owed)
+    found.broken = facts.broken(make(MemoryFiles(deepcopy(left))).pending)
     if found.broken:
         found.broken = f"{place}: {found.broken}"
         return
@@ -209,7 +209,7 @@
                 self._files.unlink(min(self.files))
                 del self._sizes[min(self._sizes)]
                 self._open(self._last + 1)
-                for owed in [owed for owed in self.owed.values() if owed.file not in self._sizes]:
+                for owed in [owed for owed in self.pending.values() if owed.file not in self._sizes]:
                     self._write(owed.records())
                     owed.file = self._last
                 return
@@ -218,7 +218,7 @@
         def _restore(self, number: int, newest: bool) -> None:
             super()._restore(number, newest)
             if self.what == "proof is taken for granted":
-                for owed in self.owed.values():
+                for owed in self.pending.values():
                     owed.not_run |= owed.begun
 
     def skipping(what: str) -> Make:
--- a/springspread/fleet/fit.py
+++ b/springspread/fleet/fit.py
@@ -44,7 +44,7 @@
 
 def _check_held(settings: Settings, journal: Journal | OwnedJournals) -> None:
     """Raise ``ConfigError`` where messages that have no end yet could not be carried any more."""
-    held = [message for message in list(journal.owed.values()) if message.ending is None]
+    held = [message for message in list(journal.pending.values()) if message.ending is None]
     classes = {spec.name for spec in settings.classes}
     if missing := sorted({message.cls for message in held} - classes):
         raise ConfigError(f"settings.classes: {', '.join(missing)}: messages of it are held here")
--- a/tests/test_core.py
+++ b/tests/test_core.py
@@ -94,9 +94,9 @@
     message = rig.hand_in("a")
     assert message.verdict is t.Verdict.TAKEN
     (call,) = rig.drivers.calls
-    assert [owed.id for owed in rig.journal.owed.values()] == ["a"]
+    assert [owed.id for owed in rig.journal.pending.values()] == ["a"]
     rig.end(call, t.Result.DELIVERED)
-    assert not rig.journal.owed and not rig.drivers.told
+    assert not rig.journal.pending and not rig.drivers.told
     assert rig.hand_in("a").verdict is t.Verdict.DELIVERED  # come once more: answered, not sent again
     assert len(rig.drivers.calls) == 1
 
@@ -172,9 +172,9 @@
     rig = Rig(tmp_path)
     rig.restore()
     assert rig.drivers.told == [t.Notice(4, "a", True, 300.0)] and not rig.drivers.calls
-    assert 4 in rig.journal.owed
+    assert 4 in rig.journal.pending
     rig.sender.step([t.NoticeHeard((4,))])
-    assert not rig.journal.owed
+    assert not rig.journal.pending
 
 
 def test_a_message_whose_time_ran_out_while_down_is_ended_at_once(tmp_path: Path) -> None:
@@ -200,7 +200,7 @@
     rig.restore()
     message = rig.hand_in("a")
     rig.sender.step([t.Gone(message)])
-    assert rig.drivers.cancelled == rig.drivers.calls and not rig.journal.owed
+    assert rig.drivers.cancelled == rig.drivers.calls and not rig.journal.pending
     rig.end(rig.drivers.calls[0], t.Result.CANCELLED)
     assert not rig.drivers.told
 
@@ -212,9 +212,9 @@
     messages = rig.hand_in("a"), rig.hand_in("a")
     assert messages[1].verdict is t.Verdict.TAKEN and len(rig.drivers.calls) == 1
     rig.sender.step([t.Gone(messages[order[0]]), t.Gone(messages[order[0]])])
-    assert len(rig.journal.owed) == 1
+    assert len(rig.journal.pending) == 1
     rig.sender.step([t.Gone(messages[order[1]])])
-    assert not rig.journal.owed
+    assert not rig.journal.pending
 
 
 def test_the_id_of_an_open_message_is_not_taken_on_for_another(tmp_path: Path) -> None:
@@ -225,7 +225,7 @@
     rig.sender.step([other])
     assert other.verdict is t.Verdict.CONFLICT
     rig.sender.step([t.Gone(other)])
-    assert [owed.body for owed in rig.journal.owed.values()] == [b"body"] and len(rig.drivers.calls) == 1
+    assert [owed.body for owed in rig.journal.pending.values()] == [b"body"] and len(rig.drivers.calls) == 1
 
 
 def test_a_destination_that_does_not_exist_is_turned_away(tmp_path: Path) -> None:
@@ -264,7 +264,7 @@
         endpoints = sender._endpoints
         known = (endpoints.by_number, endpoints._numbers)
         tables = (*known, sender._held, sender._numbers, sender._calls, module.held)
-        more = (module.routes, module.dests, module.flights, module.lines, module.dues, rig.journal.owed)
+        more = (module.routes, module.dests, module.flights, module.lines, module.dues, rig.journal.pending)
         return [len(table) for table in (*tables, *more, rig.clearance._bars, module.dests[7].routes)]
 
     def round(n: int) -> None:
@@ -324,7 +324,7 @@
         assert rig.clearance.refuses(call) is None
     assert not second.withdraw()  # too late: it has been told that it is taken on
     rig.sender.step([t.Gone(first), t.Gone(second)])
-    assert [owed.id for owed in rig.journal.owed.values()] == ["a", "b"]
+    assert [owed.id for owed in rig.journal.pending.values()] == ["a", "b"]
 
 
 @pytest.mark.parametrize("durability", ["process", "power"])
@@ -334,12 +334,12 @@
     message = t.Message("a", "note", 7, t.clock() + 8000.0, b"body")
     assert message.withdraw()  # its client has been refused, and may hand it in elsewhere
     rig.sender.step([message])
-    assert not rig.drivers.calls and not rig.journal.owed and message.verdict is None
+    assert not rig.drivers.calls and not rig.journal.pending and message.verdict is None
     assert rig.hand_in("a").verdict is t.Verdict.TAKEN
     again = t.Message("a", "note", 7, t.clock() + 8000.0, b"body")
     assert again.withdraw()
     rig.sender.step([again])  # one that is owed already stays so
-    assert [owed.id for owed in rig.journal.owed.values()] == ["a"]
+    assert [owed.id for owed in rig.journal.pending.values()] == ["a"]
 
 
 @pytest.mark.parametrize("first", ["the client leaves", "the call begins"])
@@ -355,7 +355,7 @@
     else:
         assert rig.clearance.refuses(call) is None
         rig.sender.step([t.Gone(message)])
-        assert [owed.id for owed in rig.journal.owed.values()] == ["a"]
+        assert [owed.id for owed in rig.journal.pending.values()] == ["a"]
 
 
 def test_a_told_wait_stops_a_call_that_was_queued_before_it(tmp_path: Path) -> None:
@@ -366,7 +366,7 @@
     rig.clearance.bar(call.endpoint, 5000.0)
     refused = rig.clearance.refuses(call)
     assert refused is not None and refused[0] is t.Result.REJECTED and 4000 < refused[1] <= 5000
-    assert not rig.journal.owed[1].begun
+    assert not rig.journal.pending[1].begun
 
 
 def test_a_drain_stops_a_call_that_is_still_connecting(tmp_path: Path) -> None:
@@ -405,7 +405,7 @@
     assert refused is not None
     assert refused.reason is (Withheld.LEAVING if comes == "a drain" else Withheld.RETRY_AFTER)
     rig.sender.step([t.AttemptEnd(call, call.attempts[0], refused.result, t.clock())])
-    assert not rig.journal.owed[1].may_have_run
+    assert not rig.journal.pending[1].may_have_run
 
 
 def test_a_link_that_a_whole_list_lacks_is_gone(tmp_path: Path) -> None:
@@ -440,7 +440,7 @@
     rig.sender._stop_at -= 2000.0
     assert rig.hand_in("late", "pay").verdict is t.Verdict.TAKEN
     assert len(rig.drivers.calls) == 2
-    assert not next(owed for owed in rig.journal.owed.values() if owed.id == "late").begun
+    assert not next(owed for owed in rig.journal.pending.values() if owed.id == "late").begun
 
 
 def test_a_new_policy_keeps_what_is_held_and_what_was_learnt(tmp_path: Path) -> None:
@@ -467,7 +467,7 @@
     assert route.health is learnt and route.window == window and len(route.classes) == 3
     assert message("b", "pay").verdict is t.Verdict.UNKNOWN_CLASS  # of the old policy alone
     assert message("c", "new").verdict is t.Verdict.TAKEN
-    owed = {one.id: (one.cls, one.policy) for one in journal.owed.values()}
+    owed = {one.id: (one.cls, one.policy) for one in journal.pending.values()}
     assert owed == {"a": ("pay", 1), "c": ("new", 2)}
     assert sender._module.held[1].spec.name == "pay"  # still owed, as it was taken on
 
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -84,7 +84,7 @@
         for _ in range(count):
             number = self.journal.last_number + 1
             self.journal.taken(PendingMessage(number, f"m{number}", "note", 7, 0.0, b"body"))
-        numbers = list(self.journal.owed)[-count:]
+        numbers = list(self.journal.pending)[-count:]
         runs = [Attempt(n, 0, f"m{n}", b"body", now + wait_ms, safe) for n in numbers]
         call = Call(self.target, runs, now)
         self.workers.start(call)
--- a/tests/test_journal.py
+++ b/tests/test_journal.py
@@ -32,10 +32,10 @@
     first.over(3)
     first.close()
     again = Journal(tmp_path, DISK)
-    assert sorted(again.owed) == [1, 2]
-    assert again.owed[1].body == owed(1).body and again.owed[1].deadline_wall == 1e12 + 1
-    assert not again.owed[1].may_have_run and again.owed[1].attempts == 1
-    assert again.owed[2].may_have_run and again.owed[2].ending == (True, 250.0)
+    assert sorted(again.pending) == [1, 2]
+    assert again.pending[1].body == owed(1).body and again.pending[1].deadline_wall == 1e12 + 1
+    assert not again.pending[1].may_have_run and again.pending[1].attempts == 1
+    assert again.pending[2].may_have_run and again.pending[2].ending == (True, 250.0)
     assert again.last_number == 3
 
 
@@ -47,8 +47,8 @@
     first.taken(under)
     first.close()
     again = Journal(tmp_path, DISK)
-    assert {number: one.policy for number, one in again.owed.items()} == {1: 0, 2: 5}
-    assert again.owed[2].body == under.body
+    assert {number: one.policy for number, one in again.pending.items()} == {1: 0, 2: 5}
+    assert again.pending[2].body == under.body
 
 
 @pytest.mark.parametrize("cut", [1, 5, 20])
@@ -60,10 +60,10 @@
     path = tmp_path / "journal.00000001"
     path.write_bytes(path.read_bytes()[:-cut])
     second = Journal(tmp_path, DISK)
-    assert list(second.owed) == [1] and second.cut_bytes > 0
+    assert list(second.pending) == [1] and second.cut_bytes > 0
     second.taken(owed(5))
     second.close()
-    assert list(Journal(tmp_path, DISK).owed) == [1, 5]
+    assert list(Journal(tmp_path, DISK).pending) == [1, 5]
 
 
 def test_a_flipped_bit_is_no_crash(tmp_path: Path) -> None:
@@ -74,7 +74,7 @@
     data = bytearray(path.read_bytes())
     data[20] ^= 1
     path.write_bytes(data)
-    assert not Journal(tmp_path, DISK).owed
+    assert not Journal(tmp_path, DISK).pending
 
 
 @pytest.mark.parametrize("disk", [500_000, DISK])
@@ -100,7 +100,7 @@
             refused += 1
             for old in live[1 :: 2 + number % 3]:
                 journal.over(old)
-            live = sorted(journal.owed)
+            live = sorted(journal.pending)
         for attempt in range(8):
             journal.begun(number, attempt)
             journal.not_run(number, attempt)
@@ -108,8 +108,8 @@
     assert refused and max(seen) <= disk
     journal.close()
     again = Journal(tmp_path, disk)
-    assert sorted(again.owed) == live
-    assert all(item.body == owed(1, 65536).body and len(item.begun) == 8 for item in again.owed.values())
+    assert sorted(again.pending) == live
+    assert all(item.body == owed(1, 65536).body and len(item.begun) == 8 for item in again.pending.values())
 
 
 def test_most_of_the_disk_serves_live_messages(tmp_path: Path) -> None:
@@ -117,7 +117,7 @@
     with pytest.raises(JournalFull):
         for number in range(1, 100):
             journal.taken(owed(number, 65536))
-    assert len(journal.owed) >= 34
+    assert len(journal.pending) >= 34
 
 
 def test_a_message_that_is_over_never_comes_back(tmp_path: Path) -> None:
@@ -129,7 +129,7 @@
         if number % 50 == 0:
             journal.close()
             journal = Journal(tmp_path, 500_000)
-            assert list(journal.owed) == [1]
+            assert list(journal.pending) == [1]
     assert len(list(tmp_path.iterdir())) < 30
 
 
@@ -150,7 +150,7 @@
     assert journal.failures == 1
     journal.taken(owed(3))
     journal.close()
-    assert sorted(Journal(tmp_path, DISK).owed) == [1, 3]  # its end was lost, nothing else
+    assert sorted(Journal(tmp_path, DISK).pending) == [1, 3]  # its end was lost, nothing else
 
 
 def test_a_kill_amid_clearing_away_leaves_each_message_once(
@@ -170,9 +170,9 @@
             journal.over(number)
     monkeypatch.undo()
     again = Journal(tmp_path, 500_000)
-    assert sorted(again.owed)[0] == 1 and len(again.owed) <= 2
-    assert again.owed[1].begun == {0}  # whatever was cut off behind the copy of its *taken*
-    assert again.owed[1].body == owed(1, 20_000).body
+    assert sorted(again.pending)[0] == 1 and len(again.pending) <= 2
+    assert again.pending[1].begun == {0}  # whatever was cut off behind the copy of its *taken*
+    assert again.pending[1].body == owed(1, 20_000).body
 
 
 def test_a_copy_that_a_kill_cut_short_keeps_what_is_known(tmp_path: Path) -> None:
@@ -184,7 +184,7 @@
     bare = owed(1).records()  # the first record of a copy; those of its attempts were not written
     (tmp_path / "journal.00000002").write_bytes(bare + b"torn")
     again = Journal(tmp_path, DISK)
-    assert again.owed[1].may_have_run and again.cut_bytes == 4
+    assert again.pending[1].may_have_run and again.cut_bytes == 4
 
 
 def test_numbers_are_not_used_again_while_a_record_names_them(tmp_path: Path) -> None:
--- a/tests/test_lanes.py
+++ b/tests/test_lanes.py
@@ -155,7 +155,7 @@
     fill(first, 500)  # it sees the other one, and takes no more than its half
     assert 0.4 * disk < sum(path.stat().st_size for path in tmp_path.rglob("journal.*")) <= disk
     for lanes in (first, second):
-        for number in list(lanes.owed):
+        for number in list(lanes.pending):
             lanes.over(number)
     os.close(second._locks.pop(1))  # as its process dies
     assert first.look(2e18) == [] and first.look(3e18) == [] and not first.beside
@@ -187,8 +187,8 @@
             assert new.elsewhere(one.id) is None
         elif number > 70:
             old.over(number - 70)
-    assert {one.id for one in old.owed.values()} == {
-        one.id for one in Journal(tmp_path, 1 << 40, read_only=True).owed.values()
+    assert {one.id for one in old.pending.values()} == {
+        one.id for one in Journal(tmp_path, 1 << 40, read_only=True).pending.values()
     }
 
 
@@ -231,7 +231,7 @@
         raise OSError(28, "No space left on device")
 
     monkeypatch.setattr(Journal, "_open", full)
-    assert new.look(1e12) == [] and not new.owed
+    assert new.look(1e12) == [] and not new.pending
     monkeypatch.undo()
     assert [one.id for one in new.look(2e12)] == [owed(1).id]
     new.over(1)
--- a/tests/test_lifetimes.py
+++ b/tests/test_lifetimes.py
@@ -124,7 +124,7 @@
     def client_leaves(self, which: int) -> None:
         life = list(self.lives.values())[which % len(self.lives)]
         number = life.message.number
-        owed = self.journal.owed.get(number)
+        owed = self.journal.pending.get(number)
         free = owed is not None and not owed.begun and owed.ending is None and number in self.sender._held
         life.left = life.left or free
         self.step(t.Gone(life.message))
@@ -195,8 +195,8 @@
 
     @invariant()
     def what_is_held_is_on_record(self) -> None:
-        assert set(self.sender._held) <= set(self.journal.owed)
-        assert set(self.sender._numbers.values()) == set(self.journal.owed)
+        assert set(self.sender._held) <= set(self.journal.pending)
+        assert set(self.sender._numbers.values()) == set(self.journal.pending)
 
     def teardown(self) -> None:
         self.clock.at += 40_000.0
@@ -210,7 +210,7 @@
             self.step(t.NoticeHeard((notice.number,)))
         for life in self.lives.values():
             assert life.left or life.delivered or life.told, "no end"
-        assert not self.journal.owed and not self.sender._held and not self.sender._calls
+        assert not self.journal.pending and not self.sender._held and not self.sender._calls
         assert not self.sender._numbers and not self.sender._module.held
         self.journal.close()
         shutil.rmtree(self.folder)
--- a/tests/test_power.py
+++ b/tests/test_power.py
@@ -94,7 +94,7 @@
     monkeypatch.undo()
     with pytest.raises(OSError):
         journal.taken(owed(3))
-    assert sorted(Journal(tmp_path, 3 << 20, read_only=True).owed) == [1, 2]
+    assert sorted(Journal(tmp_path, 3 << 20, read_only=True).pending) == [1, 2]
 
 
 def test_other_words_are_refused(tmp_path: Path) -> None:
@@ -163,7 +163,7 @@
             if n == 20:
                 book.settle()
         lost = Journal(place, 1 << 20, read_only=True)  # what a power loss leaves
-        assert set(range(1, 21)) <= set(lost.owed) <= set(range(1, 60))
+        assert set(range(1, 21)) <= set(lost.pending) <= set(range(1, 60))
         book.settle()
         kept = Journal(place, 1 << 20, read_only=True)
-        assert set(kept.owed) == set(range(1, 60)) and not kept.damaged
+        assert set(kept.pending) == set(range(1, 60)) and not kept.damaged
--- a/tests/test_salvage.py
+++ b/tests/test_salvage.py
@@ -35,19 +35,19 @@
     data = filled(tmp_path, 1000)
     (tmp_path / FIRST).write_bytes(flipped(data, len(data) // 4))
     journal = Journal(tmp_path, DISK)
-    assert len(journal.owed) == 999
-    (lost,) = set(range(1, 1001)) - set(journal.owed)
+    assert len(journal.pending) == 999
+    (lost,) = set(range(1, 1001)) - set(journal.pending)
     (told,) = journal.damaged[FIRST]
     assert told.ids == (f"id-{lost}",) and journal.doubted[FIRST] == [f"id-{n}" for n in range(1, lost)]
     # What was on record before the damage may have had its *begun* there; what came after may not.
-    assert all(one.may_have_run == (number < lost) for number, one in journal.owed.items())
-    assert all(one.attempts <= 1 for one in journal.owed.values())
+    assert all(one.may_have_run == (number < lost) for number, one in journal.pending.items())
+    assert all(one.attempts <= 1 for one in journal.pending.values())
     assert (tmp_path / "damaged.00000001").read_bytes() == flipped(data, len(data) // 4)[
         told.start : told.end
     ]
     journal.close()
     again = Journal(tmp_path, DISK)
-    assert not again.damaged and again.owed == {**journal.owed} and not (tmp_path / FIRST).exists()
+    assert not again.damaged and again.pending == {**journal.pending} and not (tmp_path / FIRST).exists()
 
 
 @pytest.mark.parametrize("bit", [0, 3, 7])
@@ -56,7 +56,7 @@
     data = filled(tmp_path, 12)
     size = len(data) // 12
     (tmp_path / FIRST).write_bytes(flipped(data, 5 * size + byte, bit))
-    assert set(range(1, 13)) - set(Journal(tmp_path, DISK).owed) == {6}
+    assert set(range(1, 13)) - set(Journal(tmp_path, DISK).pending) == {6}
 
 
 def test_a_torn_record_of_a_client_is_not_looked_into(tmp_path: Path) -> None:
@@ -66,7 +66,9 @@
     with (tmp_path / FIRST).open("ab") as out:
         out.write(record[:-100])
     journal = Journal(tmp_path, DISK)
-    assert sorted(journal.owed) == [1, 2] and not journal.damaged and journal.cut_bytes == len(record) - 100
+    assert (
+        sorted(journal.pending) == [1, 2] and not journal.damaged and journal.cut_bytes == len(record) - 100
+    )
 
 
 def test_a_whole_record_that_is_damaged_is_passed_over_by_its_length(tmp_path: Path) -> None:
@@ -76,7 +78,7 @@
     data = flipped(record, len(record) - 1) + owed(3).records()
     with (tmp_path / FIRST).open("ab") as out:
         out.write(data)
-    assert sorted(Journal(tmp_path, DISK).owed) == [1, 3]
+    assert sorted(Journal(tmp_path, DISK).pending) == [1, 3]
 
 
 def test_an_older_file_that_ends_early_is_damaged_and_the_newest_only_torn(tmp_path: Path) -> None:
@@ -85,8 +87,8 @@
     assert not Journal(tmp_path, DISK, read_only=True).damaged
     (tmp_path / "journal.00000002").write_bytes(owed(9).records())
     journal = Journal(tmp_path, DISK)
-    assert sorted(journal.owed) == [1, 2, 9] and list(journal.damaged) == [FIRST]
-    assert [journal.owed[number].may_have_run for number in (1, 2, 9)] == [True, True, False]
+    assert sorted(journal.pending) == [1, 2, 9] and list(journal.damaged) == [FIRST]
+    assert [journal.pending[number].may_have_run for number in (1, 2, 9)] == [True, True, False]
 
 
 def test_what_is_set_aside_counts_towards_the_disk(tmp_path: Path) -> None:
