--- a/springspread/core/journal_ownership.py
+++ b/springspread/core/journal_ownership.py
@@ -45,7 +45,7 @@
     return folder / f"lane.{lane}" if lane else folder
 
 
-def owed_in(folder: Path) -> dict[int, PendingMessage]:
+def read_pending(folder: Path) -> dict[int, PendingMessage]:
     """What all lanes of a folder owe, read beside whoever writes there; raises ``OSError``."""
     found: dict[int, PendingMessage] = {}
     for lane in range(LANES):
--- a/springspread/fleet/instance_files.py
+++ b/springspread/fleet/instance_files.py
@@ -9,7 +9,7 @@
 from math import inf
 from pathlib import Path
 
-from springspread.core.journal_ownership import owed_in
+from springspread.core.journal_ownership import read_pending
 
 LOG_BYTES = 4 << 20
 LOG_TAIL_BYTES = 1 << 18  # the ready line is searched for in the last part of a log
@@ -28,14 +28,14 @@
     if not (state := place / "state").is_dir():
         return 0
     with suppress(OSError):  # its process clears files away
-        return len(owed_in(state))
+        return len(read_pending(state))
     return 1
 
 
 def first_deadline(place: Path) -> float:
     """The first deadline of its pending messages (Unix time, ms); inf where it has none."""
     with suppress(OSError):
-        pending = owed_in(place / "state")
+        pending = read_pending(place / "state")
         return min((message.deadline_wall for message in pending.values()), default=inf)
     return inf
 
--- a/tests/test_lanes.py
+++ b/tests/test_lanes.py
@@ -18,7 +18,7 @@
 
 from springspread.core.files import Files
 from springspread.core.journal import Journal, JournalFull
-from springspread.core.journal_ownership import LANES, NUMBERS, OwnedJournals, lane_folder, owed_in
+from springspread.core.journal_ownership import LANES, NUMBERS, OwnedJournals, lane_folder, read_pending
 from springspread.core.shared_backoff import FILE_BYTES, SharedBackoff
 from tests.peer import WAIT_S, Peer, Program, until
 from tests.test_config import make
@@ -49,7 +49,7 @@
     with peer.lock:
         turned_away = len(peer.calls)
         peer.answers.clear()
-    until(lambda: not owed_in(new.state), "all are over")
+    until(lambda: not read_pending(new.state), "all are over")
     served = Peer.ids_of(peer.calls[turned_away:])
     assert Counter(served) == dict.fromkeys((*ids, "new"), 1) and not peer.notices
 
@@ -79,11 +79,11 @@
     old.end(signal.SIGKILL)
     until(lambda: any(line["event"] == "taken over" for line in new.log), "it took the other lane over")
     new.end(signal.SIGKILL)
-    assert {one.id for one in owed_in(new.state).values()} == {*first, *second}
+    assert {one.id for one in read_pending(new.state).values()} == {*first, *second}
     peer.answers.clear()
     new.start()
     until(lambda: {*first, *second} <= set(peer.ids()), "all are called")
-    until(lambda: not owed_in(new.state), "all are over")
+    until(lambda: not read_pending(new.state), "all are over")
     assert not peer.notices
 
 
