--- a/springspread/core/journal_ownership.py
+++ b/springspread/core/journal_ownership.py
@@ -142,7 +142,7 @@
 
     # Who else is there
 
-    def look(self, now: float) -> list[PendingMessage]:
+    def check_ownership(self, now: float) -> list[PendingMessage]:
         """Look at the other lanes, now and then; what is owed in those that were taken over."""
         if now < self._look_at:
             return []
--- a/springspread/core/loop.py
+++ b/springspread/core/loop.py
@@ -143,7 +143,7 @@
 
     def _taken_over(self, now: float) -> list[i.Event]:
         """What a process beside this one owed goes on here, once it has died."""
-        if self._lanes is None or not (found := self._lanes.look(now)):
+        if self._lanes is None or not (found := self._lanes.check_ownership(now)):
             return []
         self._log.info("taken over", owed=len(found))
         return [self._goes_on(now, owed, self.start.left(owed, most)) for owed, most in self._taken_up(found)]
--- a/tests/test_lanes.py
+++ b/tests/test_lanes.py
@@ -150,7 +150,7 @@
     first = OwnedJournals(tmp_path, disk, 8, 4096)
     fill(first, 1)
     second = OwnedJournals(tmp_path, disk, 8, 4096)
-    first.look(time.monotonic() * 1e6)
+    first.check_ownership(time.monotonic() * 1e6)
     fill(second, 1)
     fill(first, 500)  # it sees the other one, and takes no more than its half
     assert 0.4 * disk < sum(path.stat().st_size for path in tmp_path.rglob("journal.*")) <= disk
@@ -158,7 +158,7 @@
         for number in list(lanes.pending):
             lanes.over(number)
     os.close(second._locks.pop(1))  # as its process dies
-    assert first.look(2e18) == [] and first.look(3e18) == [] and not first.beside
+    assert first.check_ownership(2e18) == [] and first.check_ownership(3e18) == [] and not first.beside
     assert not list(lane_folder(tmp_path, 1).glob("journal.*"))
     fill(first, 500)
     assert sum(path.stat().st_size for path in tmp_path.rglob("journal.*")) > 0.5 * disk
@@ -231,11 +231,11 @@
         raise OSError(28, "No space left on device")
 
     monkeypatch.setattr(Journal, "_open", full)
-    assert new.look(1e12) == [] and not new.pending
+    assert new.check_ownership(1e12) == [] and not new.pending
     monkeypatch.undo()
-    assert [one.id for one in new.look(2e12)] == [owed(1).id]
+    assert [one.id for one in new.check_ownership(2e12)] == [owed(1).id]
     new.over(1)
     monkeypatch.setattr(Files, "unlink", full)
-    assert new.look(3e12) == [] and new.beside
+    assert new.check_ownership(3e12) == [] and new.beside
     monkeypatch.undo()
-    assert new.look(4e12) == [] and not new.beside and not list(tmp_path.glob("journal.*"))
+    assert new.check_ownership(4e12) == [] and not new.beside and not list(tmp_path.glob("journal.*"))
