--- a/springspread/core/journal_ownership.py
+++ b/springspread/core/journal_ownership.py
@@ -186,7 +186,7 @@
         return found
 
     @property
-    def beside(self) -> bool:
+    def has_other_journals(self) -> bool:
         """Whether another process uses the folder, or has left something that is still owed."""
         return bool(self._beside) or len(self._books) > 1
 
--- a/springspread/core/loop.py
+++ b/springspread/core/loop.py
@@ -258,7 +258,7 @@
         due = self.due
         if self._stop_at < float("inf") or not self.open:
             due = min(due, self._clock.now() + 20.0)  # a stop's conditions and a gate's are looked at
-        if self._lanes is not None and self._lanes.beside:
+        if self._lanes is not None and self._lanes.has_other_journals:
             due = min(due, self._clock.now() + LOOK_MS)
         try:
             if due == float("inf"):
--- a/tests/test_lanes.py
+++ b/tests/test_lanes.py
@@ -158,7 +158,11 @@
         for number in list(lanes.pending):
             lanes.over(number)
     os.close(second._locks.pop(1))  # as its process dies
-    assert first.check_ownership(2e18) == [] and first.check_ownership(3e18) == [] and not first.beside
+    assert (
+        first.check_ownership(2e18) == []
+        and first.check_ownership(3e18) == []
+        and not first.has_other_journals
+    )
     assert not list(lane_folder(tmp_path, 1).glob("journal.*"))
     fill(first, 500)
     assert sum(path.stat().st_size for path in tmp_path.rglob("journal.*")) > 0.5 * disk
@@ -236,6 +240,10 @@
     assert [one.id for one in new.check_ownership(2e12)] == [owed(1).id]
     new.over(1)
     monkeypatch.setattr(Files, "unlink", full)
-    assert new.check_ownership(3e12) == [] and new.beside
+    assert new.check_ownership(3e12) == [] and new.has_other_journals
     monkeypatch.undo()
-    assert new.check_ownership(4e12) == [] and not new.beside and not list(tmp_path.glob("journal.*"))
+    assert (
+        new.check_ownership(4e12) == []
+        and not new.has_other_journals
+        and not list(tmp_path.glob("journal.*"))
+    )
