--- a/springspread/core/journal_ownership.py
+++ b/springspread/core/journal_ownership.py
@@ -190,7 +190,7 @@
         """Whether another process uses the folder, or has left something that is still owed."""
         return bool(self._beside) or len(self._books) > 1
 
-    def elsewhere(self, id: str) -> PendingMessage | None:
+    def pending_elsewhere(self, id: str) -> PendingMessage | None:
         """A message that a process beside this one owes, by its id."""
         return next((owed for one in self._beside.values() if (owed := one.owed(id)) is not None), None)
 
--- a/springspread/core/loop.py
+++ b/springspread/core/loop.py
@@ -332,7 +332,7 @@
                 return self._gone(message)
         elif self._recent.get(message.id):
             message.answer(Verdict.DELIVERED)
-        elif self._lanes is not None and (other := self._lanes.elsewhere(message.id)) is not None:
+        elif self._lanes is not None and (other := self._lanes.pending_elsewhere(message.id)) is not None:
             # A process beside this one owes it, and tells its end.
             same = (other.cls, other.group, other.body) == (message.cls, message.group, message.body)
             message.answer(Verdict.TAKEN if same else Verdict.CONFLICT)
--- a/tests/test_lanes.py
+++ b/tests/test_lanes.py
@@ -185,10 +185,10 @@
         one = owed(number)
         one.body = bytes(500)
         old.taken(one)
-        assert new.elsewhere(one.id) is not None
+        assert new.pending_elsewhere(one.id) is not None
         if number % 7:
             old.over(number)
-            assert new.elsewhere(one.id) is None
+            assert new.pending_elsewhere(one.id) is None
         elif number > 70:
             old.over(number - 70)
     assert {one.id for one in old.pending.values()} == {
