--- a/springspread/core/journal_ownership.py
+++ b/springspread/core/journal_ownership.py
@@ -32,7 +32,7 @@
 
 LANES = 4  # processes on one folder at a time
 NUMBERS = 1 << 30  # messages that a lane may number
-LOOK_MS = 100.0
+OWNERSHIP_CHECK_MS = 100.0
 TRIES = 5
 
 
@@ -146,7 +146,7 @@
         """Look at the other lanes, now and then; what is owed in those that were taken over."""
         if now < self._look_at:
             return []
-        self._look_at = now + LOOK_MS
+        self._look_at = now + OWNERSHIP_CHECK_MS
         try:
             return self._look_again()
         except OSError:  # guards the loop: what can't be looked at now is looked at again
--- a/springspread/core/loop.py
+++ b/springspread/core/loop.py
@@ -16,7 +16,7 @@
 from springspread.core.destinations import KnownDestinations
 from springspread.core.figures import Figure, Figures
 from springspread.core.journal import Journal, JournalFull, PendingMessage
-from springspread.core.journal_ownership import LOOK_MS, OwnedJournals
+from springspread.core.journal_ownership import OWNERSHIP_CHECK_MS, OwnedJournals
 from springspread.core.start import Start
 from springspread.core.types import (
     Attempt,
@@ -259,7 +259,7 @@
         if self._stop_at < float("inf") or not self.open:
             due = min(due, self._clock.now() + 20.0)  # a stop's conditions and a gate's are looked at
         if self._lanes is not None and self._lanes.has_other_journals:
-            due = min(due, self._clock.now() + LOOK_MS)
+            due = min(due, self._clock.now() + OWNERSHIP_CHECK_MS)
         try:
             if due == float("inf"):
                 return self._inbox.get()
