--- a/springspread/core/clearance.py
+++ b/springspread/core/clearance.py
@@ -68,7 +68,7 @@
             self._bars = {key: end for key, end in self._bars.items() if end > now}  # of those long gone, too
             self._bars[endpoint.bar_key] = until
         if self._board is not None and wait_ms > 0.0:
-            self._board.tell(endpoint.bar_name, until, now)
+            self._board.publish(endpoint.bar_name, until, now)
 
     def barred_ms(self, endpoint: Endpoint) -> float:
         """How long a told wait still bars an endpoint."""
--- a/springspread/core/shared_backoff.py
+++ b/springspread/core/shared_backoff.py
@@ -29,7 +29,7 @@
         self._heard: dict[str, float] = {}
         self._seen: dict[Path, tuple[int, int]] = {}
 
-    def tell(self, key: str, until: float, now: float) -> None:
+    def publish(self, key: str, until: float, now: float) -> None:
         """This process was told to leave a key alone."""
         with self._lock, suppress(OSError):
             self._told[key] = until
--- a/tests/test_lanes.py
+++ b/tests/test_lanes.py
@@ -216,7 +216,7 @@
     other.mkdir()
     writer, reader = SharedBackoff(one, lambda: []), SharedBackoff(other, lambda: [one])
     for now in range(1_500):
-        writer.tell(f"{now % 50}/s-{now}", now + 20.0, float(now))
+        writer.publish(f"{now % 50}/s-{now}", now + 20.0, float(now))
         assert reader.until(f"{now % 50}/s-{now}", float(now)) == now + 20.0
         assert (one / "waits").stat().st_size <= 2 * FILE_BYTES
     assert reader.until("7/never", 1_500.0) == 0.0 and len(reader._heard) < 1_000
