--- a/springspread/core/clearance.py
+++ b/springspread/core/clearance.py
@@ -73,7 +73,7 @@
     def barred_ms(self, endpoint: Endpoint) -> float:
         """How long a told wait still bars an endpoint."""
         now = self._clock.now()
-        other = 0.0 if self._board is None else self._board.until(endpoint.bar_name, now)
+        other = 0.0 if self._board is None else self._board.blocked_until(endpoint.bar_name, now)
         with self._lock:
             return max(self._bars.get(endpoint.bar_key, 0.0) - now, other - now, 0.0)
 
--- a/springspread/core/shared_backoff.py
+++ b/springspread/core/shared_backoff.py
@@ -40,7 +40,7 @@
             else:
                 os.write(self._file, _line(key, until))
 
-    def until(self, key: str, now: float) -> float:
+    def blocked_until(self, key: str, now: float) -> float:
         """Until when another process was told to leave a key alone; 0 where none was."""
         places = list(self._others())
         if not places:
--- a/tests/test_lanes.py
+++ b/tests/test_lanes.py
@@ -217,11 +217,11 @@
     writer, reader = SharedBackoff(one, lambda: []), SharedBackoff(other, lambda: [one])
     for now in range(1_500):
         writer.publish(f"{now % 50}/s-{now}", now + 20.0, float(now))
-        assert reader.until(f"{now % 50}/s-{now}", float(now)) == now + 20.0
+        assert reader.blocked_until(f"{now % 50}/s-{now}", float(now)) == now + 20.0
         assert (one / "waits").stat().st_size <= 2 * FILE_BYTES
-    assert reader.until("7/never", 1_500.0) == 0.0 and len(reader._heard) < 1_000
+    assert reader.blocked_until("7/never", 1_500.0) == 0.0 and len(reader._heard) < 1_000
     (one / "waits").write_bytes(b"nonsense\n1e400 \n-5 7/\n7000.0 7/half")
-    assert reader.until("7/half", 1_501.0) == 0.0
+    assert reader.blocked_until("7/half", 1_501.0) == 0.0
 
 
 def test_a_lane_that_cant_be_opened_or_removed_now_is_taken_over_later(
