--- a/benchmarks/recovery_size.py
+++ b/benchmarks/recovery_size.py
@@ -26,7 +26,7 @@
     """A journal that owes so many; its bytes."""
     journal, until = Journal(folder, DISK), 1000.0 * (time.time() + 86_400.0)
     for number in range(1, count + 1):
-        journal.taken(PendingMessage(number, f"id-{number}", "notice", 7, until, b"x" * 40))
+        journal.record_taken(PendingMessage(number, f"id-{number}", "notice", 7, until, b"x" * 40))
         if number % 10 == 0:
             journal.ending(number, True, 0.0)
     journal.close()
--- a/springspread/core/journal.py
+++ b/springspread/core/journal.py
@@ -328,7 +328,7 @@
         fixed = HEAD.size + TAKEN.size + POLICY.size + len(owed.cls.encode()) + len(owed.id)
         return fixed + len(owed.body) + self._per_message
 
-    def taken(self, owed: PendingMessage) -> None:
+    def record_taken(self, owed: PendingMessage) -> None:
         """Put a message on record, or raise ``JournalFull`` before the disk could overflow."""
         with self._lock:
             if self._live + self._cost(owed) > self._most_live:
--- a/springspread/core/journal_ownership.py
+++ b/springspread/core/journal_ownership.py
@@ -230,9 +230,9 @@
         for book in list(self._books.values()):
             book.settle()
 
-    def taken(self, owed: PendingMessage) -> None:
-        """As ``Journal.taken``, in this process's own lane."""
-        self._books[self._own].taken(owed)
+    def record_taken(self, owed: PendingMessage) -> None:
+        """As ``Journal.record_taken``, in this process's own lane."""
+        self._books[self._own].record_taken(owed)
 
     def begun(self, number: int, attempt: int) -> bool:
         """As ``Journal.begun``."""
--- a/springspread/core/loop.py
+++ b/springspread/core/loop.py
@@ -363,7 +363,7 @@
             policy=self._policy,
         )
         try:
-            self._journal.taken(owed)
+            self._journal.record_taken(owed)
         except (JournalFull, OSError) as exc:
             self._log.warning("not taken on", reason=repr(exc))
             message.answer(Verdict.REFUSED)
--- a/springspread/faults/crashes.py
+++ b/springspread/faults/crashes.py
@@ -64,7 +64,7 @@
             number += 1
             body = bytes([number % 251]) * rng.randrange(BODY_BYTES)
             facts.handed[number] = body
-            journal.taken(PendingMessage(number, f"id-{number}", "pay", 7, 2e12, body))
+            journal.record_taken(PendingMessage(number, f"id-{number}", "pay", 7, 2e12, body))
             journal.settle()
             facts.taken.add(number)
             out[number] = 0
--- a/tests/cli/test_cli.py
+++ b/tests/cli/test_cli.py
@@ -57,7 +57,9 @@
     state.mkdir()
     journal = Journal(state, 1 << 20)
     for n in (1, 2, 3):
-        journal.taken(PendingMessage(n, f"id-{n}", "note", 7, 1_000.0 * time.time() + 5_000.0, b"hello"))
+        journal.record_taken(
+            PendingMessage(n, f"id-{n}", "note", 7, 1_000.0 * time.time() + 5_000.0, b"hello")
+        )
     journal.begun(2, 0)
     journal.over(3)
     journal.close()
--- a/tests/test_clearance.py
+++ b/tests/test_clearance.py
@@ -55,7 +55,7 @@
         """Why the call may not begin so long after the list was read."""
         self.clock.at = READ_AT + after_ms
         number = self.journal.last_number + 1
-        self.journal.taken(PendingMessage(number, f"m{number}", "note", 7, 0.0, b"body"))
+        self.journal.record_taken(PendingMessage(number, f"m{number}", "note", 7, 0.0, b"body"))
         run = Attempt(number, 0, f"m{number}", b"body", self.clock.at + 1000.0, True)
         refusal = self.clearance.refuses(Call(self.endpoint, (run,), self.clock.at))
         assert refusal is None or refusal.result is Result.NOT_SENT
--- a/tests/test_core.py
+++ b/tests/test_core.py
@@ -120,7 +120,7 @@
     tmp_path: Path, cls: str, proved: bool, sent: int, told: int
 ) -> None:
     first = Journal(tmp_path, 3_000_000)
-    first.taken(PendingMessage(4, "a", cls, 7, SYSTEM.wall() + 5000, b"body"))
+    first.record_taken(PendingMessage(4, "a", cls, 7, SYSTEM.wall() + 5000, b"body"))
     first.begun(4, 0)
     if proved:
         first.not_run(4, 0)
@@ -139,7 +139,7 @@
 ) -> None:
     first = Journal(tmp_path, 3_000_000)
     for number, id in ((4, "ran"), (5, "untried")):
-        first.taken(PendingMessage(number, id, "keyed", 7, SYSTEM.wall() + 5000, b"body"))
+        first.record_taken(PendingMessage(number, id, "keyed", 7, SYSTEM.wall() + 5000, b"body"))
     first.begun(4, 0)
     first.close()
     raw = make(tmp_path)
@@ -155,7 +155,7 @@
 
 def test_a_message_that_had_all_its_attempts_is_not_sent_again(tmp_path: Path) -> None:
     first = Journal(tmp_path, 3_000_000)
-    first.taken(PendingMessage(4, "a", "note", 7, SYSTEM.wall() + 5000, b"body"))
+    first.record_taken(PendingMessage(4, "a", "note", 7, SYSTEM.wall() + 5000, b"body"))
     for attempt in range(8):
         first.begun(4, attempt)
     first.close()
@@ -166,7 +166,7 @@
 
 def test_a_decided_end_is_told_again_until_the_platform_has_it(tmp_path: Path) -> None:
     first = Journal(tmp_path, 3_000_000)
-    first.taken(PendingMessage(4, "a", "note", 7, SYSTEM.wall() + 5000, b"body"))
+    first.record_taken(PendingMessage(4, "a", "note", 7, SYSTEM.wall() + 5000, b"body"))
     first.ending(4, True, 300.0)
     first.close()
     rig = Rig(tmp_path)
@@ -179,7 +179,7 @@
 
 def test_a_message_whose_time_ran_out_while_down_is_ended_at_once(tmp_path: Path) -> None:
     first = Journal(tmp_path, 3_000_000)
-    first.taken(PendingMessage(4, "a", "pay", 7, SYSTEM.wall() - 100, b"body"))
+    first.record_taken(PendingMessage(4, "a", "pay", 7, SYSTEM.wall() - 100, b"body"))
     first.close()
     rig = Rig(tmp_path)
     rig.restore()
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -83,7 +83,7 @@
         now = clock()
         for _ in range(count):
             number = self.journal.last_number + 1
-            self.journal.taken(PendingMessage(number, f"m{number}", "note", 7, 0.0, b"body"))
+            self.journal.record_taken(PendingMessage(number, f"m{number}", "note", 7, 0.0, b"body"))
         numbers = list(self.journal.pending)[-count:]
         runs = [Attempt(n, 0, f"m{n}", b"body", now + wait_ms, safe) for n in numbers]
         call = Call(self.target, runs, now)
@@ -400,7 +400,7 @@
     journal = Journal(program.state, 3_000_000)
     wall = time.time() * 1000.0 + 60_000.0
     for number in range(1, 4):
-        journal.taken(
+        journal.record_taken(
             PendingMessage(journal.last_number + 1, f"theirs-{number}", "meter-reading", 7, wall, b"x")
         )
     journal.close()
@@ -420,7 +420,7 @@
     with pytest.raises(JournalFull):
         while True:
             number = journal.last_number + 1
-            journal.taken(PendingMessage(number, f"old-{number}", "note", 7, wall, b"x" * 3000))
+            journal.record_taken(PendingMessage(number, f"old-{number}", "note", 7, wall, b"x" * 3000))
             count += 1
     journal.close()
     assert count > 200
--- a/tests/test_journal.py
+++ b/tests/test_journal.py
@@ -23,7 +23,7 @@
 def test_what_is_owed_comes_back(tmp_path: Path) -> None:
     first = Journal(tmp_path, DISK)
     for number in (1, 2, 3):
-        first.taken(owed(number))
+        first.record_taken(owed(number))
     first.begun(1, 0)
     first.not_run(1, 0)
     first.begun(2, 0)
@@ -43,8 +43,8 @@
     first = Journal(tmp_path, DISK)
     alone, under = owed(1), owed(2)
     under.policy = 5
-    first.taken(alone)
-    first.taken(under)
+    first.record_taken(alone)
+    first.record_taken(under)
     first.close()
     again = Journal(tmp_path, DISK)
     assert {number: one.policy for number, one in again.pending.items()} == {1: 0, 2: 5}
@@ -54,21 +54,21 @@
 @pytest.mark.parametrize("cut", [1, 5, 20])
 def test_a_torn_tail_is_cut_and_later_records_are_kept(tmp_path: Path, cut: int) -> None:
     first = Journal(tmp_path, DISK)
-    first.taken(owed(1))
-    first.taken(owed(2))
+    first.record_taken(owed(1))
+    first.record_taken(owed(2))
     first.close()
     path = tmp_path / "journal.00000001"
     path.write_bytes(path.read_bytes()[:-cut])
     second = Journal(tmp_path, DISK)
     assert list(second.pending) == [1] and second.cut_bytes > 0
-    second.taken(owed(5))
+    second.record_taken(owed(5))
     second.close()
     assert list(Journal(tmp_path, DISK).pending) == [1, 5]
 
 
 def test_a_flipped_bit_is_no_crash(tmp_path: Path) -> None:
     first = Journal(tmp_path, DISK)
-    first.taken(owed(1))
+    first.record_taken(owed(1))
     first.close()
     path = tmp_path / "journal.00000001"
     data = bytearray(path.read_bytes())
@@ -94,7 +94,7 @@
     refused = 0
     for number in range(1, 301):
         try:
-            journal.taken(owed(number, 65536))
+            journal.record_taken(owed(number, 65536))
             live.append(number)
         except JournalFull:
             refused += 1
@@ -116,15 +116,15 @@
     journal = Journal(tmp_path, DISK)
     with pytest.raises(JournalFull):
         for number in range(1, 100):
-            journal.taken(owed(number, 65536))
+            journal.record_taken(owed(number, 65536))
     assert len(journal.pending) >= 34
 
 
 def test_a_message_that_is_over_never_comes_back(tmp_path: Path) -> None:
     journal = Journal(tmp_path, 500_000)
-    journal.taken(owed(1, 20_000))  # stays, and is moved on from file to file
+    journal.record_taken(owed(1, 20_000))  # stays, and is moved on from file to file
     for number in range(2, 400):
-        journal.taken(owed(number, 20_000))
+        journal.record_taken(owed(number, 20_000))
         journal.over(number)
         if number % 50 == 0:
             journal.close()
@@ -135,7 +135,7 @@
 
 def test_a_record_written_in_part_is_taken_back(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
     journal = Journal(tmp_path, DISK)
-    journal.taken(owed(1))
+    journal.record_taken(owed(1))
     write = os.write
 
     def torn(file: int, data: bytes) -> int:
@@ -144,11 +144,11 @@
 
     monkeypatch.setattr(os, "write", torn)
     with pytest.raises(OSError):
-        journal.taken(owed(2))
+        journal.record_taken(owed(2))
     journal.over(1)
     monkeypatch.undo()
     assert journal.failures == 1
-    journal.taken(owed(3))
+    journal.record_taken(owed(3))
     journal.close()
     assert sorted(Journal(tmp_path, DISK).pending) == [1, 3]  # its end was lost, nothing else
 
@@ -157,7 +157,7 @@
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     journal = Journal(tmp_path, 500_000)
-    journal.taken(owed(1, 20_000))
+    journal.record_taken(owed(1, 20_000))
     journal.begun(1, 0)
 
     def killed(path: Path) -> None:
@@ -166,7 +166,7 @@
     monkeypatch.setattr(Path, "unlink", killed)
     with pytest.raises(KeyboardInterrupt):
         for number in range(2, 400):
-            journal.taken(owed(number, 20_000))
+            journal.record_taken(owed(number, 20_000))
             journal.over(number)
     monkeypatch.undo()
     again = Journal(tmp_path, 500_000)
@@ -178,7 +178,7 @@
 def test_a_copy_that_a_kill_cut_short_keeps_what_is_known(tmp_path: Path) -> None:
     journal = Journal(tmp_path, DISK)
     item = owed(1)
-    journal.taken(item)
+    journal.record_taken(item)
     journal.begun(1, 0)
     journal.close()
     bare = owed(1).records()  # the first record of a copy; those of its attempts were not written
@@ -189,7 +189,7 @@
 
 def test_numbers_are_not_used_again_while_a_record_names_them(tmp_path: Path) -> None:
     journal = Journal(tmp_path, DISK)
-    journal.taken(owed(9))
+    journal.record_taken(owed(9))
     journal.over(9)
     journal.close()
     assert Journal(tmp_path, DISK).last_number == 9
--- a/tests/test_lanes.py
+++ b/tests/test_lanes.py
@@ -173,7 +173,7 @@
         try:
             one = owed(lanes.last_number + 1)
             one.body = bytes(3000)
-            lanes.taken(one)
+            lanes.record_taken(one)
         except JournalFull:
             return
 
@@ -184,7 +184,7 @@
     for number in range(1, 3000):
         one = owed(number)
         one.body = bytes(500)
-        old.taken(one)
+        old.record_taken(one)
         assert new.pending_elsewhere(one.id) is not None
         if number % 7:
             old.over(number)
@@ -228,7 +228,7 @@
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     old, new = (OwnedJournals(tmp_path, 400_000, 8, 4096) for _ in range(2))
-    old.taken(owed(1))
+    old.record_taken(owed(1))
     os.close(old._locks.pop(0))  # as its process dies
 
     def full(*_: object) -> None:
--- a/tests/test_power.py
+++ b/tests/test_power.py
@@ -81,19 +81,19 @@
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     journal = Journal(tmp_path, 3 << 20, durable=True)
-    journal.taken(owed(1))
+    journal.record_taken(owed(1))
     journal.settle()
 
     def broken(file: int) -> None:
         raise OSError(5, "Input/output error")
 
     monkeypatch.setattr(os, "fdatasync", broken)
-    journal.taken(owed(2))
+    journal.record_taken(owed(2))
     with pytest.raises(OSError):
         journal.settle()
     monkeypatch.undo()
     with pytest.raises(OSError):
-        journal.taken(owed(3))
+        journal.record_taken(owed(3))
     assert sorted(Journal(tmp_path, 3 << 20, read_only=True).pending) == [1, 2]
 
 
@@ -159,7 +159,7 @@
         files = HeldBack(place, Random(seed))
         book = Journal(place, 1 << 20, durable=True, files=files)
         for n in range(1, 60):
-            book.taken(owed(n))
+            book.record_taken(owed(n))
             if n == 20:
                 book.settle()
         lost = Journal(place, 1 << 20, read_only=True)  # what a power loss leaves
--- a/tests/test_salvage.py
+++ b/tests/test_salvage.py
@@ -22,7 +22,7 @@
 def filled(folder: Path, count: int) -> bytes:
     journal = Journal(folder, DISK)
     for number in range(1, count + 1):
-        journal.taken(owed(number))
+        journal.record_taken(owed(number))
     journal.close()
     return (folder / FIRST).read_bytes()
 
@@ -96,7 +96,7 @@
     for turn in range(6):
         journal = Journal(tmp_path, disk)
         for number in range(1, 30):
-            journal.taken(owed(100 * turn + number, b"z" * 900))
+            journal.record_taken(owed(100 * turn + number, b"z" * 900))
         for number in range(1, 30):
             journal.over(100 * turn + number)
         journal.close()
