--- a/springspread/core/clearance.py
+++ b/springspread/core/clearance.py
@@ -117,7 +117,7 @@
         try:
             for run in call.attempts:
                 # Guards against a client that leaves in this moment: what the journal takes in first holds.
-                if not self._journal.begun(run.number, run.nth):
+                if not self._journal.record_begun(run.number, run.nth):
                     return _not_sent(Withheld.WITHDRAWN)
             if call.once:  # guards rule 2 over a power loss
                 self._journal.settle()
--- a/springspread/core/journal.py
+++ b/springspread/core/journal.py
@@ -339,7 +339,7 @@
             owed.file = self._last
             self._add(owed)
 
-    def begun(self, number: int, attempt: int) -> bool:
+    def record_begun(self, number: int, attempt: int) -> bool:
         """An attempt is about to write its first byte; false where its message is owed no more."""
         with self._lock:
             if number in self.pending:
--- a/springspread/core/journal_ownership.py
+++ b/springspread/core/journal_ownership.py
@@ -234,9 +234,9 @@
         """As ``Journal.record_taken``, in this process's own lane."""
         self._books[self._own].record_taken(owed)
 
-    def begun(self, number: int, attempt: int) -> bool:
-        """As ``Journal.begun``."""
-        return self._of(number).begun(number, attempt)
+    def record_begun(self, number: int, attempt: int) -> bool:
+        """As ``Journal.record_begun``."""
+        return self._of(number).record_begun(number, attempt)
 
     def withdraw(self, number: int) -> bool:
         """As ``Journal.withdraw``."""
--- a/springspread/faults/crashes.py
+++ b/springspread/faults/crashes.py
@@ -71,7 +71,7 @@
             continue
         one = rng.choice(sorted(out))
         if what == "begin" and out[one] < 3 and one not in facts.begun:
-            journal.begun(one, out[one])
+            journal.record_begun(one, out[one])
             journal.settle()
             facts.begun.add(one)
             out[one] += 1
@@ -195,9 +195,9 @@
             if self.what != "a file is left unsynced":
                 super()._sync_file()
 
-        def begun(self, number: int, attempt: int) -> bool:
+        def record_begun(self, number: int, attempt: int) -> bool:
             if self.what != "begun is not on record" or attempt:
-                return super().begun(number, attempt)
+                return super().record_begun(number, attempt)
             return True
 
         def ending(self, number: int, deferred: bool, again_ms: float) -> None:
--- a/springspread/faults/stalls.py
+++ b/springspread/faults/stalls.py
@@ -17,12 +17,12 @@
 class Stalling(Journal):
     """The journal, but that every *begun* of some spans comes at their end: its right was taken before."""
 
-    def begun(self, number: int, attempt: int) -> bool:
+    def record_begun(self, number: int, attempt: int) -> bool:
         """As the journal's, later."""
         left = EACH_S - time.monotonic() % EACH_S
         if left < STALL_S:
             time.sleep(left)
-        return super().begun(number, attempt)
+        return super().record_begun(number, attempt)
 
 
 if __name__ == "__main__":
--- a/tests/test_core.py
+++ b/tests/test_core.py
@@ -121,7 +121,7 @@
 ) -> None:
     first = Journal(tmp_path, 3_000_000)
     first.record_taken(PendingMessage(4, "a", cls, 7, SYSTEM.wall() + 5000, b"body"))
-    first.begun(4, 0)
+    first.record_begun(4, 0)
     if proved:
         first.not_run(4, 0)
     first.close()
@@ -140,7 +140,7 @@
     first = Journal(tmp_path, 3_000_000)
     for number, id in ((4, "ran"), (5, "untried")):
         first.record_taken(PendingMessage(number, id, "keyed", 7, SYSTEM.wall() + 5000, b"body"))
-    first.begun(4, 0)
+    first.record_begun(4, 0)
     first.close()
     raw = make(tmp_path)
     raw["settings"]["classes"][0] |= {"name": "keyed", "effect": "by_key", "memorySpanMs": window_ms}
@@ -157,7 +157,7 @@
     first = Journal(tmp_path, 3_000_000)
     first.record_taken(PendingMessage(4, "a", "note", 7, SYSTEM.wall() + 5000, b"body"))
     for attempt in range(8):
-        first.begun(4, attempt)
+        first.record_begun(4, attempt)
     first.close()
     rig = Rig(tmp_path)
     rig.restore()
@@ -391,7 +391,7 @@
     rig.restore()
     rig.hand_in("a")
     (call,) = rig.drivers.calls
-    begun = rig.journal.begun
+    begun = rig.journal.record_begun
 
     def slow(number: int, attempt: int) -> bool:
         if comes == "a drain":
@@ -400,7 +400,7 @@
             rig.clearance.bar(call.endpoint, 5000.0)
         return begun(number, attempt)
 
-    monkeypatch.setattr(rig.journal, "begun", slow)
+    monkeypatch.setattr(rig.journal, "record_begun", slow)
     refused = rig.clearance.refuses(call)
     assert refused is not None
     assert refused.reason is (Withheld.LEAVING if comes == "a drain" else Withheld.RETRY_AFTER)
--- a/tests/test_journal.py
+++ b/tests/test_journal.py
@@ -24,9 +24,9 @@
     first = Journal(tmp_path, DISK)
     for number in (1, 2, 3):
         first.record_taken(owed(number))
-    first.begun(1, 0)
+    first.record_begun(1, 0)
     first.not_run(1, 0)
-    first.begun(2, 0)
+    first.record_begun(2, 0)
     first.not_run(2, 1)  # one that never began leaves no trace
     first.ending(2, True, 250.0)
     first.over(3)
@@ -102,7 +102,7 @@
                 journal.over(old)
             live = sorted(journal.pending)
         for attempt in range(8):
-            journal.begun(number, attempt)
+            journal.record_begun(number, attempt)
             journal.not_run(number, attempt)
         seen.append(on_disk(tmp_path))
     assert refused and max(seen) <= disk
@@ -158,7 +158,7 @@
 ) -> None:
     journal = Journal(tmp_path, 500_000)
     journal.record_taken(owed(1, 20_000))
-    journal.begun(1, 0)
+    journal.record_begun(1, 0)
 
     def killed(path: Path) -> None:
         raise KeyboardInterrupt
@@ -179,7 +179,7 @@
     journal = Journal(tmp_path, DISK)
     item = owed(1)
     journal.record_taken(item)
-    journal.begun(1, 0)
+    journal.record_begun(1, 0)
     journal.close()
     bare = owed(1).records()  # the first record of a copy; those of its attempts were not written
     (tmp_path / "journal.00000002").write_bytes(bare + b"torn")
