--- a/springspread/core/journal.py
+++ b/springspread/core/journal.py
@@ -357,7 +357,7 @@
             self._note(_frame(OVER.pack(b"O", number)))
             return True
 
-    def not_run(self, number: int, attempt: int) -> None:
+    def record_not_run(self, number: int, attempt: int) -> None:
         """An attempt is proved not to have run; nothing is written for one that never began."""
         with self._lock:
             if number in self.pending and attempt in self.pending[number].begun:
--- a/springspread/core/journal_ownership.py
+++ b/springspread/core/journal_ownership.py
@@ -242,9 +242,9 @@
         """As ``Journal.withdraw``."""
         return self._of(number).withdraw(number)
 
-    def not_run(self, number: int, attempt: int) -> None:
-        """As ``Journal.not_run``."""
-        self._of(number).not_run(number, attempt)
+    def record_not_run(self, number: int, attempt: int) -> None:
+        """As ``Journal.record_not_run``."""
+        self._of(number).record_not_run(number, attempt)
 
     def ending(self, number: int, deferred: bool, again_ms: float) -> None:
         """As ``Journal.ending``."""
--- a/springspread/core/loop.py
+++ b/springspread/core/loop.py
@@ -430,7 +430,7 @@
                     limit=end.load.limit_per_s,
                 )
         if end.result.never_ran:
-            self._journal.not_run(run.number, run.nth)
+            self._journal.record_not_run(run.number, run.nth)
         held = self._held.get(run.number)
         over = held is None
         if held is not None and end.result is Result.DELIVERED and self._too_late(held, end):
--- a/springspread/faults/crashes.py
+++ b/springspread/faults/crashes.py
@@ -77,7 +77,7 @@
             out[one] += 1
         elif what == "prove" and one in facts.begun:
             facts.begun.discard(one)
-            journal.not_run(one, out[one] - 1)
+            journal.record_not_run(one, out[one] - 1)
         elif what == "end" and one not in facts.endings:
             journal.ending(one, True, 5.0)
             journal.settle()
--- a/tests/test_core.py
+++ b/tests/test_core.py
@@ -123,7 +123,7 @@
     first.record_taken(PendingMessage(4, "a", cls, 7, SYSTEM.wall() + 5000, b"body"))
     first.record_begun(4, 0)
     if proved:
-        first.not_run(4, 0)
+        first.record_not_run(4, 0)
     first.close()
     rig = Rig(tmp_path)
     rig.restore()
--- a/tests/test_journal.py
+++ b/tests/test_journal.py
@@ -25,9 +25,9 @@
     for number in (1, 2, 3):
         first.record_taken(owed(number))
     first.record_begun(1, 0)
-    first.not_run(1, 0)
+    first.record_not_run(1, 0)
     first.record_begun(2, 0)
-    first.not_run(2, 1)  # one that never began leaves no trace
+    first.record_not_run(2, 1)  # one that never began leaves no trace
     first.ending(2, True, 250.0)
     first.over(3)
     first.close()
@@ -103,7 +103,7 @@
             live = sorted(journal.pending)
         for attempt in range(8):
             journal.record_begun(number, attempt)
-            journal.not_run(number, attempt)
+            journal.record_not_run(number, attempt)
         seen.append(on_disk(tmp_path))
     assert refused and max(seen) <= disk
     journal.close()
