--- a/benchmarks/recovery_size.py
+++ b/benchmarks/recovery_size.py
@@ -28,7 +28,7 @@
     for number in range(1, count + 1):
         journal.record_taken(PendingMessage(number, f"id-{number}", "notice", 7, until, b"x" * 40))
         if number % 10 == 0:
-            journal.ending(number, True, 0.0)
+            journal.record_ending(number, True, 0.0)
     journal.close()
     return sum(path.stat().st_size for path in folder.iterdir())
 
--- a/springspread/core/journal.py
+++ b/springspread/core/journal.py
@@ -364,7 +364,7 @@
                 self.pending[number].not_run.add(attempt)
                 self._note(_frame(BEGUN.pack(b"N", number, attempt)))
 
-    def ending(self, number: int, deferred: bool, again_ms: float) -> None:
+    def record_ending(self, number: int, deferred: bool, again_ms: float) -> None:
         """The final answer is decided and still has to be told."""
         with self._lock:
             if number in self.pending:
--- a/springspread/core/journal_ownership.py
+++ b/springspread/core/journal_ownership.py
@@ -246,9 +246,9 @@
         """As ``Journal.record_not_run``."""
         self._of(number).record_not_run(number, attempt)
 
-    def ending(self, number: int, deferred: bool, again_ms: float) -> None:
-        """As ``Journal.ending``."""
-        self._of(number).ending(number, deferred, again_ms)
+    def record_ending(self, number: int, deferred: bool, again_ms: float) -> None:
+        """As ``Journal.record_ending``."""
+        self._of(number).record_ending(number, deferred, again_ms)
 
     def over(self, number: int) -> None:
         """As ``Journal.over``."""
--- a/springspread/core/loop.py
+++ b/springspread/core/loop.py
@@ -508,7 +508,7 @@
             self.start.ended(number)
             self._figures.count(Figure.REFUSED if deferred else Figure.FAILED, owed.cls)
             self._log.debug("ending", number=number, deferred=deferred, again_ms=again_ms)
-            self._journal.ending(number, deferred, again_ms)
+            self._journal.record_ending(number, deferred, again_ms)
             self._notices.tell(Notice(number, owed.id, deferred, again_ms))
 
     def _decide(self, now: float, events: list[i.Event]) -> None:
--- a/springspread/faults/crashes.py
+++ b/springspread/faults/crashes.py
@@ -79,7 +79,7 @@
             facts.begun.discard(one)
             journal.record_not_run(one, out[one] - 1)
         elif what == "end" and one not in facts.endings:
-            journal.ending(one, True, 5.0)
+            journal.record_ending(one, True, 5.0)
             journal.settle()
             facts.endings[one] = (True, 5.0)
         elif what == "over":
@@ -200,9 +200,9 @@
                 return super().record_begun(number, attempt)
             return True
 
-        def ending(self, number: int, deferred: bool, again_ms: float) -> None:
+        def record_ending(self, number: int, deferred: bool, again_ms: float) -> None:
             if self.what != "an ending is not on record" or number % 3:
-                super().ending(number, deferred, again_ms)
+                super().record_ending(number, deferred, again_ms)
 
         def _clear_oldest(self) -> None:
             if self.what == "a file goes before its copies are made":
--- a/tests/test_core.py
+++ b/tests/test_core.py
@@ -167,7 +167,7 @@
 def test_a_decided_end_is_told_again_until_the_platform_has_it(tmp_path: Path) -> None:
     first = Journal(tmp_path, 3_000_000)
     first.record_taken(PendingMessage(4, "a", "note", 7, SYSTEM.wall() + 5000, b"body"))
-    first.ending(4, True, 300.0)
+    first.record_ending(4, True, 300.0)
     first.close()
     rig = Rig(tmp_path)
     rig.restore()
--- a/tests/test_journal.py
+++ b/tests/test_journal.py
@@ -28,7 +28,7 @@
     first.record_not_run(1, 0)
     first.record_begun(2, 0)
     first.record_not_run(2, 1)  # one that never began leaves no trace
-    first.ending(2, True, 250.0)
+    first.record_ending(2, True, 250.0)
     first.over(3)
     first.close()
     again = Journal(tmp_path, DISK)
