--- a/springspread/core/journal.py
+++ b/springspread/core/journal.py
@@ -371,7 +371,7 @@
                 self.pending[number].ending = (deferred, again_ms)
                 self._note(_frame(ENDING.pack(b"E", number, deferred, again_ms)))
 
-    def over(self, number: int) -> None:
+    def record_completed(self, number: int) -> None:
         """Nothing more is owed for a message."""
         with self._lock:
             if number in self.pending:
--- a/springspread/core/journal_ownership.py
+++ b/springspread/core/journal_ownership.py
@@ -250,6 +250,6 @@
         """As ``Journal.record_ending``."""
         self._of(number).record_ending(number, deferred, again_ms)
 
-    def over(self, number: int) -> None:
-        """As ``Journal.over``."""
-        self._of(number).over(number)
+    def record_completed(self, number: int) -> None:
+        """As ``Journal.record_completed``."""
+        self._of(number).record_completed(number)
--- a/springspread/core/loop.py
+++ b/springspread/core/loop.py
@@ -490,7 +490,7 @@
         if owed is None:
             return
         self._log.debug("over", number=number, delivered=delivered)
-        self._journal.over(number)
+        self._journal.record_completed(number)
         self._over(owed, delivered)
 
     def _over(self, owed: PendingMessage, delivered: bool) -> None:
--- a/springspread/faults/crashes.py
+++ b/springspread/faults/crashes.py
@@ -85,7 +85,7 @@
         elif what == "over":
             facts.over.add(one)
             del out[one]
-            journal.over(one)
+            journal.record_completed(one)
 
 
 Make = Callable[[MemoryFiles], Journal]
--- a/tests/cli/test_cli.py
+++ b/tests/cli/test_cli.py
@@ -61,7 +61,7 @@
             PendingMessage(n, f"id-{n}", "note", 7, 1_000.0 * time.time() + 5_000.0, b"hello")
         )
     journal.record_begun(2, 0)
-    journal.over(3)
+    journal.record_completed(3)
     journal.close()
     return state
 
--- a/tests/test_journal.py
+++ b/tests/test_journal.py
@@ -29,7 +29,7 @@
     first.record_begun(2, 0)
     first.record_not_run(2, 1)  # one that never began leaves no trace
     first.record_ending(2, True, 250.0)
-    first.over(3)
+    first.record_completed(3)
     first.close()
     again = Journal(tmp_path, DISK)
     assert sorted(again.pending) == [1, 2]
@@ -99,7 +99,7 @@
         except JournalFull:
             refused += 1
             for old in live[1 :: 2 + number % 3]:
-                journal.over(old)
+                journal.record_completed(old)
             live = sorted(journal.pending)
         for attempt in range(8):
             journal.record_begun(number, attempt)
@@ -125,7 +125,7 @@
     journal.record_taken(owed(1, 20_000))  # stays, and is moved on from file to file
     for number in range(2, 400):
         journal.record_taken(owed(number, 20_000))
-        journal.over(number)
+        journal.record_completed(number)
         if number % 50 == 0:
             journal.close()
             journal = Journal(tmp_path, 500_000)
@@ -145,7 +145,7 @@
     monkeypatch.setattr(os, "write", torn)
     with pytest.raises(OSError):
         journal.record_taken(owed(2))
-    journal.over(1)
+    journal.record_completed(1)
     monkeypatch.undo()
     assert journal.failures == 1
     journal.record_taken(owed(3))
@@ -167,7 +167,7 @@
     with pytest.raises(KeyboardInterrupt):
         for number in range(2, 400):
             journal.record_taken(owed(number, 20_000))
-            journal.over(number)
+            journal.record_completed(number)
     monkeypatch.undo()
     again = Journal(tmp_path, 500_000)
     assert sorted(again.pending)[0] == 1 and len(again.pending) <= 2
@@ -190,6 +190,6 @@
 def test_numbers_are_not_used_again_while_a_record_names_them(tmp_path: Path) -> None:
     journal = Journal(tmp_path, DISK)
     journal.record_taken(owed(9))
-    journal.over(9)
+    journal.record_completed(9)
     journal.close()
     assert Journal(tmp_path, DISK).last_number == 9
--- a/tests/test_lanes.py
+++ b/tests/test_lanes.py
@@ -156,7 +156,7 @@
     assert 0.4 * disk < sum(path.stat().st_size for path in tmp_path.rglob("journal.*")) <= disk
     for lanes in (first, second):
         for number in list(lanes.pending):
-            lanes.over(number)
+            lanes.record_completed(number)
     os.close(second._locks.pop(1))  # as its process dies
     assert (
         first.check_ownership(2e18) == []
@@ -187,10 +187,10 @@
         old.record_taken(one)
         assert new.pending_elsewhere(one.id) is not None
         if number % 7:
-            old.over(number)
+            old.record_completed(number)
             assert new.pending_elsewhere(one.id) is None
         elif number > 70:
-            old.over(number - 70)
+            old.record_completed(number - 70)
     assert {one.id for one in old.pending.values()} == {
         one.id for one in Journal(tmp_path, 1 << 40, read_only=True).pending.values()
     }
@@ -238,7 +238,7 @@
     assert new.check_ownership(1e12) == [] and not new.pending
     monkeypatch.undo()
     assert [one.id for one in new.check_ownership(2e12)] == [owed(1).id]
-    new.over(1)
+    new.record_completed(1)
     monkeypatch.setattr(Files, "unlink", full)
     assert new.check_ownership(3e12) == [] and new.has_other_journals
     monkeypatch.undo()
--- a/tests/test_salvage.py
+++ b/tests/test_salvage.py
@@ -98,7 +98,7 @@
         for number in range(1, 30):
             journal.record_taken(owed(100 * turn + number, b"z" * 900))
         for number in range(1, 30):
-            journal.over(100 * turn + number)
+            journal.record_completed(100 * turn + number)
         journal.close()
         newest = max(tmp_path.glob("journal.*"))
         newest.write_bytes(newest.read_bytes()[: HEAD.size] + b"?" * 9_000)
