--- a/springspread/__main__.py
+++ b/springspread/__main__.py
@@ -140,7 +140,7 @@
         pushed=not settings.must_ask,
         seed=config.seed,
     )
-    notices = Notices(config.discovery, limits, sender.put, log, journal.settle)
+    notices = Notices(config.discovery, limits, sender.put, log, journal.wait_synced)
     report = config.names.report
     workers = Workers(limits, settings.slots, report, clearance, sender.put, log, figures)
     sender.attach(workers, watcher, notices)
--- a/springspread/core/clearance.py
+++ b/springspread/core/clearance.py
@@ -120,7 +120,7 @@
                 if not self._journal.record_begun(run.number, run.nth):
                     return _not_sent(Withheld.WITHDRAWN)
             if call.once:  # guards rule 2 over a power loss
-                self._journal.settle()
+                self._journal.wait_synced()
         except OSError:  # not on record, so it may not go out
             return _not_sent(Withheld.UNRECORDED)
         if shares is not None and self._clock.now() >= right:
--- a/springspread/core/commit.py
+++ b/springspread/core/commit.py
@@ -27,7 +27,7 @@
         with self._ring:
             self._written += 1
 
-    def settle(self) -> None:
+    def wait_synced(self) -> None:
         """Wait until all that was written before is on disk; raises ``OSError`` where it may not be."""
         with self._ring:
             mine = self._written
--- a/springspread/core/journal.py
+++ b/springspread/core/journal.py
@@ -105,7 +105,7 @@
 
         ``first_number``: messages are numbered from the next one on, where none is on record.
 
-        ``durable``: records outlast a power loss, once ``settle`` has returned.
+        ``durable``: records outlast a power loss, once ``wait_synced`` has returned.
         """
         self.commit = Commit(self._sync) if durable else None
         self._files = files or Files(folder)
@@ -178,10 +178,10 @@
         """How many readable bytes each file held as it was read, the oldest first."""
         return {_name(number): size for number, size in self._sizes.items()}
 
-    def settle(self) -> None:
+    def wait_synced(self) -> None:
         """Wait until all that is on record is on disk; raises ``OSError``. Not ``durable``: at once."""
         if self.commit is not None:
-            self.commit.settle()
+            self.commit.wait_synced()
 
     def _sync_file(self) -> None:
         """The file that is written, where it is to outlast a power loss; the lock is held."""
--- a/springspread/core/journal_ownership.py
+++ b/springspread/core/journal_ownership.py
@@ -225,10 +225,10 @@
         """The number of the message that was taken on last."""
         return self._books[self._own].last_number
 
-    def settle(self) -> None:
-        """As ``Journal.settle``, for all lanes."""
+    def wait_synced(self) -> None:
+        """As ``Journal.wait_synced``, for all lanes."""
         for book in list(self._books.values()):
-            book.settle()
+            book.wait_synced()
 
     def record_taken(self, owed: PendingMessage) -> None:
         """As ``Journal.record_taken``, in this process's own lane."""
--- a/springspread/core/loop.py
+++ b/springspread/core/loop.py
@@ -238,7 +238,7 @@
         verdict, events = Verdict.TAKEN, list[i.Event]()
         if waiting:
             try:
-                self._journal.settle()
+                self._journal.wait_synced()
             except OSError as exc:
                 self._log.error("not on disk; nothing more is taken on", reason=str(exc))
                 verdict = Verdict.REFUSED
--- a/springspread/faults/crashes.py
+++ b/springspread/faults/crashes.py
@@ -65,14 +65,14 @@
             body = bytes([number % 251]) * rng.randrange(BODY_BYTES)
             facts.handed[number] = body
             journal.record_taken(PendingMessage(number, f"id-{number}", "pay", 7, 2e12, body))
-            journal.settle()
+            journal.wait_synced()
             facts.taken.add(number)
             out[number] = 0
             continue
         one = rng.choice(sorted(out))
         if what == "begin" and out[one] < 3 and one not in facts.begun:
             journal.record_begun(one, out[one])
-            journal.settle()
+            journal.wait_synced()
             facts.begun.add(one)
             out[one] += 1
         elif what == "prove" and one in facts.begun:
@@ -80,7 +80,7 @@
             journal.record_not_run(one, out[one] - 1)
         elif what == "end" and one not in facts.endings:
             journal.record_ending(one, True, 5.0)
-            journal.settle()
+            journal.wait_synced()
             facts.endings[one] = (True, 5.0)
         elif what == "over":
             facts.over.add(one)
@@ -187,9 +187,9 @@
 
         what = ""
 
-        def settle(self) -> None:
+        def wait_synced(self) -> None:
             if self.what != "told before the sync":
-                super().settle()
+                super().wait_synced()
 
         def _sync_file(self) -> None:
             if self.what != "a file is left unsynced":
--- a/tests/test_power.py
+++ b/tests/test_power.py
@@ -45,7 +45,7 @@
         disk.written += 1
         mine = disk.written
         commit.wrote()
-        commit.settle()
+        commit.wait_synced()
         kept.append(disk.kept >= mine)
 
     first = threading.Thread(target=write)
@@ -73,7 +73,7 @@
     for _ in range(2):
         commit.wrote()
         with pytest.raises(OSError, match="Input/output error"):
-            commit.settle()
+            commit.wait_synced()
         fails.clear()
 
 
@@ -82,7 +82,7 @@
 ) -> None:
     journal = Journal(tmp_path, 3 << 20, durable=True)
     journal.record_taken(owed(1))
-    journal.settle()
+    journal.wait_synced()
 
     def broken(file: int) -> None:
         raise OSError(5, "Input/output error")
@@ -90,7 +90,7 @@
     monkeypatch.setattr(os, "fdatasync", broken)
     journal.record_taken(owed(2))
     with pytest.raises(OSError):
-        journal.settle()
+        journal.wait_synced()
     monkeypatch.undo()
     with pytest.raises(OSError):
         journal.record_taken(owed(3))
@@ -161,9 +161,9 @@
         for n in range(1, 60):
             book.record_taken(owed(n))
             if n == 20:
-                book.settle()
+                book.wait_synced()
         lost = Journal(place, 1 << 20, read_only=True)  # what a power loss leaves
         assert set(range(1, 21)) <= set(lost.pending) <= set(range(1, 60))
-        book.settle()
+        book.wait_synced()
         kept = Journal(place, 1 << 20, read_only=True)
         assert set(kept.pending) == set(range(1, 60)) and not kept.damaged
