--- a/springspread/core/files.py
+++ b/springspread/core/files.py
@@ -62,7 +62,7 @@
         """Put on disk which files there are."""
         sync_folder(self._folder)
 
-    def twin(self, file: int) -> int:
+    def duplicate(self, file: int) -> int:
         """The same open file once more, for a sync while the first one may be closed."""
         return os.dup(file)
 
--- a/springspread/core/journal.py
+++ b/springspread/core/journal.py
@@ -194,7 +194,7 @@
 
     def _sync(self) -> None:
         with self._lock:  # the file may be left for the next one meanwhile: that syncs it, too
-            file, number = self._files.twin(self._file), self._last
+            file, number = self._files.duplicate(self._file), self._last
             size = self._sizes[number]
         try:
             self._files.sync(file)
--- a/springspread/faults/disk.py
+++ b/springspread/faults/disk.py
@@ -120,7 +120,7 @@
         self.before("sync folder")
         self.disk.kept = dict(self.disk.seen)
 
-    def twin(self, file: int) -> int:
+    def duplicate(self, file: int) -> int:
         """As the system's."""
         return file
 
