--- a/springspread/core/files.py
+++ b/springspread/core/files.py
@@ -42,7 +42,7 @@
         while view:
             view = view[os.write(file, view) :]
 
-    def put(self, name: str, data: bytes) -> None:
+    def overwrite(self, name: str, data: bytes) -> None:
         """Write a small file of one length anew, in place; nothing tells when it is on disk."""
         file = os.open(self._folder / name, os.O_WRONLY | os.O_CREAT, 0o600)
         try:
--- a/springspread/core/sync_position.py
+++ b/springspread/core/sync_position.py
@@ -20,7 +20,7 @@
 def write(files: Files, number: int, size: int) -> None:
     """So many bytes of a file are on disk. Raises ``OSError``."""
     body = BODY.pack(number, size)
-    files.put(NAME, body + CHECK.pack(crc32(body)))
+    files.overwrite(NAME, body + CHECK.pack(crc32(body)))
 
 
 def read(files: Files) -> tuple[int, int]:
--- a/springspread/faults/disk.py
+++ b/springspread/faults/disk.py
@@ -100,7 +100,7 @@
         self.before("append")
         self._open[file].seen.extend(data)
 
-    def put(self, name: str, data: bytes) -> None:
+    def overwrite(self, name: str, data: bytes) -> None:
         """As the system's."""
         self.before("put")
         self.disk.seen.setdefault(name, Inode()).seen[:] = data
