--- a/springspread/core/files.py
+++ b/springspread/core/files.py
@@ -28,7 +28,7 @@
         """A file's length, in bytes."""
         return (self._folder / name).stat().st_size
 
-    def changed(self, name: str) -> float:
+    def modified_wall(self, name: str) -> float:
         """When a file was last written, by the machine's clock of then (Unix time, ms)."""
         return (self._folder / name).stat().st_mtime * 1000.0
 
--- a/springspread/core/journal.py
+++ b/springspread/core/journal.py
@@ -216,7 +216,7 @@
 
     def _restore(self, number: int, newest: bool) -> None:
         name = _name(number)
-        self.written_wall = max(self.written_wall, self._files.changed(name))
+        self.written_wall = max(self.written_wall, self._files.modified_wall(name))
         data = self._files.read(name)
         reader, ranges, doubted = Reader(data), list[Range](), list[str]()
         for item in reader:
--- a/springspread/faults/disk.py
+++ b/springspread/faults/disk.py
@@ -85,7 +85,7 @@
         """As the system's."""
         return len(self.disk.seen[name].seen)
 
-    def changed(self, name: str) -> float:
+    def modified_wall(self, name: str) -> float:
         """Nothing here has a time."""
         return 0.0
 
