--- a/springspread/cli/journal.py
+++ b/springspread/cli/journal.py
@@ -81,7 +81,7 @@
         entry: dict[str, object] = {"file": name, "readable": readable - sum(r.end - r.start for r in ranges)}
         entry |= {"rest": rest, "newest": n == len(seen.files)}
         entry["damaged"] = [{"from": r.start, "to": r.end, "ids": list(r.ids)} for r in ranges]
-        entry["after"] = seen.doubted.get(name, [])
+        entry["after"] = seen.possibly_run.get(name, [])
         files.append(entry)
     damaged = [entry for entry in files if entry["damaged"] or (entry["rest"] and not entry["newest"])]
     if as_json:
@@ -93,7 +93,7 @@
             for one in seen.damaged.get(str(entry["file"]), []):
                 ids = f", of {', '.join(one.ids)}" if one.ids else ""
                 click.echo(f"  bytes {one.start} to {one.end} are damaged{ids}")
-            for id in seen.doubted.get(str(entry["file"]), []):
+            for id in seen.possibly_run.get(str(entry["file"]), []):
                 click.echo(f"  may have run, as a record of it may be lost: {id}")
         click.echo(f"{len(damaged)} damaged files, {len(seen.pending)} messages owed")
     sys.exit(bool(damaged))
--- a/springspread/core/journal.py
+++ b/springspread/core/journal.py
@@ -121,7 +121,9 @@
         self.last_number = first_number
         self.cut_bytes = self.failures = 0
         self.damaged: dict[str, list[Range]] = {}  # by file
-        self.doubted: dict[str, list[str]] = {}  # ids that are owed and were on record before it, by file
+        self.possibly_run: dict[
+            str, list[str]
+        ] = {}  # ids that are owed and were on record before it, by file
         self.written_wall = 0.0  # when its files were last written, before this process (Unix time, ms)
         self._live = 0
         self._sizes: dict[int, int] = {}  # by file, the oldest first
@@ -218,7 +220,7 @@
         name = _name(number)
         self.written_wall = max(self.written_wall, self._files.modified_wall(name))
         data = self._files.read(name)
-        reader, ranges, doubted = Reader(data), list[Range](), list[str]()
+        reader, ranges, possibly_run = Reader(data), list[Range](), list[str]()
         for item in reader:
             if not isinstance(item, Range):
                 at, payload = item
@@ -228,12 +230,12 @@
                 except (StructError, UnicodeDecodeError):  # of no kind that is known: as good as damaged
                     item = Range(at, reader.end)
             ranges.append(item)
-            doubted += self._doubt()
+            possibly_run += self._doubt()
         if reader.end < len(data) and not newest:  # nobody writes there any more: no process tore it
             ranges.append(Range(reader.end, len(data)))
-            doubted += self._doubt()
+            possibly_run += self._doubt()
         if ranges:
-            self.damaged[name], self.doubted[name] = ranges, doubted
+            self.damaged[name], self.possibly_run[name] = ranges, possibly_run
         self.cut_bytes += len(data) - reader.end
         self._sizes[number] = reader.end
 
@@ -244,14 +246,14 @@
             return
         name = _name(number)
         self.damaged.setdefault(name, []).append(Range(self._sizes.get(number, 0), size))
-        self.doubted.setdefault(name, []).extend(self._doubt())
+        self.possibly_run.setdefault(name, []).extend(self._doubt())
 
     def _doubt(self) -> list[str]:
         """A record may be lost here: a *begun* of anything that is owed by now, perhaps. Their ids."""
-        doubted = [owed for owed in self.pending.values() if not owed.may_have_run]
-        for owed in doubted:
+        possibly_run = [owed for owed in self.pending.values() if not owed.may_have_run]
+        for owed in possibly_run:
             owed.begun.add(owed.attempts)
-        return [owed.id for owed in doubted]
+        return [owed.id for owed in possibly_run]
 
     def _renew(self) -> None:
         """Leave no damaged file behind: what can't be read is set aside, what is owed is written anew."""
--- a/tests/test_salvage.py
+++ b/tests/test_salvage.py
@@ -38,7 +38,7 @@
     assert len(journal.pending) == 999
     (lost,) = set(range(1, 1001)) - set(journal.pending)
     (told,) = journal.damaged[FIRST]
-    assert told.ids == (f"id-{lost}",) and journal.doubted[FIRST] == [f"id-{n}" for n in range(1, lost)]
+    assert told.ids == (f"id-{lost}",) and journal.possibly_run[FIRST] == [f"id-{n}" for n in range(1, lost)]
     # What was on record before the damage may have had its *begun* there; what came after may not.
     assert all(one.may_have_run == (number < lost) for number, one in journal.pending.items())
     assert all(one.attempts <= 1 for one in journal.pending.values())
