--- a/springspread/__main__.py
+++ b/springspread/__main__.py
@@ -37,7 +37,7 @@
 GATE_S = 0.02  # how often a start looks whether it may let clients in
 
 
-def known_groups(config: Config) -> ListNews:
+def known_list(config: Config) -> ListNews:
     """The list as this sender last held it; none is as good as an empty one."""
     if config.known is None:
         return ListNews(Scope.CACHED)
@@ -51,7 +51,7 @@
     """Put the configuration as it now stands in force, whole; a bad one leaves all as it was."""
     try:
         config = load_again(running)
-        known_groups(config)
+        known_list(config)
     except Exception as exc:  # whatever the file holds, it must not end the program
         log.error("configuration not read again", error=str(exc) or repr(exc))
         return running
@@ -114,7 +114,7 @@
 
 def serve(config: Config, log: Log, flush: Callable[[], None]) -> int:
     """Serve until a signal ends it."""
-    known = known_groups(config)
+    known = known_list(config)
     limits, settings = config.limits, config.settings
     most, durable = settings.max_attempts, config.durability is Durability.POWER
     try:
--- a/springspread/cli/main.py
+++ b/springspread/cli/main.py
@@ -56,12 +56,12 @@
 @click.option("--json", "as_json", is_flag=True, help="One JSON object instead of lines.")
 def check(config: Path, as_json: bool) -> None:
     """Check a sender's configuration, whole, without starting it. Exits with 2 where it can't be used."""
-    from springspread.__main__ import known_groups
+    from springspread.__main__ import known_list
     from springspread.config import ConfigError, load
 
     try:
         read = load({**os.environ, "RELAY_CONFIG": str(config)})
-        known = known_groups(read)
+        known = known_list(read)
     except ConfigError as exc:
         click.echo(json.dumps({"usable": False, "fault": str(exc)}) if as_json else f"{config}: {exc}")
         sys.exit(2)
