--- a/springspread/admission/admission.py
+++ b/springspread/admission/admission.py
@@ -72,7 +72,7 @@
 def rules(limits: Limits) -> dict[Standing, Rule]:
     """The table of times, from the program's limits."""
     return {
-        Standing.NEW: Rule(limits.client_first_byte_ms, limits.client_speak_ms),
+        Standing.NEW: Rule(limits.client_first_byte_ms, limits.client_new_evictable_ms),
         Standing.READING: Rule(limits.client_brisk_ms, limits.client_half_ms),
         Standing.LAGGING: Rule(limits.client_read_ms - limits.client_brisk_ms, 0.0),
         Standing.WAITING: Rule(limits.verdict_ms),
@@ -233,7 +233,7 @@
         if self.closing and standing in (Standing.IDLE, Standing.KEPT):
             return 0.0
         if self.closing and standing is Standing.NEW:
-            return self._limits.client_speak_ms
+            return self._limits.client_new_evictable_ms
         return self._rules[standing].lasts_ms
 
     def due(self, now: float) -> Place | None:
--- a/springspread/config.py
+++ b/springspread/config.py
@@ -49,7 +49,7 @@
     return_after_s: float = 1.0  # a client that comes before they are let in is told to come back after this
     settle_ms: float = 1.0  # waited out between a start and the first client
     client_first_byte_ms: float = 1_300.0  # a connection that has sent nothing is ended after this
-    client_speak_ms: float = 50.0  # and is not asked to make room before this
+    client_new_evictable_ms: float = 50.0  # and is not asked to make room before this
     client_read_ms: float = 1_500.0  # from a request's first byte to its last
     client_half_ms: float = 100.0  # half a request is not asked to make room before this
     client_brisk_ms: float = 300.0  # one that takes longer lags, and may be asked to make room
--- a/springspread/net/listener.py
+++ b/springspread/net/listener.py
@@ -226,7 +226,7 @@
                     return None  # guards those who rest: the last newcomer has been let in by now
                 self._make_room(self._clients[room.ends])
                 continue
-            if room.at - now > 2 * self._limits.client_speak_ms and self._admission.may_turn_away():
+            if room.at - now > 2 * self._limits.client_new_evictable_ms and self._admission.may_turn_away():
                 return False
             if not self._closing:
                 self._pause(room.at)
--- a/tests/admission/test_admission.py
+++ b/tests/admission/test_admission.py
@@ -32,9 +32,9 @@
     limits = replace(LIMITS, client_connections=100)
     listener = Admission(limits)
     first, *_ = fill(listener, 100)
-    early = listener.room(LIMITS.client_speak_ms - 1)
-    assert (early.admit, early.ends, early.at) == (False, None, LIMITS.client_speak_ms)
-    assert listener.room(LIMITS.client_speak_ms).ends is first
+    early = listener.room(LIMITS.client_new_evictable_ms - 1)
+    assert (early.admit, early.ends, early.at) == (False, None, LIMITS.client_new_evictable_ms)
+    assert listener.room(LIMITS.client_new_evictable_ms).ends is first
 
 
 def test_newcomers_are_spared_for_as_long_as_the_places_allow_at_their_rate() -> None:
@@ -130,8 +130,8 @@
     listener.closing = True
     assert listener.due(1.0) is idle
     listener.leave(idle)
-    assert listener.due(1.0) is None and listener.next_due() == LIMITS.client_speak_ms
-    assert listener.due(LIMITS.client_speak_ms) is new
+    assert listener.due(1.0) is None and listener.next_due() == LIMITS.client_new_evictable_ms
+    assert listener.due(LIMITS.client_new_evictable_ms) is new
 
 
 def test_a_driver_that_takes_a_step_the_table_does_not_name_is_told() -> None:
@@ -192,7 +192,7 @@
         if room.at == inf:  # nobody but those who ask: each is over in its own time
             assert busy == LIMITS.client_connections
         else:
-            assert room.at - self.now <= max(LIMITS.client_brisk_ms, LIMITS.client_speak_ms)
+            assert room.at - self.now <= max(LIMITS.client_brisk_ms, LIMITS.client_new_evictable_ms)
 
     @precondition(lambda self: len(self.listener) > 0)
     @rule(number=st.integers(0, 7), standing=st.sampled_from(list(Standing)), much=st.integers(0, 300))
