--- a/springspread/admission/admission.py
+++ b/springspread/admission/admission.py
@@ -73,7 +73,7 @@
     """The table of times, from the program's limits."""
     return {
         Standing.NEW: Rule(limits.client_first_byte_ms, limits.client_new_evictable_ms),
-        Standing.READING: Rule(limits.client_brisk_ms, limits.client_half_ms),
+        Standing.READING: Rule(limits.client_brisk_ms, limits.client_partial_evictable_ms),
         Standing.LAGGING: Rule(limits.client_read_ms - limits.client_brisk_ms, 0.0),
         Standing.WAITING: Rule(limits.verdict_ms),
         Standing.ANSWERED: Rule(limits.client_write_ms, limits.client_brisk_ms),
--- a/springspread/config.py
+++ b/springspread/config.py
@@ -51,7 +51,7 @@
     client_first_byte_ms: float = 1_300.0  # a connection that has sent nothing is ended after this
     client_new_evictable_ms: float = 50.0  # and is not asked to make room before this
     client_read_ms: float = 1_500.0  # from a request's first byte to its last
-    client_half_ms: float = 100.0  # half a request is not asked to make room before this
+    client_partial_evictable_ms: float = 100.0  # half a request is not asked to make room before this
     client_brisk_ms: float = 300.0  # one that takes longer lags, and may be asked to make room
     client_least_bytes_s: int = 200  # and has come at this rate at least
     client_bytes: int = 16 * 1024 * 1024  # kept of unfinished requests, of all clients together
