--- a/springspread/admission/admission.py
+++ b/springspread/admission/admission.py
@@ -79,7 +79,7 @@
         Standing.ANSWERED: Rule(limits.client_write_ms, limits.client_brisk_ms),
         Standing.IDLE: Rule(limits.client_idle_ms, 0.0),
         Standing.KEPT: Rule(limits.client_idle_ms, 0.0),
-        Standing.LEAVING: Rule(limits.client_linger_ms, limits.client_left_ms),
+        Standing.LEAVING: Rule(limits.client_linger_ms, limits.client_closing_evictable_ms),
     }
 
 
--- a/springspread/config.py
+++ b/springspread/config.py
@@ -56,7 +56,9 @@
     client_least_bytes_s: int = 200  # and has come at this rate at least
     client_bytes: int = 16 * 1024 * 1024  # kept of unfinished requests, of all clients together
     client_idle_ms: float = 2_000.0  # between requests
-    client_left_ms: float = 20.0  # one that was told its last answer is not asked to make room before this
+    client_closing_evictable_ms: float = (
+        20.0  # one that was told its last answer is not asked to make room before this
+    )
     client_linger_ms: float = 200.0
     linger_bytes: int = 1024 * 1024
     group_kept_ms: float = 60_000.0  # a destination is known for so long without an endpoint
--- a/tests/admission/test_admission.py
+++ b/tests/admission/test_admission.py
@@ -92,7 +92,7 @@
     fill(listener, 2)
     assert len(listener) == LIMITS.client_connections + LIMITS.client_spares
     listener.step(places[2], Standing.LEAVING, 0.0)
-    asked = listener.room(LIMITS.client_left_ms)
+    asked = listener.room(LIMITS.client_closing_evictable_ms)
     assert asked.ends is places[0]
 
 
