--- a/springspread/admission/admission.py
+++ b/springspread/admission/admission.py
@@ -73,10 +73,10 @@
     """The table of times, from the program's limits."""
     return {
         Standing.NEW: Rule(limits.client_first_byte_ms, limits.client_new_evictable_ms),
-        Standing.READING: Rule(limits.client_brisk_ms, limits.client_partial_evictable_ms),
-        Standing.LAGGING: Rule(limits.client_read_ms - limits.client_brisk_ms, 0.0),
+        Standing.READING: Rule(limits.client_slow_ms, limits.client_partial_evictable_ms),
+        Standing.LAGGING: Rule(limits.client_read_ms - limits.client_slow_ms, 0.0),
         Standing.WAITING: Rule(limits.verdict_ms),
-        Standing.ANSWERED: Rule(limits.client_write_ms, limits.client_brisk_ms),
+        Standing.ANSWERED: Rule(limits.client_write_ms, limits.client_slow_ms),
         Standing.IDLE: Rule(limits.client_idle_ms, 0.0),
         Standing.KEPT: Rule(limits.client_idle_ms, 0.0),
         Standing.LEAVING: Rule(limits.client_linger_ms, limits.client_closing_evictable_ms),
@@ -222,7 +222,7 @@
 
     def lags(self, place: Place) -> bool:
         """Whether a request that has just come to lag came slower than the least rate from its begin on."""
-        return place.held * 1000.0 < self._limits.client_least_bytes_s * self._limits.client_brisk_ms
+        return place.held * 1000.0 < self._limits.client_least_bytes_s * self._limits.client_slow_ms
 
     def leave(self, place: Place) -> None:
         """The connection is gone."""
--- a/tests/admission/test_admission.py
+++ b/tests/admission/test_admission.py
@@ -116,7 +116,7 @@
     listener = Admission(LIMITS)
     (place,) = fill(listener, 1)
     listener.step(place, Standing.READING, 0.0)
-    least = int(LIMITS.client_least_bytes_s * LIMITS.client_brisk_ms / 1000)
+    least = int(LIMITS.client_least_bytes_s * LIMITS.client_slow_ms / 1000)
     for much, lags in ((1, True), (least - 1, True), (least, False)):
         listener.keep(place, much)
         assert listener.lags(place) is lags
@@ -192,7 +192,7 @@
         if room.at == inf:  # nobody but those who ask: each is over in its own time
             assert busy == LIMITS.client_connections
         else:
-            assert room.at - self.now <= max(LIMITS.client_brisk_ms, LIMITS.client_new_evictable_ms)
+            assert room.at - self.now <= max(LIMITS.client_slow_ms, LIMITS.client_new_evictable_ms)
 
     @precondition(lambda self: len(self.listener) > 0)
     @rule(number=st.integers(0, 7), standing=st.sampled_from(list(Standing)), much=st.integers(0, 300))
