--- a/springspread/admission/admission.py
+++ b/springspread/admission/admission.py
@@ -222,7 +222,7 @@
 
     def lags(self, place: Place) -> bool:
         """Whether a request that has just come to lag came slower than the least rate from its begin on."""
-        return place.held * 1000.0 < self._limits.client_least_bytes_s * self._limits.client_slow_ms
+        return place.held * 1000.0 < self._limits.client_min_bytes_s * self._limits.client_slow_ms
 
     def leave(self, place: Place) -> None:
         """The connection is gone."""
--- a/springspread/config.py
+++ b/springspread/config.py
@@ -53,7 +53,7 @@
     client_read_ms: float = 1_500.0  # from a request's first byte to its last
     client_partial_evictable_ms: float = 100.0  # half a request is not asked to make room before this
     client_slow_ms: float = 300.0  # one that takes longer lags, and may be asked to make room
-    client_least_bytes_s: int = 200  # and has come at this rate at least
+    client_min_bytes_s: int = 200  # and has come at this rate at least
     client_bytes: int = 16 * 1024 * 1024  # kept of unfinished requests, of all clients together
     client_idle_ms: float = 2_000.0  # between requests
     client_closing_evictable_ms: float = (
--- a/tests/admission/test_admission.py
+++ b/tests/admission/test_admission.py
@@ -116,7 +116,7 @@
     listener = Admission(LIMITS)
     (place,) = fill(listener, 1)
     listener.step(place, Standing.READING, 0.0)
-    least = int(LIMITS.client_least_bytes_s * LIMITS.client_slow_ms / 1000)
+    least = int(LIMITS.client_min_bytes_s * LIMITS.client_slow_ms / 1000)
     for much, lags in ((1, True), (least - 1, True), (least, False)):
         listener.keep(place, much)
         assert listener.lags(place) is lags
