--- a/springspread/admission/admission.py
+++ b/springspread/admission/admission.py
@@ -140,7 +140,7 @@
         everyone = len(self)
         if (
             everyone - leaving < self._limits.client_connections
-            and everyone < self._limits.client_connections + self._limits.client_spares
+            and everyone < self._limits.client_connections + self._limits.client_closing_connections
         ):
             return Room(True)
         return self._makes_room(now)
@@ -148,7 +148,10 @@
     def _makes_room(self, now: float) -> Room:
         soonest = inf
         for standing in ROOM:
-            if standing is Standing.LEAVING and self.count(standing) <= self._limits.client_spares:
+            if (
+                standing is Standing.LEAVING
+                and self.count(standing) <= self._limits.client_closing_connections
+            ):
                 continue  # these stand on the spares and take nobody's place
             head = next(iter(self._lines[standing]), None)
             if head is None:
@@ -170,7 +173,7 @@
 
     def may_turn_away(self) -> bool:
         """Whether there is a spare descriptor for somebody who is only told to come again."""
-        return len(self) < self._limits.client_connections + self._limits.client_spares
+        return len(self) < self._limits.client_connections + self._limits.client_closing_connections
 
     def enter(self, now: float, standing: Standing = Standing.NEW) -> Place:
         """Give a newcomer its place; LEAVING for one that is turned away."""
--- a/springspread/config.py
+++ b/springspread/config.py
@@ -38,7 +38,7 @@
     stack_bytes: int = 384 * 1024  # deeply nested JSON takes 128 to 160 KiB before Python stops it
     disk_bytes: int = 3 * 1024 * 1024
     client_connections: int = 480
-    client_spares: int = 32  # above those: the ones that were told their last answer
+    client_closing_connections: int = 32  # above those: the ones that were told their last answer
     operator_connections: int = 28
     backlog: int = 1024  # hundreds that connect at once wait in the system's line, not for its next try
     idle_connections: int = 128
@@ -90,7 +90,11 @@
     spares = max(limits.operator_connections // 7, 1)
     places = max(limits.operator_connections - spares, 1)
     return replace(
-        Limits(), client_connections=places, client_spares=spares, body_bytes=4096, length_needed=False
+        Limits(),
+        client_connections=places,
+        client_closing_connections=spares,
+        body_bytes=4096,
+        length_needed=False,
     )
 
 
@@ -268,12 +272,12 @@
     # kept connections a quarter. Requests that are not whole get an eighth of the memory.
     operator_connections = min(base.operator_connections, sockets // 12)
     sockets = min(sockets, int((sockets - OWN_DESCRIPTORS - operator_connections) / SHARED_OUT))
-    spares = min(base.client_spares, sockets // 24)
+    spares = min(base.client_closing_connections, sockets // 24)
     return replace(
         base,
         disk_bytes=int(disk_mb * 1_000_000),
         client_connections=max(8, min(base.client_connections, sockets // 3 - spares)),
-        client_spares=spares,
+        client_closing_connections=spares,
         operator_connections=operator_connections,
         client_bytes=int(memory_mb * 1024 * 1024 / 8),
         workers=min(base.workers, max(2, sockets // 8)),
--- a/springspread/net/listener.py
+++ b/springspread/net/listener.py
@@ -248,7 +248,10 @@
             self._spent(client)
         elif not self._heard_last(client):
             self._finish(client)
-            if client.open and self._admission.count(Standing.LEAVING) > self._limits.client_spares:
+            if (
+                client.open
+                and self._admission.count(Standing.LEAVING) > self._limits.client_closing_connections
+            ):
                 self._spent(client)  # the descriptors for those who linger are used up
         self._ended += 1
         if clock() - self._told_at >= TELL_MS:  # guards the log: such clients come by the hundred
--- a/tests/admission/test_admission.py
+++ b/tests/admission/test_admission.py
@@ -13,7 +13,7 @@
 from springspread.admission.admission import ROOM, STEPS, Admission, Misuse, Place, Standing, rules
 from springspread.config import Limits
 
-LIMITS = replace(Limits(), client_connections=6, client_spares=2, client_bytes=1000)
+LIMITS = replace(Limits(), client_connections=6, client_closing_connections=2, client_bytes=1000)
 RULES = rules(LIMITS)
 SAFE = (Standing.WAITING,)
 
@@ -90,7 +90,7 @@
         listener.step(place, Standing.LEAVING, 0.0)
     assert listener.room(0.0).admit
     fill(listener, 2)
-    assert len(listener) == LIMITS.client_connections + LIMITS.client_spares
+    assert len(listener) == LIMITS.client_connections + LIMITS.client_closing_connections
     listener.step(places[2], Standing.LEAVING, 0.0)
     asked = listener.room(LIMITS.client_closing_evictable_ms)
     assert asked.ends is places[0]
@@ -186,7 +186,7 @@
             assert room.ends.since + spared <= self.now
             self.listener.leave(room.ends)
             seen += 1
-            assert seen <= LIMITS.client_connections + LIMITS.client_spares
+            assert seen <= LIMITS.client_connections + LIMITS.client_closing_connections
         assert room.at > self.now
         busy = sum(map(self.listener.count, SAFE))
         if room.at == inf:  # nobody but those who ask: each is over in its own time
@@ -217,7 +217,7 @@
     def the_caps_hold(self) -> None:
         leaving = self.listener.count(Standing.LEAVING)
         assert len(self.listener) - leaving <= LIMITS.client_connections
-        assert len(self.listener) <= LIMITS.client_connections + LIMITS.client_spares
+        assert len(self.listener) <= LIMITS.client_connections + LIMITS.client_closing_connections
         assert self.listener.held == sum(place.held for place in self.listener)
 
     @invariant()
--- a/tests/test_config.py
+++ b/tests/test_config.py
@@ -127,8 +127,13 @@
     raw = make(tmp_path)
     raw["limits"]["sockets"] = sockets
     limits = config.read(raw, {}).limits
-    shared = limits.client_connections + limits.client_spares + limits.workers + limits.idle_connections
+    shared = (
+        limits.client_connections
+        + limits.client_closing_connections
+        + limits.workers
+        + limits.idle_connections
+    )
     assert shared + limits.operator_connections + config.OWN_DESCRIPTORS <= sockets
     own = config.operators(limits)
-    assert own.client_connections + own.client_spares <= max(limits.operator_connections, 2)
+    assert own.client_connections + own.client_closing_connections <= max(limits.operator_connections, 2)
     assert min(limits.client_connections, limits.workers, limits.idle_connections) >= 2
--- a/tests/test_ending.py
+++ b/tests/test_ending.py
@@ -276,7 +276,7 @@
     from springspread.platform.intake import Intake
     from tests.test_spoilt import Silent
 
-    limits = replace(Limits(), client_connections=2, client_spares=4, client_idle_ms=60_000.0)
+    limits = replace(Limits(), client_connections=2, client_closing_connections=4, client_idle_ms=60_000.0)
     listener = Listener(listening(("127.0.0.1", 0), limits), Intake(lambda _: None), limits, Silent())
     health = b"GET /_health HTTP/1.1\r\nHost: x\r\n\r\n"
     resting = []
