--- a/springspread/config.py
+++ b/springspread/config.py
@@ -69,7 +69,9 @@
     reuse_once: float = 0.03  # a call that may run once takes this chance of a stale connection, no more:
     reuse_repeat: float = 0.25  # a handshake costs 0.04 of a message; one that may be repeated loses less
     break_ms: float = 30.0  # a connection that ends sooner under a call was likely dead before it
-    hold_least_ms: float = 2.5  # the last byte of a call that may run once is held back so long at least
+    last_byte_hold_min_ms: float = (
+        2.5  # the last byte of a call that may run once is held back so long at least
+    )
     hold_most_ms: float = 50.0
     answer_rest_ms: float = 500.0  # from an answer's first bytes to its end
     idle_ms: float = 3_500.0
