--- a/springspread/net/exchange.py
+++ b/springspread/net/exchange.py
@@ -110,7 +110,7 @@
     def _listen(self, until: float) -> None:
         # Guards what may run only once: a call begins with its last byte, so whatever breaks before that
         # byte is written proves that it never ran, and only then.
-        least, most = self._limits.last_byte_hold_min_ms, self._limits.hold_most_ms
+        least, most = self._limits.last_byte_hold_min_ms, self._limits.last_byte_hold_max_ms
         hold = min(max(1.5 * self.round_trip_ms, least), most)
         self.sock.settimeout(seconds(min(until, clock() + hold)))
         try:
--- a/tests/test_last_byte.py
+++ b/tests/test_last_byte.py
@@ -75,7 +75,7 @@
 
 # The last byte is held until the endpoint's end has come, however busy the machine is: with the program's own
 # few milliseconds the endpoint's thread would have to be faster than they are.
-PATIENT = Limits(last_byte_hold_min_ms=500.0, hold_most_ms=500.0)
+PATIENT = Limits(last_byte_hold_min_ms=500.0, last_byte_hold_max_ms=500.0)
 
 
 class Rig:
@@ -144,4 +144,4 @@
     for _ in range(10):
         assert rig.call(safe=False) is Result.DELIVERED
     held = (time.monotonic() - begun) / 10
-    assert 0.001 * Limits().last_byte_hold_min_ms <= held < 0.001 * Limits().hold_most_ms
+    assert 0.001 * Limits().last_byte_hold_min_ms <= held < 0.001 * Limits().last_byte_hold_max_ms
