--- a/springspread/net/endpoints.py
+++ b/springspread/net/endpoints.py
@@ -312,7 +312,7 @@
 
     def _broke(self, call: Call, connection: Connection, written: float) -> bool:
         """Note a connection that ended soon, without a byte of an answer, and not by our own hand."""
-        soon = clock() - written < self._limits.break_ms
+        soon = clock() - written < self._limits.stale_break_ms
         if not soon or connection.heard or not self._clear(call):
             return False
         self._kept.heard(call.endpoint, connection.idle_ms, True)
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -239,7 +239,9 @@
     it = bench(script)
     call = it.start(safe=False)
     until(lambda: it.endpoint.requests, "the request is there, whole")
-    until(lambda: clock() - call.sent_at > 2 * Limits().break_ms, "it is no break of an idle connection")
+    until(
+        lambda: clock() - call.sent_at > 2 * Limits().stale_break_ms, "it is no break of an idle connection"
+    )
     go.set()
     assert it.result() is Result.BROKEN  # not 'not connected': it may have run
     it.still_works()
