--- a/springspread/config.py
+++ b/springspread/config.py
@@ -66,7 +66,9 @@
     verdict_ms: float = 380.0
     connect_ms: float = 1_000.0
     endpoint_write_ms: float = 2_000.0  # a request not taken by its endpoint within this never ran
-    reuse_once: float = 0.03  # a call that may run once takes this chance of a stale connection, no more:
+    stale_risk_once: float = (
+        0.03  # a call that may run once takes this chance of a stale connection, no more:
+    )
     reuse_repeat: float = 0.25  # a handshake costs 0.04 of a message; one that may be repeated loses less
     stale_break_ms: float = 30.0  # a connection that ends sooner under a call was likely dead before it
     last_byte_hold_min_ms: float = (
