--- a/springspread/config.py
+++ b/springspread/config.py
@@ -69,7 +69,9 @@
     stale_risk_once: float = (
         0.03  # a call that may run once takes this chance of a stale connection, no more:
     )
-    reuse_repeat: float = 0.25  # a handshake costs 0.04 of a message; one that may be repeated loses less
+    stale_risk_repeatable: float = (
+        0.25  # a handshake costs 0.04 of a message; one that may be repeated loses less
+    )
     stale_break_ms: float = 30.0  # a connection that ends sooner under a call was likely dead before it
     last_byte_hold_min_ms: float = (
         2.5  # the last byte of a call that may run once is held back so long at least
--- a/springspread/net/endpoints.py
+++ b/springspread/net/endpoints.py
@@ -53,7 +53,7 @@
 
     def __init__(self, limits: Limits, figures: Figures) -> None:
         self._limits, self._figures = limits, figures
-        self._reuse = Reuse(Bounds(limits.stale_risk_once, limits.reuse_repeat))
+        self._reuse = Reuse(Bounds(limits.stale_risk_once, limits.stale_risk_repeatable))
         self._lock = threading.Lock()
         self._idle: dict[int, list[Connection]] = {}
 
