--- a/springspread/config.py
+++ b/springspread/config.py
@@ -77,7 +77,7 @@
         2.5  # the last byte of a call that may run once is held back so long at least
     )
     last_byte_hold_max_ms: float = 50.0
-    answer_rest_ms: float = 500.0  # from an answer's first bytes to its end
+    answer_read_ms: float = 500.0  # from an answer's first bytes to its end
     idle_ms: float = 3_500.0
     watch_ms: float = 5_000.0
     notice_ms: float = 1_000.0
--- a/springspread/net/exchange.py
+++ b/springspread/net/exchange.py
@@ -126,7 +126,7 @@
             if until <= clock():
                 raise LateError
             if self._machine.begun:
-                rest = min(rest, clock() + self._limits.answer_rest_ms)
+                rest = min(rest, clock() + self._limits.answer_read_ms)
             self.sock.settimeout(seconds(min(until, rest)))
             try:
                 data = self.sock.recv(self._limits.read_bytes)
--- a/tests/test_slow_endpoints.py
+++ b/tests/test_slow_endpoints.py
@@ -17,7 +17,7 @@
 from tests.peer import until
 from tests.test_spoilt import Free, Silent
 
-LIMITS = replace(Limits(), endpoint_write_ms=300.0, answer_rest_ms=300.0)
+LIMITS = replace(Limits(), endpoint_write_ms=300.0, answer_read_ms=300.0)
 Habit = Callable[[socket.socket], None]
 
 
