--- a/springspread/config.py
+++ b/springspread/config.py
@@ -84,7 +84,7 @@
     notice_retry_ms: float = 100.0
     drain_margin_ms: float = 350.0  # held up for 150 ms at the list, 150 before a first byte, and 50 besides
     accept_after_stop_ms: float = 500.0
-    drain_let_go_ms: float = 600.0  # from an operator's drain until clients' connections are ended
+    drain_close_ms: float = 600.0  # from an operator's drain until clients' connections are ended
     deadline_margin_ms: float = 60.0  # how far the client's count of a message's time may be ahead
     stop_ms: float = 3_400.0
     stop_unsafe_ms: float = 2_000.0
--- a/springspread/net/listener.py
+++ b/springspread/net/listener.py
@@ -117,7 +117,7 @@
 
     def drain(self, active: bool) -> None:
         """Send clients away, a while after they have been told at their front, or take them again."""
-        self._let_go_at = clock() + self._limits.drain_let_go_ms if active else inf
+        self._let_go_at = clock() + self._limits.drain_close_ms if active else inf
         self._ring()
 
     @property
