--- a/springspread/config.py
+++ b/springspread/config.py
@@ -61,7 +61,7 @@
     )
     client_linger_ms: float = 200.0
     linger_bytes: int = 1024 * 1024
-    group_kept_ms: float = 60_000.0  # a destination is known for so long without an endpoint
+    destination_retention_ms: float = 60_000.0  # a destination is known for so long without an endpoint
     client_write_ms: float = 2_000.0
     verdict_ms: float = 380.0
     connect_ms: float = 1_000.0
--- a/springspread/core/loop.py
+++ b/springspread/core/loop.py
@@ -83,7 +83,7 @@
         self._numbers: dict[str, int] = {}  # of all that is owed, notices that are out included
         self._recent: OrderedDict[str, bool] = OrderedDict()  # lately over: whether it was delivered
         self._calls: dict[Call, int] = {}
-        self._destinations = KnownDestinations(config.limits.group_kept_ms, clock)
+        self._destinations = KnownDestinations(config.limits.destination_retention_ms, clock)
         self._unconfirmed: list[Message] = []  # taken on in this batch, and not told before it is on disk
         self._timers: list[tuple[float, int]] = []
         self._stop_at = float("inf")
