--- a/springspread/config.py
+++ b/springspread/config.py
@@ -43,7 +43,7 @@
     backlog: int = 1024  # hundreds that connect at once wait in the system's line, not for its next try
     idle_connections: int = 128
     workers: int = 128
-    recent_ends: int = 2048
+    recent_results: int = 2048
     notices_in_call: int = 64
     log_lines: int = 1000
     return_after_s: float = 1.0  # a client that comes before they are let in is told to come back after this
--- a/springspread/core/loop.py
+++ b/springspread/core/loop.py
@@ -497,7 +497,7 @@
         self.start.ended(owed.number)
         self._numbers.pop(owed.id, None)
         self._recent[owed.id] = delivered
-        if len(self._recent) > self._limits.recent_ends:
+        if len(self._recent) > self._limits.recent_results:
             self._recent.popitem(last=False)
 
     def _end(self, number: int, *, deferred: bool, again_ms: float = 0.0) -> None:
--- a/tests/test_core.py
+++ b/tests/test_core.py
@@ -291,7 +291,7 @@
     while any(now > then for now, then in zip(sizes(), before, strict=True)) and t.clock() < end:
         serve()
     assert all(now <= then for now, then in zip(sizes(), before, strict=True)), (sizes(), before)
-    assert len(sender._recent) <= rig.config.limits.recent_ends
+    assert len(sender._recent) <= rig.config.limits.recent_results
 
 
 def test_a_message_that_waits_takes_a_route_that_is_listed_later(tmp_path: Path) -> None:
