--- a/springspread/config.py
+++ b/springspread/config.py
@@ -30,7 +30,7 @@
     """Every bound of the program (sizes, counts, times in milliseconds), handed down from the start."""
 
     body_bytes: int = 64 * 1024
-    length_needed: bool = True  # a request with a body has to state its length
+    length_required: bool = True  # a request with a body has to state its length
     head_bytes: int = 16 * 1024
     answer_bytes: int = 256 * 1024
     interim_answers: int = 16
@@ -100,7 +100,7 @@
         client_connections=places,
         client_closing_connections=spares,
         body_bytes=4096,
-        length_needed=False,
+        length_required=False,
     )
 
 
--- a/springspread/http1/server.py
+++ b/springspread/http1/server.py
@@ -109,7 +109,7 @@
         if "transfer-encoding" in headers or "host" in headers.doubled:
             raise Malformed("a body of unknown length, or two hosts")
         size = content_length(headers)
-        if size is None and parts[0] not in BODILESS and self._limits.length_needed:
+        if size is None and parts[0] not in BODILESS and self._limits.length_required:
             raise Malformed("a body of no stated length", 411)
         size = size or 0
         if size > self._limits.body_bytes:
