--- a/springspread/__main__.py
+++ b/springspread/__main__.py
@@ -12,7 +12,16 @@
 from functools import partial
 from typing import TYPE_CHECKING
 
-from springspread.config import Address, Config, ConfigError, Durability, Limits, load, load_again, operators
+from springspread.config import (
+    Address,
+    Config,
+    ConfigError,
+    Durability,
+    Limits,
+    load,
+    operators,
+    reload_config,
+)
 from springspread.core.clearance import Clearance
 from springspread.core.clock import SYSTEM
 from springspread.core.figures import Figures
@@ -50,7 +59,7 @@
 def reload(running: Config, moved: Sequence[Watcher | Notices], log: Log) -> Config:
     """Put the configuration as it now stands in force, whole; a bad one leaves all as it was."""
     try:
-        config = load_again(running)
+        config = reload_config(running)
         known_list(config)
     except Exception as exc:  # whatever the file holds, it must not end the program
         log.error("configuration not read again", error=str(exc) or repr(exc))
--- a/springspread/config.py
+++ b/springspread/config.py
@@ -177,7 +177,7 @@
     return raw
 
 
-def load_again(running: Config, env: Mapping[str, str] = os.environ) -> Config:
+def reload_config(running: Config, env: Mapping[str, str] = os.environ) -> Config:
     """Read the file again for a program that runs; what can't change under it must be as it was."""
     new = load(env)
     for item in fields(Config):
