--- a/springspread/config.py
+++ b/springspread/config.py
@@ -158,10 +158,10 @@
 
 def load(env: Mapping[str, str] = os.environ) -> Config:
     """Read the environment and the file that it names."""
-    return read(decoded(env), env)
+    return read(load_raw(env), env)
 
 
-def decoded(env: Mapping[str, str]) -> dict[str, object]:
+def load_raw(env: Mapping[str, str]) -> dict[str, object]:
     """The file that the environment names, decoded and not yet checked."""
     where = env.get("RELAY_CONFIG")
     if not where:
--- a/springspread/faults/sabotage.py
+++ b/springspread/faults/sabotage.py
@@ -12,7 +12,7 @@
 from pathlib import Path
 from typing import Any
 
-from springspread.config import decoded
+from springspread.config import load_raw
 from springspread.faults.schedule import Act, Kind
 from springspread.fleet.allocator_server import AllocatorServer
 from springspread.fleet.client import FleetShares
@@ -68,7 +68,7 @@
 
 
 def _forgets_what_it_took() -> None:
-    state = Path(str(decoded(os.environ)["state"]))  # the folder stays: without it no instance ever serves
+    state = Path(str(load_raw(os.environ)["state"]))  # the folder stays: without it no instance ever serves
     for file in state.glob("*"):
         file.unlink()
 
--- a/springspread/fleet/fit.py
+++ b/springspread/fleet/fit.py
@@ -7,7 +7,7 @@
 from collections.abc import Mapping
 from dataclasses import fields, replace
 
-from springspread.config import Config, ConfigError, decoded, read
+from springspread.config import Config, ConfigError, load_raw, read
 from springspread.core.journal import Journal
 from springspread.core.journal_ownership import OwnedJournals
 from springspread.interface import Settings
@@ -28,7 +28,7 @@
     Raises ``ConfigError``, which begins with the key, where the process can't use them: they are faulty,
     change what serves a start, or leave no class or no room for a message that it holds.
     """
-    new = read({**decoded(env), "settings": json.loads(text)["settings"]}, env)
+    new = read({**load_raw(env), "settings": json.loads(text)["settings"]}, env)
     for bound in fields(new.limits):
         if getattr(new.limits, bound.name) != getattr(running.limits, bound.name):
             key = KEYS.get(bound.name, f"({bound.name})")
