--- a/springspread/__main__.py
+++ b/springspread/__main__.py
@@ -19,7 +19,7 @@
     Durability,
     Limits,
     load,
-    operators,
+    operator_limits,
     reload_config,
 )
 from springspread.core.clearance import Clearance
@@ -102,7 +102,7 @@
     """Answer operators from now on."""
     from springspread.platform.management import Management
 
-    limits = operators(limits)
+    limits = operator_limits(limits)
     try:
         Listener(listening(address, limits), Management(intake, figures, sender, listener.drain), limits, log)
     except OSError as exc:
--- a/springspread/config.py
+++ b/springspread/config.py
@@ -91,7 +91,7 @@
     stop_safe_ms: float = 500.0
 
 
-def operators(limits: Limits) -> Limits:
+def operator_limits(limits: Limits) -> Limits:
     """The bounds of the operators' listener: few callers, who may connect and say nothing."""
     spares = max(limits.operator_connections // 7, 1)
     places = max(limits.operator_connections - spares, 1)
--- a/tests/test_config.py
+++ b/tests/test_config.py
@@ -134,6 +134,6 @@
         + limits.idle_connections
     )
     assert shared + limits.operator_connections + config.OWN_DESCRIPTORS <= sockets
-    own = config.operators(limits)
+    own = config.operator_limits(limits)
     assert own.client_connections + own.client_closing_connections <= max(limits.operator_connections, 2)
     assert min(limits.client_connections, limits.workers, limits.idle_connections) >= 2
