--- a/springspread/__main__.py
+++ b/springspread/__main__.py
@@ -162,7 +162,7 @@
     # Guards deadlines: where a start's processor time is charged to the clock, it may be ahead of the world
     # until a wait has ended, and whatever is taken on before that would be given up too late.
     SYSTEM.sleep(limits.settle_ms)
-    intake = Intake(sender.put, limits.return_after_s, figures)
+    intake = Intake(sender.put, limits.retry_after_s, figures)
     try:
         listener = Listener(inherited() or listening(config.listen, limits), intake, limits, log)
     except OSError as exc:
--- a/springspread/config.py
+++ b/springspread/config.py
@@ -46,7 +46,7 @@
     recent_results: int = 2048
     notices_in_call: int = 64
     log_lines: int = 1000
-    return_after_s: float = 1.0  # a client that comes before they are let in is told to come back after this
+    retry_after_s: float = 1.0  # a client that comes before they are let in is told to come back after this
     settle_ms: float = 1.0  # waited out between a start and the first client
     client_first_byte_ms: float = 1_300.0  # a connection that has sent nothing is ended after this
     client_new_evictable_ms: float = 50.0  # and is not asked to make room before this
