--- a/springspread/checked.py
+++ b/springspread/checked.py
@@ -20,7 +20,7 @@
     return rtoml.loads(path.read_text())
 
 
-class Strict(BaseModel):
+class StrictModel(BaseModel):
     """No unknown keys, no numbers in quotes."""
 
     model_config = ConfigDict(extra="forbid", frozen=True, strict=True)
--- a/springspread/experiments/plan.py
+++ b/springspread/experiments/plan.py
@@ -14,7 +14,7 @@
 from pydantic import Field, ValidationError, field_validator, model_validator
 
 from springspread import policy
-from springspread.checked import PlanError, Strict, faults_of, meant, read_toml
+from springspread.checked import PlanError, StrictModel, faults_of, meant, read_toml
 from springspread.simulator.day import ANY, TROUBLES, Day, draw
 
 MOST_RUNS = 10_000
@@ -31,7 +31,7 @@
 """The decision module's numbers, which an arm may set."""
 
 
-class Knobs(Strict):
+class Knobs(StrictModel):
     """What a day is drawn with. Times are milliseconds, rates are per second, shares are 0 to 1."""
 
     senders: Annotated[int, Field(ge=1, le=1000)] = 3
@@ -84,7 +84,7 @@
 """The keys of a plan's tables, for whoever meant another one."""
 
 
-class Plan(Strict):
+class Plan(StrictModel):
     """An experiment: seeds, what all days share, what varies, and arms that are played on the same days."""
 
     name: Word
--- a/springspread/fleet/plan.py
+++ b/springspread/fleet/plan.py
@@ -8,7 +8,7 @@
 
 from pydantic import BeforeValidator, Field, ValidationError
 
-from springspread.checked import PlanError, Strict, faults_of, read_toml
+from springspread.checked import PlanError, StrictModel, faults_of, read_toml
 from springspread.fleet.limits import MAX_CALLS, MAX_SPAN_MS, MIN_SPAN_MS, Limit, LimitMode
 from springspread.fleet.members import Pauses
 from springspread.garbage import collector_paused
@@ -23,7 +23,7 @@
     """A file that is over a bound of its size; the text names the key and the bound."""
 
 
-class LimitEntry(Strict):
+class LimitEntry(StrictModel):
     """So many calls in any span, whatever number of instances makes them."""
 
     calls: Annotated[int, Field(ge=1, le=MAX_CALLS)]
@@ -36,7 +36,7 @@
         return Limit(self.calls, self.span_ms, self.mode)
 
 
-class Restarts(Strict):
+class Restarts(StrictModel):
     """How soon instances that died are started again."""
 
     first_ms: Annotated[float, Field(ge=10.0, le=60_000.0)] = 100.0
@@ -45,14 +45,14 @@
     stop_ms: Annotated[float, Field(ge=3_500.0, le=60_000.0)] = 4_000.0
 
 
-class PolicyTimes(Strict):
+class PolicyTimes(StrictModel):
     """How long a right to act lasts while nobody renews it, and how long votes may take."""
 
     lease_ms: Annotated[float, Field(ge=1_000.0, le=600_000.0)] = 5_000.0
     vote_ms: Annotated[float, Field(ge=50.0, le=60_000.0)] = 300.0
 
 
-class Recovery(Strict):
+class Recovery(StrictModel):
     """The longest wait at each gate of an instance's start (``core.gates``), and how many start at once."""
 
     clock_ms: Annotated[float, Field(ge=0.0, le=600_000.0)] = 2_000.0
@@ -67,7 +67,7 @@
         return {key: value for key, value in self.model_dump().items() if key != "at_once"}
 
 
-class FleetPlan(Strict):
+class FleetPlan(StrictModel):
     """A fleet: its folder, its size, the configuration that instances share, and the limits that bind all."""
 
     folder: Path = Field(strict=False)
