--- a/springspread/checked.py
+++ b/springspread/checked.py
@@ -26,7 +26,7 @@
     model_config = ConfigDict(extra="forbid", frozen=True, strict=True)
 
 
-def faults_of(
+def format_errors(
     exc: ValidationError, known: Sequence[str], parts: Mapping[str, Sequence[str]] | None = None
 ) -> str:
     """A line for each fault; ``known`` are the keys of the file's top, ``parts`` those of its tables."""
--- a/springspread/experiments/plan.py
+++ b/springspread/experiments/plan.py
@@ -14,7 +14,7 @@
 from pydantic import Field, ValidationError, field_validator, model_validator
 
 from springspread import policy
-from springspread.checked import PlanError, StrictModel, faults_of, meant, read_toml
+from springspread.checked import PlanError, StrictModel, format_errors, meant, read_toml
 from springspread.simulator.day import ANY, TROUBLES, Day, draw
 
 MOST_RUNS = 10_000
@@ -155,4 +155,4 @@
     try:
         return Plan.model_validate(raw)
     except ValidationError as exc:
-        raise PlanError(faults_of(exc, list(Plan.model_fields), PARTS)) from exc
+        raise PlanError(format_errors(exc, list(Plan.model_fields), PARTS)) from exc
--- a/springspread/fleet/plan.py
+++ b/springspread/fleet/plan.py
@@ -8,7 +8,7 @@
 
 from pydantic import BeforeValidator, Field, ValidationError
 
-from springspread.checked import PlanError, StrictModel, faults_of, read_toml
+from springspread.checked import PlanError, StrictModel, format_errors, read_toml
 from springspread.fleet.limits import MAX_CALLS, MAX_SPAN_MS, MIN_SPAN_MS, Limit, LimitMode
 from springspread.fleet.members import Pauses
 from springspread.garbage import collector_paused
@@ -127,7 +127,7 @@
     except OSError as exc:
         raise PlanError(f"{path}: {exc.strerror}") from exc
     except ValidationError as exc:
-        lines = faults_of(exc, list(FleetPlan.model_fields), PARTS).splitlines()
+        lines = format_errors(exc, list(FleetPlan.model_fields), PARTS).splitlines()
         raise PlanError("\n".join(f"{path}: {line}" for line in lines)) from exc
     except ValueError as exc:
         raise PlanError(f"{path}: not TOML: {exc}") from exc
