--- a/springspread/checked.py
+++ b/springspread/checked.py
@@ -41,11 +41,11 @@
     if fault["type"] == "extra_forbidden":
         parent, name = fault["loc"][:-1], str(fault["loc"][-1])
         near = parts.get(str(parent[0]), ()) if parent else known
-        return f"{where}: no such key{meant(name, near) if near else ''}"
+        return f"{where}: no such key{suggestion(name, near) if near else ''}"
     return f"{where}: {fault['msg']}, not {fault['input']!r}"
 
 
-def meant(name: str, known: Sequence[str] | Mapping[str, Any]) -> str:
+def suggestion(name: str, known: Sequence[str] | Mapping[str, Any]) -> str:
     """The key that a wrong one is nearest to, or all that there are."""
     near = get_close_matches(name, list(known), 1)
     return f"; did you mean {near[0]}?" if near else f"; there are {', '.join(known)}"
--- a/springspread/experiments/plan.py
+++ b/springspread/experiments/plan.py
@@ -14,7 +14,7 @@
 from pydantic import Field, ValidationError, field_validator, model_validator
 
 from springspread import policy
-from springspread.checked import PlanError, StrictModel, format_errors, meant, read_toml
+from springspread.checked import PlanError, StrictModel, format_errors, read_toml, suggestion
 from springspread.simulator.day import ANY, TROUBLES, Day, draw
 
 MOST_RUNS = 10_000
@@ -76,7 +76,9 @@
     def _constants(cls, module: dict[str, float]) -> dict[str, float]:
         for name in module:
             if name not in CONSTANTS:
-                raise ValueError(f"{name}: the decision module has no such number{meant(name, CONSTANTS)}")
+                raise ValueError(
+                    f"{name}: the decision module has no such number{suggestion(name, CONSTANTS)}"
+                )
         return module
 
 
@@ -97,7 +99,7 @@
     def _varied(self) -> Plan:
         for key, values in self.vary.items():
             if key not in Knobs.model_fields:
-                raise ValueError(f"vary.{key}: no such key{meant(key, Knobs.model_fields)}")
+                raise ValueError(f"vary.{key}: no such key{suggestion(key, Knobs.model_fields)}")
             if not values:
                 raise ValueError(f"vary.{key}: holds no value")
             for where in [where for where, knobs in self._sets() if key in knobs.model_fields_set]:
