--- a/springspread/cli/fleet.py
+++ b/springspread/cli/fleet.py
@@ -11,9 +11,9 @@
 import click
 
 if TYPE_CHECKING:
-    from springspread.checked import PlanError
     from springspread.fleet.plan import FleetPlan
     from springspread.rollout.document import Policy
+    from springspread.validation import PlanError
 
 FILE = click.Path(path_type=Path, dir_okay=False)
 ENDS = (signal.SIGTERM, signal.SIGINT)
@@ -31,8 +31,8 @@
 
 
 def _plan(file: Path) -> FleetPlan:
-    from springspread.checked import PlanError
     from springspread.fleet.plan import read_fleet
+    from springspread.validation import PlanError
 
     try:
         return read_fleet(file)
@@ -253,8 +253,8 @@
 @JSON
 def propose(file: Path, within: float, as_json: bool) -> None:
     """Propose FILE and the `config` that it names, as they stand now."""
-    from springspread.checked import PlanError
     from springspread.fleet.plan import PlanTooLarge, read_fleet
+    from springspread.validation import PlanError
 
     try:
         plan = read_fleet(file)
--- a/springspread/cli/lab.py
+++ b/springspread/cli/lab.py
@@ -42,9 +42,9 @@
 
     Exits with 1 where a promise was broken, with 4 where a signal or the disk stopped it.
     """
-    from springspread.checked import PlanError
     from springspread.experiments.plan import read_plan
     from springspread.experiments.run import Table, run_plan
+    from springspread.validation import PlanError
 
     try:
         read = read_plan(plan)
--- a/springspread/cli/town.py
+++ b/springspread/cli/town.py
@@ -52,8 +52,8 @@
 
 
 def _knobs(words: tuple[str, ...]) -> Knobs:
-    from springspread.checked import PlanError
     from springspread.experiments.plan import check_plan
+    from springspread.validation import PlanError
 
     values: dict[str, object] = {}
     for word in words:
--- a/springspread/experiments/plan.py
+++ b/springspread/experiments/plan.py
@@ -14,8 +14,8 @@
 from pydantic import Field, ValidationError, field_validator, model_validator
 
 from springspread import policy
-from springspread.checked import PlanError, StrictModel, format_errors, read_toml, suggestion
 from springspread.simulator.day import ANY, TROUBLES, Day, draw
+from springspread.validation import PlanError, StrictModel, format_errors, read_toml, suggestion
 
 MOST_RUNS = 10_000
 PLAIN = "plain"  # the arm of a plan that names none
--- a/springspread/fleet/plan.py
+++ b/springspread/fleet/plan.py
@@ -8,12 +8,12 @@
 
 from pydantic import BeforeValidator, Field, ValidationError
 
-from springspread.checked import PlanError, StrictModel, format_errors, read_toml
 from springspread.fleet.limits import MAX_CALLS, MAX_SPAN_MS, MIN_SPAN_MS, Limit, LimitMode
 from springspread.fleet.members import Pauses
 from springspread.garbage import collector_paused
 from springspread.rollout.coordinator import Times
 from springspread.rollout.document import MAX_LIMITS, Policy, PolicyTooLarge, check_bounds
+from springspread.validation import PlanError, StrictModel, format_errors, read_toml
 
 Name = Annotated[str, Field(pattern=r"^[gr][A-Za-z0-9/._-]{1,100}$")]
 Mode = Annotated[LimitMode, BeforeValidator(LimitMode.named)]
--- a/tests/experiments/test_lab.py
+++ b/tests/experiments/test_lab.py
@@ -17,11 +17,11 @@
 from click.testing import CliRunner
 
 from springspread import policy
-from springspread.checked import PlanError
 from springspread.cli.main import cli
 from springspread.experiments.compare import mean_of, paired, rank_correlation
 from springspread.experiments.plan import check_plan, read_plan
 from springspread.experiments.run import play, read_rows
+from springspread.validation import PlanError
 
 PLAN: dict[str, Any] = {
     "name": "small",
--- a/tests/fleet/test_daemon.py
+++ b/tests/fleet/test_daemon.py
@@ -15,11 +15,11 @@
 
 import pytest
 
-from springspread.checked import PlanError
 from springspread.fleet.daemon import Daemon
 from springspread.fleet.folder import process_start
 from springspread.fleet.orders import Refused
 from springspread.fleet.plan import read_fleet
+from springspread.validation import PlanError
 from tests.fleet.test_allocator_server import Quiet
 from tests.peer import Peer, until
 from tests.test_config import make
--- a/tests/fleet/test_plan.py
+++ b/tests/fleet/test_plan.py
@@ -6,11 +6,11 @@
 
 import pytest
 
-from springspread.checked import PlanError
 from springspread.fleet import plan as plan_module
 from springspread.fleet.limits import Limit, LimitMode
 from springspread.fleet.plan import FleetPlan, PlanTooLarge, read_fleet
 from springspread.rollout import document
+from springspread.validation import PlanError
 
 TOP = """folder = "fleet"
 config = "sender.json"
