--- a/springspread/fleet/plan.py
+++ b/springspread/fleet/plan.py
@@ -10,7 +10,7 @@
 
 from springspread.fleet.limits import MAX_CALLS, MAX_SPAN_MS, MIN_SPAN_MS, Limit, LimitMode
 from springspread.fleet.members import Pauses
-from springspread.garbage import collector_paused
+from springspread.gc_pause import collector_paused
 from springspread.rollout.coordinator import Times
 from springspread.rollout.document import MAX_LIMITS, Policy, PolicyTooLarge, check_bounds
 from springspread.validation import PlanError, StrictModel, format_errors, read_toml
--- a/springspread/rollout/document.py
+++ b/springspread/rollout/document.py
@@ -18,7 +18,7 @@
 
 from springspread.fleet.lease_cache import FRESH_MS
 from springspread.fleet.limits import MAX_CALLS, MAX_SPAN_MS, MIN_SPAN_MS, PARTNER_SPAN_MS, Limit, LimitMode
-from springspread.garbage import collector_paused
+from springspread.gc_pause import collector_paused
 from springspread.interface import ClassSpec, Effect
 from springspread.settings import SettingsError, flatten, read_settings
 
--- a/tests/test_garbage.py
+++ b/tests/test_garbage.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from springspread.garbage import collector_paused
+from springspread.gc_pause import collector_paused
 
 
 def test_the_collector_goes_on_after_the_block_and_after_a_fault() -> None:
