--- a/tests/test_lanes.py
+++ b/tests/test_journal_ownership.py
@@ -22,7 +22,7 @@
 from springspread.core.shared_backoff import FILE_BYTES, SharedBackoff
 from tests.peer import WAIT_S, Peer, Program, until
 from tests.test_config import make
-from tests.test_salvage import owed
+from tests.test_journal_repair import owed
 
 WAITS = (429, {"Retry-After": "0.3"})
 
--- a/tests/test_power.py
+++ b/tests/test_power.py
@@ -18,7 +18,7 @@
 from springspread.faults.power import HeldBack
 from tests.peer import WAIT_S, Peer, Program, until
 from tests.test_config import make
-from tests.test_salvage import owed
+from tests.test_journal_repair import owed
 
 HELD_BACK = "springspread.faults.power"
 
