--- a/springspread/core/files.py
+++ b/springspread/core/files.py
@@ -1,7 +1,7 @@
-"""The files of one folder, as whatever keeps something there uses them: a narrow layer over the system's.
+"""File operations on one folder: a thin layer over the operating system's.
 
-All that is kept goes through here, so that fault injection may put another one in its place: one that holds
-back what was not synced, or one in memory. Raises ``OSError`` as the system does.
+All journal I/O goes through it, so that fault injection can substitute an implementation that drops unsynced
+data, or one in memory. Errors are raised as ``OSError``.
 """
 
 from __future__ import annotations
@@ -11,39 +11,39 @@
 
 
 class Files:
-    """The system's. Names are of files in the folder; an open file is a number."""
+    """Files on the real file system. Names are relative to the folder; an open file is its descriptor."""
 
     def __init__(self, folder: Path) -> None:
         self._folder = folder
 
     def names(self) -> list[str]:
-        """What there is."""
+        """The names of all files in the folder."""
         return [entry.name for entry in self._folder.iterdir()]
 
     def read(self, name: str) -> bytes:
-        """All of a file."""
+        """A file's contents."""
         return (self._folder / name).read_bytes()
 
     def size(self, name: str) -> int:
-        """A file's length, in bytes."""
+        """A file's length in bytes."""
         return (self._folder / name).stat().st_size
 
     def modified_wall(self, name: str) -> float:
-        """When a file was last written, by the machine's clock of then (Unix time, ms)."""
+        """When a file was last modified, by the machine's clock at that time (Unix time, ms)."""
         return (self._folder / name).stat().st_mtime * 1000.0
 
     def open(self, name: str) -> int:
-        """Open a file to append to it; it is made where there is none."""
+        """Open a file for appending, creating it if needed."""
         return os.open(self._folder / name, os.O_WRONLY | os.O_CREAT | os.O_APPEND, 0o600)
 
     def append(self, file: int, data: bytes) -> None:
-        """Write all of it at the end; on ``OSError`` a part may be there."""
+        """Append all of ``data``; after ``OSError`` part of it may have been written."""
         view = memoryview(data)
         while view:
             view = view[os.write(file, view) :]
 
     def overwrite(self, name: str, data: bytes) -> None:
-        """Write a small file of one length anew, in place; nothing tells when it is on disk."""
+        """Overwrite a small file of constant length in place, without syncing it."""
         file = os.open(self._folder / name, os.O_WRONLY | os.O_CREAT, 0o600)
         try:
             os.pwrite(file, data, 0)
@@ -51,23 +51,23 @@
             os.close(file)
 
     def truncate(self, file: int, size: int) -> None:
-        """Cut a file off."""
+        """Truncate an open file."""
         os.ftruncate(file, size)
 
     def sync(self, file: int) -> None:
-        """Put on disk what was written to a file."""
+        """Flush an open file's data to disk."""
         os.fdatasync(file)
 
     def sync_folder(self) -> None:
-        """Put on disk which files there are."""
+        """Flush the folder's directory entries to disk."""
         sync_folder(self._folder)
 
     def duplicate(self, file: int) -> int:
-        """The same open file once more, for a sync while the first one may be closed."""
+        """Duplicate an open file, so that it can be synced even if the original is closed meanwhile."""
         return os.dup(file)
 
     def close(self, file: int) -> None:
-        """Let go of it."""
+        """Close an open file."""
         os.close(file)
 
     def unlink(self, name: str) -> None:
@@ -76,9 +76,9 @@
 
 
 def sync_folder(folder: Path) -> None:
-    """Put on disk which files a folder has; raises ``OSError``."""
-    place = os.open(folder, os.O_RDONLY)
+    """Flush a folder's directory entries to disk; raises ``OSError``."""
+    descriptor = os.open(folder, os.O_RDONLY)
     try:
-        os.fsync(place)
+        os.fsync(descriptor)
     finally:
-        os.close(place)
+        os.close(descriptor)
--- a/springspread/core/journal.py
+++ b/springspread/core/journal.py
@@ -19,9 +19,18 @@
 from zlib import crc32
 
 from springspread.core import sync_position
-from springspread.core.commit import Commit
+from springspread.core.commit import GroupCommit
 from springspread.core.files import Files
-from springspread.core.journal_repair import BEGUN, ENDING, HEAD, OVER, POLICY, TAKEN, Range, Reader
+from springspread.core.journal_repair import (
+    BEGUN,
+    COMPLETED,
+    ENDING,
+    FRAME_HEADER,
+    POLICY,
+    TAKEN,
+    DamagedRange,
+    RecordReader,
+)
 
 PREFIX = "journal."
 ASIDE = "damaged."  # and the file's number: what could not be read in it
@@ -70,16 +79,16 @@
             b"T", self.number, self.deadline_wall, self.group, flags, len(cls), len(name), len(self.body)
         )
         under = POLICY.pack(self.policy) if self.policy else b""  # a reader that knows none passes it over
-        out = [_frame(head + cls + name + self.body + under)]
-        out += [_frame(BEGUN.pack(b"B", self.number, n)) for n in sorted(self.begun)]
-        out += [_frame(BEGUN.pack(b"N", self.number, n)) for n in sorted(self.not_run)]
+        out = [_encode_frame(head + cls + name + self.body + under)]
+        out += [_encode_frame(BEGUN.pack(b"B", self.number, n)) for n in sorted(self.begun)]
+        out += [_encode_frame(BEGUN.pack(b"N", self.number, n)) for n in sorted(self.not_run)]
         if self.ending is not None:
-            out.append(_frame(ENDING.pack(b"E", self.number, *self.ending)))
+            out.append(_encode_frame(ENDING.pack(b"E", self.number, *self.ending)))
         return b"".join(out)
 
 
-def _frame(payload: bytes) -> bytes:
-    return HEAD.pack(len(payload), crc32(payload)) + payload
+def _encode_frame(payload: bytes) -> bytes:
+    return FRAME_HEADER.pack(len(payload), crc32(payload)) + payload
 
 
 class Journal:
@@ -107,9 +116,11 @@
 
         ``durable``: records outlast a power loss, once ``wait_synced`` has returned.
         """
-        self.commit = Commit(self._sync) if durable else None
+        self.commit = GroupCommit(self._sync) if durable else None
         self._files = files or Files(folder)
-        self._per_message = 2 * max_attempts * (HEAD.size + BEGUN.size) + HEAD.size + ENDING.size
+        self._per_message = (
+            2 * max_attempts * (FRAME_HEADER.size + BEGUN.size) + FRAME_HEADER.size + ENDING.size
+        )
         longest = self._longest = body_bytes + self._per_message + 1024
         self._file_bytes = disk_bytes // FILES
         # While a file is cleared away, what is owed in it stands twice: its length stays free at all times.
@@ -120,7 +131,7 @@
         self.pending: dict[int, PendingMessage] = {}
         self.last_number = first_number
         self.cut_bytes = self.failures = 0
-        self.damaged: dict[str, list[Range]] = {}  # by file
+        self.damaged: dict[str, list[DamagedRange]] = {}  # by file
         self.possibly_run: dict[
             str, list[str]
         ] = {}  # ids that are owed and were on record before it, by file
@@ -167,7 +178,7 @@
     def remove(self) -> None:
         """Nothing is owed here any more: take its files away, the oldest first, and let go of it."""
         with self._lock:
-            sync_position.forget(self._files)
+            sync_position.clear(self._files)
             for number in sorted(self._sizes):  # cut off by a fault, it goes on where it was
                 self._files.unlink(_name(number))
                 del self._sizes[number]
@@ -220,19 +231,19 @@
         name = _name(number)
         self.written_wall = max(self.written_wall, self._files.modified_wall(name))
         data = self._files.read(name)
-        reader, ranges, possibly_run = Reader(data), list[Range](), list[str]()
+        reader, ranges, possibly_run = RecordReader(data), list[DamagedRange](), list[str]()
         for item in reader:
-            if not isinstance(item, Range):
+            if not isinstance(item, DamagedRange):
                 at, payload = item
                 try:
                     self._apply(payload, number)
                     continue
                 except (StructError, UnicodeDecodeError):  # of no kind that is known: as good as damaged
-                    item = Range(at, reader.end)
+                    item = DamagedRange(at, reader.end)
             ranges.append(item)
             possibly_run += self._doubt()
         if reader.end < len(data) and not newest:  # nobody writes there any more: no process tore it
-            ranges.append(Range(reader.end, len(data)))
+            ranges.append(DamagedRange(reader.end, len(data)))
             possibly_run += self._doubt()
         if ranges:
             self.damaged[name], self.possibly_run[name] = ranges, possibly_run
@@ -245,7 +256,7 @@
         if (number, size) <= (newest, self._sizes.get(newest, 0)):
             return
         name = _name(number)
-        self.damaged.setdefault(name, []).append(Range(self._sizes.get(number, 0), size))
+        self.damaged.setdefault(name, []).append(DamagedRange(self._sizes.get(number, 0), size))
         self.possibly_run.setdefault(name, []).extend(self._doubt())
 
     def _doubt(self) -> list[str]:
@@ -268,7 +279,7 @@
             old = set(self._sizes)
             while old & set(self._sizes):
                 self._clear_oldest()
-            sync_position.forget(self._files)  # it was of those
+            sync_position.clear(self._files)  # it was of those
         except OSError:
             self.failures += 1  # the disk is full, say: the damaged files stay, and the next start finds them
 
@@ -312,7 +323,7 @@
             if number in self.pending:
                 self.pending[number].ending = (bool(deferred), again_ms)
         elif kind == b"O":
-            _, number = OVER.unpack(payload)
+            _, number = COMPLETED.unpack(payload)
             self.last_number = max(self.last_number, number)
             self._drop(number)
 
@@ -327,7 +338,7 @@
             self._live -= self._cost(owed)
 
     def _cost(self, owed: PendingMessage) -> int:
-        fixed = HEAD.size + TAKEN.size + POLICY.size + len(owed.cls.encode()) + len(owed.id)
+        fixed = FRAME_HEADER.size + TAKEN.size + POLICY.size + len(owed.cls.encode()) + len(owed.id)
         return fixed + len(owed.body) + self._per_message
 
     def record_taken(self, owed: PendingMessage) -> None:
@@ -345,7 +356,7 @@
         """An attempt is about to write its first byte; false where its message is owed no more."""
         with self._lock:
             if number in self.pending:
-                self._append(_frame(BEGUN.pack(b"B", number, attempt)))
+                self._append(_encode_frame(BEGUN.pack(b"B", number, attempt)))
                 self.pending[number].begun.add(attempt)
                 return True
         return False
@@ -356,7 +367,7 @@
             if number not in self.pending or self.pending[number].begun:
                 return False
             self._drop(number)
-            self._note(_frame(OVER.pack(b"O", number)))
+            self._note(_encode_frame(COMPLETED.pack(b"O", number)))
             return True
 
     def record_not_run(self, number: int, attempt: int) -> None:
@@ -364,21 +375,21 @@
         with self._lock:
             if number in self.pending and attempt in self.pending[number].begun:
                 self.pending[number].not_run.add(attempt)
-                self._note(_frame(BEGUN.pack(b"N", number, attempt)))
+                self._note(_encode_frame(BEGUN.pack(b"N", number, attempt)))
 
     def record_ending(self, number: int, deferred: bool, again_ms: float) -> None:
         """The final answer is decided and still has to be told."""
         with self._lock:
             if number in self.pending:
                 self.pending[number].ending = (deferred, again_ms)
-                self._note(_frame(ENDING.pack(b"E", number, deferred, again_ms)))
+                self._note(_encode_frame(ENDING.pack(b"E", number, deferred, again_ms)))
 
     def record_completed(self, number: int) -> None:
         """Nothing more is owed for a message."""
         with self._lock:
             if number in self.pending:
                 self._drop(number)
-                self._note(_frame(OVER.pack(b"O", number)))
+                self._note(_encode_frame(COMPLETED.pack(b"O", number)))
 
     def _note(self, record: bytes) -> None:
         """Append what does no harm if it is missing: the next process then knows less than it might."""
@@ -405,7 +416,7 @@
             raise
         self._sizes[self._last] += len(record)
         if self.commit is not None:
-            self.commit.wrote()
+            self.commit.note_write()
 
     def _clear_oldest(self) -> None:
         oldest = min(self._sizes)
--- a/springspread/core/journal_ownership.py
+++ b/springspread/core/journal_ownership.py
@@ -25,9 +25,9 @@
 from functools import partial
 from pathlib import Path
 
-from springspread.core.commit import Commit
+from springspread.core.commit import GroupCommit
 from springspread.core.journal import PREFIX, Journal, PendingMessage
-from springspread.core.journal_repair import Range, Reader
+from springspread.core.journal_repair import DamagedRange, RecordReader
 from springspread.core.shared_backoff import SharedBackoff
 
 LANES = 4  # processes on one folder at a time
@@ -82,9 +82,9 @@
             done = self._read.get(key, 0)
             with (self._place / name).open("rb") as file:
                 file.seek(done)
-                reader = Reader(file.read())
+                reader = RecordReader(file.read())
             for item in reader:
-                if not isinstance(item, Range):
+                if not isinstance(item, DamagedRange):
                     self._book.note(item[1])
             self._read[key] = done + reader.end
 
@@ -206,12 +206,12 @@
         return books[0].pending if len(books) == 1 else ChainMap(*(book.pending for book in books))
 
     @property
-    def commit(self) -> Commit | None:
+    def commit(self) -> GroupCommit | None:
         """The syncs of the lane that new messages are noted in, where it outlasts a power loss."""
         return self._books[self._own].commit
 
     @property
-    def damaged(self) -> Mapping[str, list[Range]]:
+    def damaged(self) -> Mapping[str, list[DamagedRange]]:
         """What could not be read, by file."""
         return {name: ranges for book in self._books.values() for name, ranges in book.damaged.items()}
 
--- a/springspread/core/journal_repair.py
+++ b/springspread/core/journal_repair.py
@@ -1,19 +1,19 @@
-"""How a journal's records are laid out, and which parts of a damaged file still are some. No I/O.
-
-Theory of operation. A file is frames, one after the other: a length, a checksum, a payload. Reading goes on
-from a frame that can't be read by the first of these that holds:
-
-    what is found                                  then
-    the beginning of a record that goes on         it is the tail, torn as a process was killed: nothing of it
-    beyond the end, of a length that fits it       counts, and it is not looked into
-    at the length that it claims stands a frame    that one is damaged, and reading goes on behind it
-    that can be read, or the file ends there
-    further on, at any byte, two frames in a row   everything up to there is damaged, and reading goes on
-    can be read, or one that ends the file
-    none of these                                  the rest is damaged
-
-A torn record's own body is never looked into, as a client wrote it: bytes in it that look like a record are
-none. The search is bounded by the bytes that it may check.
+"""The layout of journal records, and recovery of the readable ones from a damaged file. No I/O.
+
+A file is a sequence of frames: length, checksum, payload. After an unreadable frame, the first matching row
+applies:
+
+    condition                                      result
+    the start of a record with a plausible length  a tail torn by a kill: it is ignored, and its contents are
+    that extends beyond the end of the file        not searched
+    its claimed length leads to a readable frame   only this frame is damaged; reading resumes after it
+    or to the end of the file
+    at a later byte stand two readable frames in   everything before that byte is damaged; reading resumes
+    a row, or one that ends the file               there
+    none of these                                  the rest of the file is damaged
+
+The body of a torn record is never searched: a client wrote it, and it may contain bytes that look like a
+record. The number of bytes that the search may check is bounded.
 """
 
 from __future__ import annotations
@@ -23,105 +23,107 @@
 from struct import Struct
 from zlib import crc32
 
-HEAD = Struct("<II")
+FRAME_HEADER = Struct("<II")
 TAKEN = Struct("<cIdiBBHI")
-BEGUN = Struct("<cIB")  # and *not run*
+BEGUN = Struct("<cIB")  # also *not run*
 ENDING = Struct("<cIBd")
-OVER = Struct("<cI")
+COMPLETED = Struct("<cI")
 POLICY = Struct("<I")
-SIZES = {ord("B"): BEGUN.size, ord("N"): BEGUN.size, ord("E"): ENDING.size, ord("O"): OVER.size}
-SEARCH_BYTES = 64 << 20
+FIXED_SIZES = {ord("B"): BEGUN.size, ord("N"): BEGUN.size, ord("E"): ENDING.size, ord("O"): COMPLETED.size}
+MAX_SEARCH_BYTES = 64 << 20
 
 
 @dataclass(frozen=True, slots=True)
-class Range:
-    """Bytes of a file that can't be read, and the ids of messages whose *taken* they seem to hold."""
+class DamagedRange:
+    """An unreadable byte range, and the ids of messages whose *taken* record it appears to contain."""
 
     start: int
     end: int
     ids: tuple[str, ...] = ()
 
 
-class Reader:
-    """Goes through a file's bytes once: payloads that can be read, each with its place, and damaged ranges.
+class RecordReader:
+    """Iterates once over a file's bytes: readable payloads with their offsets, and damaged ranges.
 
-    ``end``, as far as it has come: behind the last of them lies nothing but a torn tail.
+    ``end`` is how far it has read; after iteration, only a torn tail lies beyond it.
     """
 
     def __init__(self, data: bytes) -> None:
-        self._data, self._budget = data, [SEARCH_BYTES]
+        self._data, self._budget = data, [MAX_SEARCH_BYTES]
         self.end = 0
 
-    def __iter__(self) -> Iterator[tuple[int, bytes] | Range]:
-        data, at = self._data, 0
-        while at < len(data):
-            payload = _frame(data, at)
+    def __iter__(self) -> Iterator[tuple[int, bytes] | DamagedRange]:
+        data, offset = self._data, 0
+        while offset < len(data):
+            payload = _frame_at(data, offset)
             if payload is not None:
-                self.end = at + HEAD.size + len(payload)
-                yield at, payload
+                self.end = offset + FRAME_HEADER.size + len(payload)
+                yield offset, payload
             else:
-                if _torn(data, at):
+                if _is_torn(data, offset):
                     return
-                self.end = _behind(data, at, self._budget)
-                yield Range(at, self.end, _ids(data[at : self.end]))
-            at = self.end
+                self.end = _resume_offset(data, offset, self._budget)
+                yield DamagedRange(offset, self.end, _recoverable_ids(data[offset : self.end]))
+            offset = self.end
 
 
-def _size(data: bytes, at: int) -> int:
-    return int.from_bytes(data[at : at + 4], "little")
+def _claimed_length(data: bytes, offset: int) -> int:
+    return int.from_bytes(data[offset : offset + 4], "little")
 
 
-def _frame(data: bytes, at: int) -> bytes | None:
-    """The payload of the frame that stands at a place; ``None`` where none can be read."""
-    if at + HEAD.size > len(data):
+def _frame_at(data: bytes, offset: int) -> bytes | None:
+    """The payload of the frame at an offset; ``None`` if it is unreadable."""
+    if offset + FRAME_HEADER.size > len(data):
         return None
-    size, check = HEAD.unpack_from(data, at)
-    payload = data[at + HEAD.size : at + HEAD.size + size]
+    size, check = FRAME_HEADER.unpack_from(data, offset)
+    payload = data[offset + FRAME_HEADER.size : offset + FRAME_HEADER.size + size]
     return payload if len(payload) == size and size and crc32(payload) == check else None
 
 
-def _torn(data: bytes, at: int) -> bool:
-    """Whether a record begins here, as it was written, and goes on beyond the end."""
-    if at + HEAD.size + TAKEN.size > len(data) and at + HEAD.size >= len(data):
+def _is_torn(data: bytes, offset: int) -> bool:
+    """Whether a plausible record starts here and extends beyond the end of the file."""
+    if offset + FRAME_HEADER.size + TAKEN.size > len(data) and offset + FRAME_HEADER.size >= len(data):
         return True
-    return at + HEAD.size + _size(data, at) > len(data) and _fits(data, at)
+    return offset + FRAME_HEADER.size + _claimed_length(data, offset) > len(data) and _has_plausible_length(
+        data, offset
+    )
 
 
-def _fits(data: bytes, at: int) -> bool:
-    """Whether a frame's length is one that its kind may have, as far as its beginning is there."""
-    size, kind = _size(data, at), data[at + HEAD.size]
+def _has_plausible_length(data: bytes, offset: int) -> bool:
+    """Whether a frame's length is possible for its kind, as far as its header is present."""
+    size, kind = _claimed_length(data, offset), data[offset + FRAME_HEADER.size]
     if kind != ord("T"):
-        return size == SIZES.get(kind, 0)
-    if at + HEAD.size + TAKEN.size > len(data):
+        return size == FIXED_SIZES.get(kind, 0)
+    if offset + FRAME_HEADER.size + TAKEN.size > len(data):
         return True
-    *_, cls, name, body = TAKEN.unpack_from(data, at + HEAD.size)
+    *_, cls, name, body = TAKEN.unpack_from(data, offset + FRAME_HEADER.size)
     return size - TAKEN.size - int(cls) - int(name) - int(body) in (0, POLICY.size)
 
 
-def _behind(data: bytes, at: int, budget: list[int]) -> int:
-    """Where reading goes on behind a frame that can't be read."""
-    claimed = at + HEAD.size + _size(data, at)
-    if claimed == len(data) or _frame(data, claimed) is not None:
+def _resume_offset(data: bytes, offset: int, budget: list[int]) -> int:
+    """Where reading resumes after an unreadable frame."""
+    claimed = offset + FRAME_HEADER.size + _claimed_length(data, offset)
+    if claimed == len(data) or _frame_at(data, claimed) is not None:
         return claimed
-    for place in range(at + 1, len(data) - HEAD.size):
-        size = _size(data, place)
-        if place + HEAD.size + size > len(data) or not _fits(data, place):
+    for candidate in range(offset + 1, len(data) - FRAME_HEADER.size):
+        size = _claimed_length(data, candidate)
+        if candidate + FRAME_HEADER.size + size > len(data) or not _has_plausible_length(data, candidate):
             continue
         budget[0] -= size
         if budget[0] < 0:
             break
-        if _frame(data, place) is not None:
-            after = place + HEAD.size + size
-            if after == len(data) or _frame(data, after) is not None:
-                return place
+        if _frame_at(data, candidate) is not None:
+            after = candidate + FRAME_HEADER.size + size
+            if after == len(data) or _frame_at(data, after) is not None:
+                return candidate
     return len(data)
 
 
-def _ids(data: bytes) -> tuple[str, ...]:
-    """The id in a damaged *taken*, where it can be made out."""
-    if len(data) < HEAD.size + TAKEN.size or data[HEAD.size] != ord("T"):
+def _recoverable_ids(data: bytes) -> tuple[str, ...]:
+    """The id in a damaged *taken* record, if it can be recovered."""
+    if len(data) < FRAME_HEADER.size + TAKEN.size or data[FRAME_HEADER.size] != ord("T"):
         return ()
-    *_, cls, name, _ = TAKEN.unpack_from(data, HEAD.size)
-    begin = HEAD.size + TAKEN.size + cls
-    text = data[begin : begin + name].decode("latin-1")
+    *_, cls, name, _ = TAKEN.unpack_from(data, FRAME_HEADER.size)
+    start = FRAME_HEADER.size + TAKEN.size + cls
+    text = data[start : start + name].decode("latin-1")
     return (text,) if text and len(text) == name and text.isascii() and text.isprintable() else ()
--- a/springspread/core/sync_position.py
+++ b/springspread/core/sync_position.py
@@ -1,8 +1,8 @@
-"""How far a journal has been synced, in a small file beside it: so that a file that was cut off is told from
-one whose last record was torn as it was written.
+"""How far the journal has been synced, kept in a small file beside it.
 
-The mark is written after each sync and is not synced itself. One that is too old, or lost, tells less and
-nothing wrong: it never says more than what was on disk.
+It tells a file that lost synced data from one whose last record was torn while being written. The position
+is written after each sync and is not synced itself: if it is stale or missing, truncation may go unnoticed,
+but it never claims more than was on disk.
 """
 
 from __future__ import annotations
@@ -12,30 +12,32 @@
 
 from springspread.core.files import Files
 
-NAME = "synced"
-BODY = Struct("<QQ")
-CHECK = Struct("<I")
+FILE_NAME = "synced"
+POSITION = Struct("<QQ")
+CHECKSUM = Struct("<I")
 
 
 def write(files: Files, number: int, size: int) -> None:
-    """So many bytes of a file are on disk. Raises ``OSError``."""
-    body = BODY.pack(number, size)
-    files.overwrite(NAME, body + CHECK.pack(crc32(body)))
+    """Store that ``size`` bytes of file ``number`` are on disk. Raises ``OSError``."""
+    body = POSITION.pack(number, size)
+    files.overwrite(FILE_NAME, body + CHECKSUM.pack(crc32(body)))
 
 
 def read(files: Files) -> tuple[int, int]:
-    """The file's number and its synced bytes; zeros where that is not known."""
-    if NAME not in files.names():
+    """The number of the synced file and how many bytes of it are synced; zeros if unknown."""
+    if FILE_NAME not in files.names():
         return 0, 0
-    data = files.read(NAME)
-    body = data[: BODY.size]
-    if len(data) != BODY.size + CHECK.size or CHECK.unpack_from(data, BODY.size)[0] != crc32(body):
+    data = files.read(FILE_NAME)
+    body = data[: POSITION.size]
+    if len(data) != POSITION.size + CHECKSUM.size or CHECKSUM.unpack_from(data, POSITION.size)[0] != crc32(
+        body
+    ):
         return 0, 0
-    number, size = BODY.unpack(body)
+    number, size = POSITION.unpack(body)
     return number, size
 
 
-def forget(files: Files) -> None:
-    """The journal begins anew."""
-    if NAME in files.names():
-        files.unlink(NAME)
+def clear(files: Files) -> None:
+    """Remove the stored position."""
+    if FILE_NAME in files.names():
+        files.unlink(FILE_NAME)
--- a/tests/test_journal_ownership.py
+++ b/tests/test_journal_ownership.py
@@ -19,7 +19,7 @@
 from springspread.core.files import Files
 from springspread.core.journal import Journal, JournalFull
 from springspread.core.journal_ownership import LANES, NUMBERS, OwnedJournals, lane_folder, read_pending
-from springspread.core.shared_backoff import FILE_BYTES, SharedBackoff
+from springspread.core.shared_backoff import MAX_FILE_BYTES, SharedBackoff
 from tests.peer import WAIT_S, Peer, Program, until
 from tests.test_config import make
 from tests.test_journal_repair import owed
@@ -218,8 +218,8 @@
     for now in range(1_500):
         writer.publish(f"{now % 50}/s-{now}", now + 20.0, float(now))
         assert reader.blocked_until(f"{now % 50}/s-{now}", float(now)) == now + 20.0
-        assert (one / "waits").stat().st_size <= 2 * FILE_BYTES
-    assert reader.blocked_until("7/never", 1_500.0) == 0.0 and len(reader._heard) < 1_000
+        assert (one / "waits").stat().st_size <= 2 * MAX_FILE_BYTES
+    assert reader.blocked_until("7/never", 1_500.0) == 0.0 and len(reader._received) < 1_000
     (one / "waits").write_bytes(b"nonsense\n1e400 \n-5 7/\n7000.0 7/half")
     assert reader.blocked_until("7/half", 1_501.0) == 0.0
 
--- a/tests/test_journal_repair.py
+++ b/tests/test_journal_repair.py
@@ -8,8 +8,8 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from springspread.core.journal import Journal, PendingMessage, _frame
-from springspread.core.journal_repair import HEAD, Range, Reader
+from springspread.core.journal import Journal, PendingMessage, _encode_frame
+from springspread.core.journal_repair import FRAME_HEADER, DamagedRange, RecordReader
 
 DISK = 3 << 20
 FIRST = "journal.00000001"
@@ -61,7 +61,7 @@
 
 def test_a_torn_record_of_a_client_is_not_looked_into(tmp_path: Path) -> None:
     filled(tmp_path, 2)
-    forged = _frame(b"O" + (1).to_bytes(4, "little")) * 3
+    forged = _encode_frame(b"O" + (1).to_bytes(4, "little")) * 3
     record = owed(3, b"y" * 50 + forged + b"y" * 200).records()
     with (tmp_path / FIRST).open("ab") as out:
         out.write(record[:-100])
@@ -73,7 +73,7 @@
 
 def test_a_whole_record_that_is_damaged_is_passed_over_by_its_length(tmp_path: Path) -> None:
     filled(tmp_path, 1)
-    forged = _frame(b"O" + (1).to_bytes(4, "little")) * 3
+    forged = _encode_frame(b"O" + (1).to_bytes(4, "little")) * 3
     record = owed(2, forged + b"y" * 20).records()
     data = flipped(record, len(record) - 1) + owed(3).records()
     with (tmp_path / FIRST).open("ab") as out:
@@ -101,7 +101,7 @@
             journal.record_completed(100 * turn + number)
         journal.close()
         newest = max(tmp_path.glob("journal.*"))
-        newest.write_bytes(newest.read_bytes()[: HEAD.size] + b"?" * 9_000)
+        newest.write_bytes(newest.read_bytes()[: FRAME_HEADER.size] + b"?" * 9_000)
     journal = Journal(tmp_path, disk)
     used = sum(-(-path.stat().st_size // 512) * 512 for path in tmp_path.iterdir())
     assert used <= disk and 1 <= len(list(tmp_path.glob("damaged.*"))) <= 4
@@ -110,7 +110,7 @@
 records = st.lists(
     st.one_of(
         st.builds(lambda n, size: owed(n, b"q" * size).records(), st.integers(1, 9), st.integers(0, 90)),
-        st.builds(lambda n: _frame(b"O" + n.to_bytes(4, "little")), st.integers(1, 9)),
+        st.builds(lambda n: _encode_frame(b"O" + n.to_bytes(4, "little")), st.integers(1, 9)),
     ),
     min_size=1,
     max_size=12,
@@ -124,9 +124,9 @@
     text = b"".join(frames)
     at = data.draw(st.integers(0, len(text)))
     text = text[:at] + noise + text[at + data.draw(st.integers(0, 30)) :]
-    reader, end = Reader(text), 0
+    reader, end = RecordReader(text), 0
     for item in reader:
-        start = item.start if isinstance(item, Range) else item[0]
+        start = item.start if isinstance(item, DamagedRange) else item[0]
         assert start == end < reader.end
         end = reader.end
     assert end <= len(text)
--- a/tests/test_power.py
+++ b/tests/test_power.py
@@ -13,7 +13,7 @@
 
 from springspread import config
 from springspread.config import ConfigError, Durability
-from springspread.core.commit import Commit
+from springspread.core.commit import GroupCommit
 from springspread.core.journal import Journal
 from springspread.faults.power import HeldBack
 from tests.peer import WAIT_S, Peer, Program, until
@@ -39,12 +39,12 @@
 
 def test_many_share_a_sync_and_none_returns_before_its_own_is_kept() -> None:
     disk, kept = Disk(), list[bool]()
-    commit = Commit(disk.sync)
+    commit = GroupCommit(disk.sync)
 
     def write() -> None:
         disk.written += 1
         mine = disk.written
-        commit.wrote()
+        commit.note_write()
         commit.wait_synced()
         kept.append(disk.kept >= mine)
 
@@ -69,9 +69,9 @@
         if fails:
             raise OSError(5, "Input/output error")
 
-    commit = Commit(sync)
+    commit = GroupCommit(sync)
     for _ in range(2):
-        commit.wrote()
+        commit.note_write()
         with pytest.raises(OSError, match="Input/output error"):
             commit.wait_synced()
         fails.clear()
