--- a/springspread/core/journal.py
+++ b/springspread/core/journal.py
@@ -207,7 +207,7 @@
 
     def _sync(self) -> None:
         with self._lock:  # the file may be left for the next one meanwhile: that syncs it, too
-            file, number = self._files.duplicate(self._file), self._last
+            file, number = self._files.duplicate(self._file), self._file_number
             size = self._sizes[number]
         try:
             self._files.sync(file)
@@ -223,7 +223,7 @@
         self._file = self._files.open(_name(number))
         if self.commit is not None:
             self._files.sync_folder()
-        self._last = number
+        self._file_number = number
         # Guards against a tail torn by SIGKILL: later records must not follow the stump.
         self._files.truncate(self._file, self._sizes.setdefault(number, 0))
 
@@ -349,7 +349,7 @@
             if self.commit is not None and self.commit.fault:
                 raise OSError(self.commit.fault)
             self._append(owed.records())
-            owed.file = self._last
+            owed.file = self._file_number
             self._add(owed)
 
     def record_begun(self, number: int, attempt: int) -> bool:
@@ -406,25 +406,25 @@
         self._write(record)
 
     def _write(self, record: bytes) -> None:
-        if self._sizes[self._last] >= self._file_bytes:
-            self._open(self._last + 1)
+        if self._sizes[self._file_number] >= self._file_bytes:
+            self._open(self._file_number + 1)
         try:
             self._files.append(self._file, record)
         except OSError:
             # Guards what follows: a record written in part would hide all later ones.
-            self._files.truncate(self._file, self._sizes[self._last])
+            self._files.truncate(self._file, self._sizes[self._file_number])
             raise
-        self._sizes[self._last] += len(record)
+        self._sizes[self._file_number] += len(record)
         if self.commit is not None:
             self.commit.note_write()
 
     def _clear_oldest(self) -> None:
         oldest = min(self._sizes)
-        if oldest == self._last:
-            self._open(self._last + 1)
+        if oldest == self._file_number:
+            self._open(self._file_number + 1)
         for owed in [owed for owed in self.pending.values() if owed.file == oldest]:
             self._write(owed.records())
-            owed.file = self._last
+            owed.file = self._file_number
         self._sync_file()  # the copies are on disk before what they are of is gone
         self._files.unlink(_name(oldest))
         if self.commit is not None:
--- a/springspread/faults/crashes.py
+++ b/springspread/faults/crashes.py
@@ -208,10 +208,10 @@
             if self.what == "a file goes before its copies are made":
                 self._files.unlink(min(self.files))
                 del self._sizes[min(self._sizes)]
-                self._open(self._last + 1)
+                self._open(self._file_number + 1)
                 for owed in [owed for owed in self.pending.values() if owed.file not in self._sizes]:
                     self._write(owed.records())
-                    owed.file = self._last
+                    owed.file = self._file_number
                 return
             super()._clear_oldest()
 
