--- a/springspread/core/journal.py
+++ b/springspread/core/journal.py
@@ -142,7 +142,7 @@
         numbers = sorted(int(suffix) for suffix in suffixes if suffix.isdecimal())
         self._file = -1
         for number in numbers:
-            self._restore(number, number == numbers[-1])
+            self._load_file(number, number == numbers[-1])
         self._cut_off(numbers[-1] if numbers else 0)
         if not read_only:
             self._open(numbers[-1] if numbers else 1)
@@ -227,7 +227,7 @@
         # Guards against a tail torn by SIGKILL: later records must not follow the stump.
         self._files.truncate(self._file, self._sizes.setdefault(number, 0))
 
-    def _restore(self, number: int, newest: bool) -> None:
+    def _load_file(self, number: int, newest: bool) -> None:
         name = _name(number)
         self.written_wall = max(self.written_wall, self._files.modified_wall(name))
         data = self._files.read(name)
--- a/springspread/faults/crashes.py
+++ b/springspread/faults/crashes.py
@@ -215,8 +215,8 @@
                 return
             super()._clear_oldest()
 
-        def _restore(self, number: int, newest: bool) -> None:
-            super()._restore(number, newest)
+        def _load_file(self, number: int, newest: bool) -> None:
+            super()._load_file(number, newest)
             if self.what == "proof is taken for granted":
                 for owed in self.pending.values():
                     owed.not_run |= owed.begun
