--- a/springspread/core/journal.py
+++ b/springspread/core/journal.py
@@ -278,7 +278,7 @@
             self._keep_room()
             old = set(self._sizes)
             while old & set(self._sizes):
-                self._clear_oldest()
+                self._compact_oldest()
             sync_position.clear(self._files)  # it was of those
         except OSError:
             self.failures += 1  # the disk is full, say: the damaged files stay, and the next start finds them
@@ -402,7 +402,7 @@
         for _ in range(len(self._sizes)):
             if self._used() + len(record) <= self._budget:
                 break
-            self._clear_oldest()
+            self._compact_oldest()
         self._write(record)
 
     def _write(self, record: bytes) -> None:
@@ -418,7 +418,7 @@
         if self.commit is not None:
             self.commit.note_write()
 
-    def _clear_oldest(self) -> None:
+    def _compact_oldest(self) -> None:
         oldest = min(self._sizes)
         if oldest == self._file_number:
             self._open(self._file_number + 1)
--- a/springspread/faults/crashes.py
+++ b/springspread/faults/crashes.py
@@ -204,7 +204,7 @@
             if self.what != "an ending is not on record" or number % 3:
                 super().record_ending(number, deferred, again_ms)
 
-        def _clear_oldest(self) -> None:
+        def _compact_oldest(self) -> None:
             if self.what == "a file goes before its copies are made":
                 self._files.unlink(min(self.files))
                 del self._sizes[min(self._sizes)]
@@ -213,7 +213,7 @@
                     self._write(owed.records())
                     owed.file = self._file_number
                 return
-            super()._clear_oldest()
+            super()._compact_oldest()
 
         def _load_file(self, number: int, newest: bool) -> None:
             super()._load_file(number, newest)
