--- a/springspread/core/journal_ownership.py
+++ b/springspread/core/journal_ownership.py
@@ -1,18 +1,18 @@
-"""One folder for several processes of a sender, as on an upgrade: each writes a lane of its own.
+"""Journal ownership when several processes share a state folder, e.g. during an upgrade.
 
-Theory of operation. A lane is a journal with a lock that the system lets go of as its process dies. What a
-process sees of each lane decides what it does, at its start and from then on:
+Each process writes a journal of its own, guarded by a file lock that the kernel releases when the process
+dies. The lock decides what a process does with each journal in the folder:
 
-    the lane is              seen at the start              seen later
-    not locked, the first    it is this process's own       -
-    not locked, another      taken over                     taken over: its process has died
-    locked by another        beside: read, never written    beside
-    taken over, nothing owed -                              emptied, and let go of
+    journal                        at startup                      later
+    first unlocked one             becomes this process's own      -
+    another unlocked one           taken over                      taken over: its process has died
+    locked by another process      peer: read, never written       peer
+    taken over, no pending message -                               deleted and unlocked
 
-Nothing is copied: what is owed in a lane that was taken over goes on being noted there, so a death at any
-moment leaves each message in exactly one lane. Each lane numbers its messages from a place of its own. A
-message that a process beside owes is not taken on again; it is owed already. All lanes together keep the
-disk's limit: who has somebody beside it counts half of it, or what that one has if that is more, as used.
+Taking over copies nothing: pending messages continue to be recorded in the journal that holds them, so a
+crash at any moment leaves each message in exactly one journal. Each journal has its own range of message
+numbers. A message that is pending in a peer's journal is not recorded again. All journals together stay
+within the disk limit: a process with a peer counts half of the limit, or the peer's size if larger, as used.
 """
 
 from __future__ import annotations
@@ -26,230 +26,253 @@
 from pathlib import Path
 
 from springspread.core.commit import GroupCommit
-from springspread.core.journal import PREFIX, Journal, PendingMessage
+from springspread.core.journal import FILE_PREFIX, Journal, PendingMessage
 from springspread.core.journal_repair import DamagedRange, RecordReader
 from springspread.core.shared_backoff import SharedBackoff
 
-LANES = 4  # processes on one folder at a time
-NUMBERS = 1 << 30  # messages that a lane may number
+MAX_JOURNALS = 4  # and processes that can share a folder
+NUMBERS_PER_JOURNAL = 1 << 30  # size of each journal's range of message numbers
 OWNERSHIP_CHECK_MS = 100.0
-TRIES = 5
+READ_ATTEMPTS = 5
 
 
 class TooManyProcesses(OSError):
-    """So many processes use the folder that there is no lane left."""
+    """All journals of the folder are in use by other processes."""
 
 
-def lane_folder(folder: Path, lane: int) -> Path:
-    """Where a lane's files stand: the first one's in the folder itself."""
-    return folder / f"lane.{lane}" if lane else folder
+def journal_folder(folder: Path, index: int) -> Path:
+    """The folder of a journal's files: the first journal is in the state folder itself."""
+    return folder / f"lane.{index}" if index else folder
 
 
 def read_pending(folder: Path) -> dict[int, PendingMessage]:
-    """What all lanes of a folder owe, read beside whoever writes there; raises ``OSError``."""
+    """Read the pending messages of all journals in a folder, without locking; raises ``OSError``."""
     found: dict[int, PendingMessage] = {}
-    for lane in range(LANES):
-        if (place := lane_folder(folder, lane)).is_dir():
+    for index in range(MAX_JOURNALS):
+        if (place := journal_folder(folder, index)).is_dir():
             found |= Journal(place, 1 << 40, read_only=True).pending
     return found
 
 
-class Beside:
-    """What a process beside this one owes, as its lane's files tell; they are read as they grow."""
+class PeerJournal:
+    """Read-only view of another process's journal; its files are read incrementally."""
 
-    def __init__(self, place: Path) -> None:
-        self._place = place
-        self._read: dict[tuple[str, int], int] = {}  # by name and file on disk, up to where
-        self._book = Journal.reading()
+    def __init__(self, folder: Path) -> None:
+        self._folder = folder
+        self._read_offsets: dict[tuple[str, int], int] = {}  # by file name and inode
+        self._replica = Journal.replica()
 
-    def owed(self, id: str) -> PendingMessage | None:
-        """A message that it owes, by its id."""
-        for _ in range(TRIES):
+    def find(self, id: str) -> PendingMessage | None:
+        """The pending message with this id."""
+        for _ in range(READ_ATTEMPTS):
             try:
-                self._follow()
+                self._read_new_records()
                 break
             except FileNotFoundError:
-                continue  # it clears a file away meanwhile: what is owed in it stands in a later one
-        return next((owed for owed in self._book.pending.values() if owed.id == id), None)
-
-    def _follow(self) -> None:
-        names = sorted(entry.name for entry in self._place.iterdir() if entry.name.startswith(PREFIX))
-        files = {(name, (self._place / name).stat().st_ino): name for name in names}
-        if self._read.keys() - files.keys():
-            # Guards against what was over in a file that is gone by now, and was not read.
-            self._read, self._book = {}, Journal.reading()
+                continue  # deleted by compaction: its pending messages are in a later file
+        return next((message for message in self._replica.pending.values() if message.id == id), None)
+
+    def _read_new_records(self) -> None:
+        names = sorted(entry.name for entry in self._folder.iterdir() if entry.name.startswith(FILE_PREFIX))
+        files = {(name, (self._folder / name).stat().st_ino): name for name in names}
+        if self._read_offsets.keys() - files.keys():
+            # A deleted file may have held *completed* records that were not read yet.
+            self._read_offsets, self._replica = {}, Journal.replica()
         for key, name in files.items():
-            done = self._read.get(key, 0)
-            with (self._place / name).open("rb") as file:
-                file.seek(done)
+            offset = self._read_offsets.get(key, 0)
+            with (self._folder / name).open("rb") as file:
+                file.seek(offset)
                 reader = RecordReader(file.read())
             for item in reader:
                 if not isinstance(item, DamagedRange):
-                    self._book.note(item[1])
-            self._read[key] = done + reader.end
+                    self._replica.apply_record(item[1])
+            self._read_offsets[key] = offset + reader.end
 
     @property
     def size(self) -> int:
-        """How many bytes its files have."""
-        with suppress(FileNotFoundError):  # it clears one away meanwhile
-            return sum(entry.stat().st_size for entry in self._place.iterdir() if entry.is_file())
+        """The total size of its files (bytes)."""
+        with suppress(FileNotFoundError):  # deleted by compaction meanwhile
+            return sum(entry.stat().st_size for entry in self._folder.iterdir() if entry.is_file())
         return 0
 
 
 class OwnedJournals:
-    """A sender's journal, in as many lanes as it has; stands where a ``Journal`` does.
+    """The journals this process owns, with the interface of a single ``Journal``.
 
-    Raises ``TooManyProcesses`` where the folder has no lane left, or another ``OSError``.
+    Raises ``TooManyProcesses`` if the folder has no free journal, or another ``OSError``.
     """
 
     def __init__(
         self, folder: Path, disk_bytes: int, max_attempts: int, body_bytes: int, durable: bool = False
     ) -> None:
-        self._folder, self._disk = folder, disk_bytes
-        self._open = partial(Journal, max_attempts=max_attempts, body_bytes=body_bytes, durable=durable)
+        self._folder, self._disk_bytes = folder, disk_bytes
+        self._make_journal = partial(
+            Journal, max_attempts=max_attempts, body_bytes=body_bytes, durable=durable
+        )
         self._locks: dict[int, int] = {}
-        self._beside: dict[int, Beside] = {}
-        self._own = next((lane for lane in range(LANES) if self._lock(lane)), -1)
-        if self._own < 0:
-            raise TooManyProcesses(f"{folder}: {LANES} processes use it already")
-        self._books = {self._own: self._opened(self._own)}
-        self._changed = -1
-        self._look_at = 0.0
-        self._look()
-        self.shared_backoff = SharedBackoff(lane_folder(folder, self._own), self._beside_folders)
-        self.written_wall = max(book.written_wall for book in self._books.values())
-
-    def _beside_folders(self) -> list[Path]:
-        return [lane_folder(self._folder, lane) for lane in list(self._beside)]
-
-    def _lock(self, lane: int) -> bool:
-        place = lane_folder(self._folder, lane)
-        place.mkdir(exist_ok=True)
-        file = os.open(place / "lock", os.O_RDWR | os.O_CREAT | os.O_CLOEXEC, 0o600)
+        self._peers: dict[int, PeerJournal] = {}
+        self._own_index = next((index for index in range(MAX_JOURNALS) if self._lock(index)), -1)
+        if self._own_index < 0:
+            raise TooManyProcesses(f"{folder}: {MAX_JOURNALS} processes use it already")
+        self._journals = {self._own_index: self._open_journal(self._own_index)}
+        self._folder_mtime_ns = -1
+        self._next_check = 0.0
+        self._refresh()
+        self.shared_backoff = SharedBackoff(journal_folder(folder, self._own_index), self._peer_folders)
+        self.written_wall = max(journal.written_wall for journal in self._journals.values())
+
+    def _peer_folders(self) -> list[Path]:
+        return [journal_folder(self._folder, index) for index in list(self._peers)]
+
+    def _lock(self, index: int) -> bool:
+        folder = journal_folder(self._folder, index)
+        folder.mkdir(exist_ok=True)
+        file = os.open(folder / "lock", os.O_RDWR | os.O_CREAT | os.O_CLOEXEC, 0o600)
         try:
             fcntl.flock(file, fcntl.LOCK_EX | fcntl.LOCK_NB)
         except BlockingIOError:
             os.close(file)
             return False
-        self._locks[lane] = file
+        self._locks[index] = file
         return True
 
-    def _let_go(self, lane: int) -> None:
-        os.close(self._locks.pop(lane))  # the lock goes with it
+    def _unlock(self, index: int) -> None:
+        os.close(self._locks.pop(index))  # releases the lock
 
-    def _opened(self, lane: int) -> Journal:
-        return self._open(lane_folder(self._folder, lane), self._disk, first_number=lane * NUMBERS)
+    def _open_journal(self, index: int) -> Journal:
+        return self._make_journal(
+            journal_folder(self._folder, index), self._disk_bytes, first_number=index * NUMBERS_PER_JOURNAL
+        )
 
-    # Who else is there
+    # Ownership
 
     def check_ownership(self, now: float) -> list[PendingMessage]:
-        """Look at the other lanes, now and then; what is owed in those that were taken over."""
-        if now < self._look_at:
+        """Take over the journals of dead processes, at most every ``OWNERSHIP_CHECK_MS``.
+
+        Returns the pending messages of those taken over.
+        """
+        if now < self._next_check:
             return []
-        self._look_at = now + OWNERSHIP_CHECK_MS
+        self._next_check = now + OWNERSHIP_CHECK_MS
         try:
-            return self._look_again()
-        except OSError:  # guards the loop: what can't be looked at now is looked at again
+            return self._refresh_if_changed()
+        except OSError:  # retried at the next check
             return []
 
-    def _look_again(self) -> list[PendingMessage]:
-        changed = self._folder.stat().st_mtime_ns  # as another lane's folder is made
-        if changed == self._changed and not self._beside and len(self._books) == 1:
+    def _refresh_if_changed(self) -> list[PendingMessage]:
+        mtime_ns = (
+            self._folder.stat().st_mtime_ns
+        )  # changes when another process creates its journal's folder
+        if mtime_ns == self._folder_mtime_ns and not self._peers and len(self._journals) == 1:
             return []
-        return self._look()
+        return self._refresh()
 
-    def _look(self) -> list[PendingMessage]:
-        self._changed = self._folder.stat().st_mtime_ns
+    def _refresh(self) -> list[PendingMessage]:
+        self._folder_mtime_ns = self._folder.stat().st_mtime_ns
         found: list[PendingMessage] = []
-        for lane in range(LANES):
-            if lane in self._books or not (lane_folder(self._folder, lane) / "lock").exists():
+        for index in range(MAX_JOURNALS):
+            if index in self._journals or not (journal_folder(self._folder, index) / "lock").exists():
                 continue
-            if not self._lock(lane):
-                self._beside.setdefault(lane, Beside(lane_folder(self._folder, lane)))
+            if not self._lock(index):
+                self._peers.setdefault(index, PeerJournal(journal_folder(self._folder, index)))
                 continue
             try:
-                self._books[lane] = self._opened(lane)
-            except OSError:  # the disk is full, say: nothing is lost, and the next look tries again
-                self._let_go(lane)
-                self._beside.setdefault(lane, Beside(lane_folder(self._folder, lane)))
+                self._journals[index] = self._open_journal(index)
+            except OSError:  # e.g. disk full: nothing is lost, and the next check retries
+                self._unlock(index)
+                self._peers.setdefault(index, PeerJournal(journal_folder(self._folder, index)))
                 continue
-            self._beside.pop(lane, None)
-            found += self._books[lane].pending.values()
-        for lane in [lane for lane, book in self._books.items() if lane != self._own and not book.pending]:
-            with suppress(OSError):  # what could not be removed is looked at again
-                self._books[lane].remove()
-                del self._books[lane]
-                self._let_go(lane)
-        held = sum(book.size for lane, book in self._books.items() if lane != self._own)
-        beside = max((max(self._disk // 2, one.size) for one in self._beside.values()), default=0)
-        self._books[self._own].keep_within(self._disk - held - beside)
+            self._peers.pop(index, None)
+            found += self._journals[index].pending.values()
+        for index in [
+            index
+            for index, journal in self._journals.items()
+            if index != self._own_index and not journal.pending
+        ]:
+            with suppress(OSError):  # retried at the next check
+                self._journals[index].delete()
+                del self._journals[index]
+                self._unlock(index)
+        taken_over_bytes = sum(
+            journal.size for index, journal in self._journals.items() if index != self._own_index
+        )
+        peer_bytes = max((max(self._disk_bytes // 2, peer.size) for peer in self._peers.values()), default=0)
+        self._journals[self._own_index].set_disk_limit(self._disk_bytes - taken_over_bytes - peer_bytes)
         return found
 
     @property
     def has_other_journals(self) -> bool:
-        """Whether another process uses the folder, or has left something that is still owed."""
-        return bool(self._beside) or len(self._books) > 1
+        """Whether another process uses the folder, or left pending messages in it."""
+        return bool(self._peers) or len(self._journals) > 1
 
     def pending_elsewhere(self, id: str) -> PendingMessage | None:
-        """A message that a process beside this one owes, by its id."""
-        return next((owed for one in self._beside.values() if (owed := one.owed(id)) is not None), None)
+        """The message with this id that is pending in a peer's journal."""
+        return next(
+            (message for peer in self._peers.values() if (message := peer.find(id)) is not None), None
+        )
 
-    # As a journal
+    # The interface of a journal
 
-    def _of(self, number: int) -> Journal:
-        return self._books.get(number // NUMBERS, self._books[self._own])
+    def _journal_for(self, number: int) -> Journal:
+        return self._journals.get(number // NUMBERS_PER_JOURNAL, self._journals[self._own_index])
 
     @property
     def pending(self) -> Mapping[int, PendingMessage]:
-        """All that this process owes, by number."""
-        books = list(self._books.values())
-        return books[0].pending if len(books) == 1 else ChainMap(*(book.pending for book in books))
+        """All pending messages of this process, by number."""
+        journals = list(self._journals.values())
+        return (
+            journals[0].pending
+            if len(journals) == 1
+            else ChainMap(*(journal.pending for journal in journals))
+        )
 
     @property
     def commit(self) -> GroupCommit | None:
-        """The syncs of the lane that new messages are noted in, where it outlasts a power loss."""
-        return self._books[self._own].commit
+        """The group commit of this process's own journal, if it is durable."""
+        return self._journals[self._own_index].commit
 
     @property
     def damaged(self) -> Mapping[str, list[DamagedRange]]:
-        """What could not be read, by file."""
-        return {name: ranges for book in self._books.values() for name, ranges in book.damaged.items()}
+        """The unreadable byte ranges, by file."""
+        return {
+            name: ranges for journal in self._journals.values() for name, ranges in journal.damaged.items()
+        }
 
     @property
     def cut_bytes(self) -> int:
-        """How many bytes of torn tails were cut off."""
-        return sum(book.cut_bytes for book in self._books.values())
+        """How many bytes of torn tails were discarded."""
+        return sum(journal.cut_bytes for journal in self._journals.values())
 
     @property
     def last_number(self) -> int:
-        """The number of the message that was taken on last."""
-        return self._books[self._own].last_number
+        """The number of the message recorded last."""
+        return self._journals[self._own_index].last_number
 
     def wait_synced(self) -> None:
-        """As ``Journal.wait_synced``, for all lanes."""
-        for book in list(self._books.values()):
-            book.wait_synced()
+        """As ``Journal.wait_synced``, for all journals."""
+        for journal in list(self._journals.values()):
+            journal.wait_synced()
 
-    def record_taken(self, owed: PendingMessage) -> None:
-        """As ``Journal.record_taken``, in this process's own lane."""
-        self._books[self._own].record_taken(owed)
+    def record_taken(self, message: PendingMessage) -> None:
+        """As ``Journal.record_taken``, in this process's own journal."""
+        self._journals[self._own_index].record_taken(message)
 
     def record_begun(self, number: int, attempt: int) -> bool:
         """As ``Journal.record_begun``."""
-        return self._of(number).record_begun(number, attempt)
+        return self._journal_for(number).record_begun(number, attempt)
 
     def withdraw(self, number: int) -> bool:
         """As ``Journal.withdraw``."""
-        return self._of(number).withdraw(number)
+        return self._journal_for(number).withdraw(number)
 
     def record_not_run(self, number: int, attempt: int) -> None:
         """As ``Journal.record_not_run``."""
-        self._of(number).record_not_run(number, attempt)
+        self._journal_for(number).record_not_run(number, attempt)
 
     def record_ending(self, number: int, deferred: bool, again_ms: float) -> None:
         """As ``Journal.record_ending``."""
-        self._of(number).record_ending(number, deferred, again_ms)
+        self._journal_for(number).record_ending(number, deferred, again_ms)
 
     def record_completed(self, number: int) -> None:
         """As ``Journal.record_completed``."""
-        self._of(number).record_completed(number)
+        self._journal_for(number).record_completed(number)
--- a/tests/test_journal_ownership.py
+++ b/tests/test_journal_ownership.py
@@ -18,7 +18,13 @@
 
 from springspread.core.files import Files
 from springspread.core.journal import Journal, JournalFull
-from springspread.core.journal_ownership import LANES, NUMBERS, OwnedJournals, lane_folder, read_pending
+from springspread.core.journal_ownership import (
+    MAX_JOURNALS,
+    NUMBERS_PER_JOURNAL,
+    OwnedJournals,
+    journal_folder,
+    read_pending,
+)
 from springspread.core.shared_backoff import MAX_FILE_BYTES, SharedBackoff
 from tests.peer import WAIT_S, Peer, Program, until
 from tests.test_config import make
@@ -137,11 +143,11 @@
 
 def test_a_folder_with_no_lane_left_is_refused_by_name(tmp_path: Path, peer: Peer) -> None:
     program = Program(tmp_path, peer)
-    for _ in range(LANES - 1):
+    for _ in range(MAX_JOURNALS - 1):
         OwnedJournals(program.state, 3_000_000, 8, 65536)
     env = {**os.environ, "RELAY_CONFIG": str(program.file)}
     done = subprocess.run([sys.executable, "-m", "springspread"], env=env, capture_output=True, text=True)
-    assert done.returncode == 2 and f"state: {program.state}: {LANES} processes" in done.stderr
+    assert done.returncode == 2 and f"state: {program.state}: {MAX_JOURNALS} processes" in done.stderr
     program.end()
 
 
@@ -163,7 +169,7 @@
         and first.check_ownership(3e18) == []
         and not first.has_other_journals
     )
-    assert not list(lane_folder(tmp_path, 1).glob("journal.*"))
+    assert not list(journal_folder(tmp_path, 1).glob("journal.*"))
     fill(first, 500)
     assert sum(path.stat().st_size for path in tmp_path.rglob("journal.*")) > 0.5 * disk
 
@@ -180,7 +186,7 @@
 
 def test_lanes_number_apart_and_read_each_other_through_files_that_are_cleared_away(tmp_path: Path) -> None:
     old, new = (OwnedJournals(tmp_path, 400_000, 8, 4096) for _ in range(2))
-    assert (old.last_number, new.last_number) == (0, NUMBERS)
+    assert (old.last_number, new.last_number) == (0, NUMBERS_PER_JOURNAL)
     for number in range(1, 3000):
         one = owed(number)
         one.body = bytes(500)
