--- a/springspread/__main__.py
+++ b/springspread/__main__.py
@@ -1,4 +1,4 @@
-"""The real sender: wiring and signals."""
+"""The sender process: wiring and signals."""
 
 from __future__ import annotations
 
@@ -41,13 +41,13 @@
     from springspread.fleet.client import FleetShares
     from springspread.fleet.wire import Returning
 
-ENDS = (signal.SIGTERM, signal.SIGINT)
-HEARD = (*ENDS, signal.SIGHUP)
-GATE_S = 0.02  # how often a start looks whether it may let clients in
+STOP_SIGNALS = (signal.SIGTERM, signal.SIGINT)
+HANDLED_SIGNALS = (*STOP_SIGNALS, signal.SIGHUP)
+READY_CHECK_S = 0.02  # how often startup checks whether clients may be let in
 
 
 def known_list(config: Config) -> ListNews:
-    """The list as this sender last held it; none is as good as an empty one."""
+    """The endpoint list saved by a previous process, or an empty one."""
     if config.known is None:
         return ListNews(Scope.CACHED)
     try:
@@ -56,41 +56,41 @@
         raise ConfigError(f"known: {exc}") from exc
 
 
-def reload(running: Config, moved: Sequence[Watcher | Notices], log: Log) -> Config:
-    """Put the configuration as it now stands in force, whole; a bad one leaves all as it was."""
+def reload(running: Config, consumers: Sequence[Watcher | Notices], log: Log) -> Config:
+    """Reload the configuration and apply it; an invalid one changes nothing."""
     try:
         config = reload_config(running)
         known_list(config)
-    except Exception as exc:  # whatever the file holds, it must not end the program
-        log.error("configuration not read again", error=str(exc) or repr(exc))
+    except Exception as exc:  # no file contents may end the program
+        log.error("configuration not reloaded", error=str(exc) or repr(exc))
         return running
     if config.discovery != running.discovery:
-        for part in moved:
-            part.move(config.discovery)
-    log.info("configuration read again", discovery=f"{config.discovery[0]}:{config.discovery[1]}")
+        for consumer in consumers:
+            consumer.move(config.discovery)
+    log.info("configuration reloaded", discovery=f"{config.discovery[0]}:{config.discovery[1]}")
     return config
 
 
 def fleet_shares(log: Log) -> FleetShares | None:
-    """The part of the partners' limits that a fleet gives this instance; none where it stands alone."""
+    """The client for the fleet's shares of the partners' limits; ``None`` without a fleet."""
     if "SPRINGSPREAD_FLEET" not in os.environ:
         return None
-    from springspread.fleet.client import from_environment  # a sender that stands alone loads nothing of it
+    from springspread.fleet.client import from_environment  # not needed without a fleet
 
     return from_environment(os.environ, log)
 
 
-def inherited() -> socket.socket | None:
-    """The clients' listening socket, where whoever started this process holds it; else none."""
-    if not (told := os.environ.get("RELAY_FD")):
+def inherited_socket() -> socket.socket | None:
+    """The listening socket for clients inherited from the parent process, if any."""
+    if not (value := os.environ.get("RELAY_FD")):
         return None
     try:
-        return socket.socket(fileno=int(told))
+        return socket.socket(fileno=int(value))
     except (ValueError, OSError) as exc:
-        raise ConfigError(f"RELAY_FD: not a descriptor of a socket: {told!r}") from exc
+        raise ConfigError(f"RELAY_FD: not a socket descriptor: {value!r}") from exc
 
 
-def manage(
+def serve_operators(
     address: Address,
     intake: Intake,
     figures: Figures,
@@ -99,7 +99,7 @@
     limits: Limits,
     log: Log,
 ) -> None:
-    """Answer operators from now on."""
+    """Start the operators' listener."""
     from springspread.platform.management import Management
 
     limits = operator_limits(limits)
@@ -109,8 +109,8 @@
         raise ConfigError(f"mgmt: {address[0]}:{address[1]}: {exc.strerror}") from exc
 
 
-def standing(sender: Sender, journal: OwnedJournals) -> Returning | None:
-    """How far the start has come, for the fleet's daemon; nothing where it waits at no gate."""
+def startup_status(sender: Sender, journal: OwnedJournals) -> Returning | None:
+    """How far startup has come, for the fleet's daemon; ``None`` if no startup stage is waited for."""
     from springspread.fleet.wire import Returning
 
     start = sender.start
@@ -122,12 +122,14 @@
 
 
 def serve(config: Config, log: Log, flush: Callable[[], None]) -> int:
-    """Serve until a signal ends it."""
+    """Serve until a stop signal."""
     known = known_list(config)
     limits, settings = config.limits, config.settings
-    most, durable = settings.max_attempts, config.durability is Durability.POWER
+    max_attempts, durable = settings.max_attempts, config.durability is Durability.POWER
     try:
-        journal = OwnedJournals(config.state, limits.disk_bytes, most, limits.body_bytes, durable=durable)
+        journal = OwnedJournals(
+            config.state, limits.disk_bytes, max_attempts, limits.body_bytes, durable=durable
+        )
     except TooManyProcesses as exc:
         raise ConfigError(f"state: {exc}") from exc
     grace = max(settings.rules.drain_grace_ms - limits.drain_margin_ms, 0.0)
@@ -157,51 +159,53 @@
     if shares is not None:
         from springspread.fleet.fit import under_policy
 
-        shares.follow(partial(under_policy, config, journal), sender.put, partial(standing, sender, journal))
-    running = spawn("loop", sender.run, log)
-    # Guards deadlines: where a start's processor time is charged to the clock, it may be ahead of the world
-    # until a wait has ended, and whatever is taken on before that would be given up too late.
+        shares.follow(
+            partial(under_policy, config, journal), sender.put, partial(startup_status, sender, journal)
+        )
+    loop_thread = spawn("loop", sender.run, log)
+    # Where CPU time is charged to the clock, it may run ahead after startup until the process has slept;
+    # messages accepted before that would be given up too late.
     SYSTEM.sleep(limits.settle_ms)
     intake = Intake(sender.put, limits.retry_after_s, figures)
     try:
-        listener = Listener(inherited() or listening(config.listen, limits), intake, limits, log)
+        listener = Listener(inherited_socket() or listening(config.listen, limits), intake, limits, log)
     except OSError as exc:
         raise ConfigError(f"listen: {config.listen[0]}:{config.listen[1]}: {exc.strerror}") from exc
     if config.mgmt is not None:
-        manage(config.mgmt, intake, figures, sender, listener, limits, log)
-    heard = None
-    while not sender.open and heard not in ENDS:  # clients are refused meanwhile, with a time to come back
-        if (told_by := signal.sigtimedwait(HEARD, GATE_S)) is not None:
-            heard = told_by.si_signo
-            if heard == signal.SIGHUP:
+        serve_operators(config.mgmt, intake, figures, sender, listener, limits, log)
+    signal_number = None
+    while not sender.open and signal_number not in STOP_SIGNALS:  # clients get a Retry-After meanwhile
+        if (signal_info := signal.sigtimedwait(HANDLED_SIGNALS, READY_CHECK_S)) is not None:
+            signal_number = signal_info.si_signo
+            if signal_number == signal.SIGHUP:
                 config = reload(config, (watcher, notices), log)
     intake.ready = sender.open
     listen = f"{listener.address[0]}:{listener.address[1]}"
-    told = {"policy": shares.policy} if shares else {}
-    told |= {"pid": os.getpid()}
+    fields = {"policy": shares.policy} if shares else {}
+    fields |= {"pid": os.getpid()}
     if intake.ready:
-        log.info("ready", listen=listen, slots=settings.slots, clients=limits.client_connections, **told)
-    while heard not in ENDS:
-        heard = signal.sigwait(HEARD)
-        if heard == signal.SIGHUP:
+        log.info("ready", listen=listen, slots=settings.slots, clients=limits.client_connections, **fields)
+    while signal_number not in STOP_SIGNALS:
+        signal_number = signal.sigwait(HANDLED_SIGNALS)
+        if signal_number == signal.SIGHUP:
             config = reload(config, (watcher, notices), log)
     log.info("stopping")
     ends_at = SYSTEM.now() + limits.stop_ms + 50.0
     sender.put(Stop())
     time.sleep(limits.accept_after_stop_ms / 1000.0)
     listener.close()
-    running.join((limits.stop_ms - limits.accept_after_stop_ms + 100.0) / 1000.0)
+    loop_thread.join((limits.stop_ms - limits.accept_after_stop_ms + 100.0) / 1000.0)
     clearance.stop()
-    listener.emptied(ends_at - SYSTEM.now())  # guards answers that are written and not yet read
-    told = {"syncs": journal.commit.syncs} if journal.commit else {}
-    log.info("stopped", owed=len(journal.pending), **told)
+    listener.emptied(ends_at - SYSTEM.now())  # answers may be written and not yet read
+    fields = {"syncs": journal.commit.syncs} if journal.commit else {}
+    log.info("stopped", owed=len(journal.pending), **fields)
     flush()
     return 0
 
 
 def main() -> int:
-    """Read the configuration and serve; 2 where it can't be used."""
-    signal.pthread_sigmask(signal.SIG_BLOCK, HEARD)
+    """Read the configuration and serve; returns 2 if the configuration is invalid."""
+    signal.pthread_sigmask(signal.SIG_BLOCK, HANDLED_SIGNALS)
     try:
         config = load()
         threading.stack_size(config.limits.stack_bytes)
@@ -215,4 +219,4 @@
 if __name__ == "__main__":
     code = main()
     sys.stderr.flush()
-    os._exit(code)  # the other threads may wait on sockets for long; nothing is owed to them
+    os._exit(code)  # without waiting for threads that block on sockets
--- a/springspread/config.py
+++ b/springspread/config.py
@@ -1,4 +1,4 @@
-"""The one place where configuration is read, checked and given defaults; errors name the faulty key."""
+"""Reads and validates the configuration and fills in defaults; errors name the faulty key."""
 
 from __future__ import annotations
 
@@ -15,90 +15,82 @@
 Address = tuple[str, int]
 
 
-OWN_DESCRIPTORS = 26  # standard streams, listeners, wake-ups, lanes, list, notices, and one more worker
-SHARED_OUT = 1 / 3 + 1 / 8 + 1 / 4  # of the rest: clients, workers, kept connections
-RELOADED = ("discovery", "known", "seed")
-"""What may differ in a file that is read again: the first is put in force, the others serve a start."""
+RESERVED_DESCRIPTORS = 26  # standard streams, listeners, wake-ups, journals, list, notices, one extra worker
+POOL_SHARES = 1 / 3 + 1 / 8 + 1 / 4  # of the remaining descriptors: clients, workers, idle connections
+RELOADABLE = ("discovery", "known", "seed")
+"""Keys that may differ on a reload: the first takes effect, the others matter only at startup."""
 
 
 class ConfigError(Exception):
-    """A configuration that the program can't start with; the text begins with the faulty key."""
+    """An unusable configuration; the message begins with the faulty key."""
 
 
 @dataclass(frozen=True, slots=True)
 class Limits:
-    """Every bound of the program (sizes, counts, times in milliseconds), handed down from the start."""
+    """All limits of the program: sizes, counts, and times in milliseconds."""
 
     body_bytes: int = 64 * 1024
-    length_required: bool = True  # a request with a body has to state its length
+    length_required: bool = True  # a request with a body must have a Content-Length
     head_bytes: int = 16 * 1024
     answer_bytes: int = 256 * 1024
     interim_answers: int = 16
     read_bytes: int = 64 * 1024
-    stack_bytes: int = 384 * 1024  # deeply nested JSON takes 128 to 160 KiB before Python stops it
+    stack_bytes: int = 384 * 1024  # deeply nested JSON needs 128 to 160 KiB before Python rejects it
     disk_bytes: int = 3 * 1024 * 1024
     client_connections: int = 480
-    client_closing_connections: int = 32  # above those: the ones that were told their last answer
+    client_closing_connections: int = 32  # closing after their last answer, in addition
     operator_connections: int = 28
-    backlog: int = 1024  # hundreds that connect at once wait in the system's line, not for its next try
+    backlog: int = 1024  # hundreds may connect at once; beyond it, a client waits for its SYN retry
     idle_connections: int = 128
     workers: int = 128
     recent_results: int = 2048
     notices_in_call: int = 64
     log_lines: int = 1000
-    retry_after_s: float = 1.0  # a client that comes before they are let in is told to come back after this
-    settle_ms: float = 1.0  # waited out between a start and the first client
-    client_first_byte_ms: float = 1_300.0  # a connection that has sent nothing is ended after this
-    client_new_evictable_ms: float = 50.0  # and is not asked to make room before this
+    retry_after_s: float = 1.0  # sent to clients that connect before the sender is ready
+    settle_ms: float = 1.0  # pause between startup and the first client
+    client_first_byte_ms: float = 1_300.0  # a connection that has sent nothing is closed after this
+    client_new_evictable_ms: float = 50.0  # and may be evicted after this
     client_read_ms: float = 1_500.0  # from a request's first byte to its last
-    client_partial_evictable_ms: float = 100.0  # half a request is not asked to make room before this
-    client_slow_ms: float = 300.0  # one that takes longer lags, and may be asked to make room
-    client_min_bytes_s: int = 200  # and has come at this rate at least
-    client_bytes: int = 16 * 1024 * 1024  # kept of unfinished requests, of all clients together
+    client_partial_evictable_ms: float = 100.0  # a partial request may be evicted after this
+    client_slow_ms: float = 300.0  # a request that takes longer is slow, and may be evicted
+    client_min_bytes_s: int = 200  # minimum rate of a slow request
+    client_bytes: int = 16 * 1024 * 1024  # buffered for partial requests, of all clients together
     client_idle_ms: float = 2_000.0  # between requests
-    client_closing_evictable_ms: float = (
-        20.0  # one that was told its last answer is not asked to make room before this
-    )
+    client_closing_evictable_ms: float = 20.0  # a closing connection may be evicted after this
     client_linger_ms: float = 200.0
     linger_bytes: int = 1024 * 1024
-    destination_retention_ms: float = 60_000.0  # a destination is known for so long without an endpoint
+    destination_retention_ms: float = 60_000.0  # a destination without endpoints stays known for this long
     client_write_ms: float = 2_000.0
     verdict_ms: float = 380.0
     connect_ms: float = 1_000.0
-    endpoint_write_ms: float = 2_000.0  # a request not taken by its endpoint within this never ran
-    stale_risk_once: float = (
-        0.03  # a call that may run once takes this chance of a stale connection, no more:
-    )
-    stale_risk_repeatable: float = (
-        0.25  # a handshake costs 0.04 of a message; one that may be repeated loses less
-    )
-    stale_break_ms: float = 30.0  # a connection that ends sooner under a call was likely dead before it
-    last_byte_hold_min_ms: float = (
-        2.5  # the last byte of a call that may run once is held back so long at least
-    )
+    endpoint_write_ms: float = 2_000.0  # a request that its endpoint does not read within this never ran
+    stale_risk_once: float = 0.03  # accepted risk of a stale connection, for a call that may run only once
+    stale_risk_repeatable: float = 0.25  # for a repeatable call, which loses less by it
+    stale_break_ms: float = 30.0  # a reused connection that breaks sooner was probably stale
+    last_byte_hold_min_ms: float = 2.5  # delay of the last byte of a call that may run only once
     last_byte_hold_max_ms: float = 50.0
-    answer_read_ms: float = 500.0  # from an answer's first bytes to its end
+    answer_read_ms: float = 500.0  # from an answer's first byte to its last
     idle_ms: float = 3_500.0
     watch_ms: float = 5_000.0
     notice_ms: float = 1_000.0
     notice_retry_ms: float = 100.0
-    drain_margin_ms: float = 350.0  # held up for 150 ms at the list, 150 before a first byte, and 50 besides
+    drain_margin_ms: float = 350.0  # 150 ms for the list, 150 ms before a first byte, 50 ms spare
     accept_after_stop_ms: float = 500.0
-    drain_close_ms: float = 600.0  # from an operator's drain until clients' connections are ended
-    deadline_margin_ms: float = 60.0  # how far the client's count of a message's time may be ahead
+    drain_close_ms: float = 600.0  # from an operator's drain until client connections are closed
+    deadline_margin_ms: float = 60.0  # allowance for the client's clock being ahead
     stop_ms: float = 3_400.0
     stop_unsafe_ms: float = 2_000.0
     stop_safe_ms: float = 500.0
 
 
 def operator_limits(limits: Limits) -> Limits:
-    """The bounds of the operators' listener: few callers, who may connect and say nothing."""
-    spares = max(limits.operator_connections // 7, 1)
-    places = max(limits.operator_connections - spares, 1)
+    """The limits of the operators' listener: few clients, which may connect and stay silent."""
+    closing = max(limits.operator_connections // 7, 1)
+    places = max(limits.operator_connections - closing, 1)
     return replace(
         Limits(),
         client_connections=places,
-        client_closing_connections=spares,
+        client_closing_connections=closing,
         body_bytes=4096,
         length_required=False,
     )
@@ -106,7 +98,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Names:
-    """The deployment's names, in the order in which the settings number them."""
+    """The deployment's names, in the order of their numbers in the settings."""
 
     kinds: tuple[str, ...]
     zones: tuple[str, ...]
@@ -114,7 +106,7 @@
 
 
 class Durability(Enum):
-    """What a message that was taken on outlasts: the death of the process, or a power loss as well."""
+    """What an accepted message survives: the death of the process, or also a power loss."""
 
     PROCESS = "process"
     POWER = "power"
@@ -122,7 +114,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Waits:
-    """The longest wait at each gate of a start (ms, ``core.gates``); 0: it is not waited for."""
+    """The longest wait at each startup stage (ms, ``core.startup_stages``); 0 skips the stage."""
 
     clock_ms: float = 0.0
     policy_ms: float = 0.0
@@ -132,7 +124,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Config:
-    """What a sender is told at its start, checked."""
+    """A sender's validated configuration."""
 
     name: str
     listen: Address
@@ -145,11 +137,11 @@
     limits: Limits
     durability: Durability = Durability.PROCESS
     waits: Waits = Waits()
-    mgmt: Address | None = None  # where operators call
+    mgmt: Address | None = None  # the operators' listener
 
 
 def parse_address(text: object, key: str, *, least: int = 1) -> Address:
-    """Read ``host:port``."""
+    """Parse ``host:port``."""
     host, colon, port = str(text or "").rpartition(":")
     if not colon or not host or not (port.isascii() and port.isdigit()) or not least <= int(port) < 65536:
         raise ConfigError(f"{key}: not an address of the form host:port: {text!r}")
@@ -157,59 +149,59 @@
 
 
 def load(env: Mapping[str, str] = os.environ) -> Config:
-    """Read the environment and the file that it names."""
+    """Read the environment and the file named by ``RELAY_CONFIG``."""
     return read(load_raw(env), env)
 
 
 def load_raw(env: Mapping[str, str]) -> dict[str, object]:
-    """The file that the environment names, decoded and not yet checked."""
-    where = env.get("RELAY_CONFIG")
-    if not where:
+    """Read the file named by ``RELAY_CONFIG`` without validating its contents."""
+    path = env.get("RELAY_CONFIG")
+    if not path:
         raise ConfigError("RELAY_CONFIG: not set; it names the configuration file")
     try:
-        raw = json.loads(Path(where).read_bytes())
+        raw = json.loads(Path(path).read_bytes())
     except OSError as exc:
-        raise ConfigError(f"RELAY_CONFIG: {where}: {exc.strerror}") from exc
+        raise ConfigError(f"RELAY_CONFIG: {path}: {exc.strerror}") from exc
     except ValueError as exc:
-        raise ConfigError(f"RELAY_CONFIG: {where}: not JSON: {exc}") from exc
+        raise ConfigError(f"RELAY_CONFIG: {path}: not JSON: {exc}") from exc
     if not isinstance(raw, dict):
-        raise ConfigError(f"RELAY_CONFIG: {where}: must hold an object")
+        raise ConfigError(f"RELAY_CONFIG: {path}: must hold an object")
     return raw
 
 
 def reload_config(running: Config, env: Mapping[str, str] = os.environ) -> Config:
-    """Read the file again for a program that runs; what can't change under it must be as it was."""
+    """Read the file again for a running process; only ``RELOADABLE`` keys may have changed."""
     new = load(env)
     for item in fields(Config):
-        if item.name not in RELOADED and getattr(new, item.name) != getattr(running, item.name):
-            raise ConfigError(f"{item.name}: can't change while the program runs; start it anew")
+        if item.name not in RELOADABLE and getattr(new, item.name) != getattr(running, item.name):
+            raise ConfigError(f"{item.name}: cannot be changed by a reload; restart the process")
     return new
 
 
 def read(raw: Mapping[str, object], env: Mapping[str, str]) -> Config:
-    """Check the decoded configuration. The environment's own variables come first, but for discovery's.
+    """Validate the decoded configuration. Environment variables take precedence, except for discovery.
 
-    The file is what a running program reads again, so its word on discovery is the newer one.
+    A reload reads the file again, so its discovery address is the more recent one.
     """
     state = env.get("RELAY_STATE") or raw.get("state")
     if not state:
-        raise ConfigError("RELAY_STATE: not set; it names the folder that lasts")
+        raise ConfigError("RELAY_STATE: not set; it names the state folder")
     if not Path(str(state)).is_dir():
         raise ConfigError(f"RELAY_STATE: not a folder: {state}")
     listen = parse_address(env.get("RELAY_LISTEN") or raw.get("listen"), "listen", least=0)
     discovery = parse_address(raw.get("discovery") or env.get("RELAY_DISCOVERY"), "discovery")
     mgmt = env.get("RELAY_MGMT") or raw.get("mgmt")
-    tree = raw.get("settings")
-    if not isinstance(tree, dict):
+    raw_settings = raw.get("settings")
+    if not isinstance(raw_settings, dict):
         raise ConfigError("settings: must be an object")
-    flat = flatten(tree)
-    values = Reader(flat)
+    flat_settings = flatten(raw_settings)
+    values = Reader(flat_settings)
     try:
-        settings = read_settings(flat)
+        settings = read_settings(flat_settings)
         limits = _limits(Reader(flatten(raw.get("limits") or {})), values)
     except SettingsError as exc:
         raise ConfigError(f"settings.{exc}") from exc
-    # Each call out needs a thread: the module is told of as many slots as there can be.
+    # Each call needs a worker thread, so there are never more slots than workers.
     settings = replace(settings, slots=min(settings.slots, limits.workers))
     return Config(
         name=env.get("RELAY_NAME") or str(raw.get("name") or "sender"),
@@ -218,7 +210,7 @@
         state=Path(str(state)),
         seed=_seed(raw.get("seed")),
         settings=settings,
-        names=Names(tuple(values.items("kinds")), tuple(values.items("zones")), report_fields(flat)),
+        names=Names(tuple(values.items("kinds")), tuple(values.items("zones")), report_fields(flat_settings)),
         known=raw.get("known"),
         limits=limits,
         durability=_durability(raw.get("durability", Durability.PROCESS.value)),
@@ -228,7 +220,7 @@
 
 
 def _waits(raw: object) -> Waits:
-    """How long a start waits at each gate; a sender that no fleet started waits at none."""
+    """The waits at the startup stages; without a fleet there are none."""
     if not isinstance(raw, dict):
         raise ConfigError("recovery: must be an object")
     known = [item.name for item in fields(Waits)]
@@ -244,8 +236,8 @@
     try:
         return Durability(value)
     except ValueError:
-        words = ", ".join(one.value for one in Durability)
-        raise ConfigError(f"durability: must be one of {words}: {value!r}") from None
+        choices = ", ".join(one.value for one in Durability)
+        raise ConfigError(f"durability: must be one of {choices}: {value!r}") from None
 
 
 def _seed(value: object) -> int:
@@ -257,33 +249,33 @@
         raise ConfigError(f"seed: not a hexadecimal number: {value!r}") from None
 
 
-def _limits(machine: Reader, settings: Reader) -> Limits:
+def _limits(raw_limits: Reader, settings: Reader) -> Limits:
     base = Limits()
 
-    def machine_number(key: str, default: float, least: float) -> float:
+    def limit_number(key: str, default: float, least: float) -> float:
         try:
-            number = machine.number(key, default)
+            number = raw_limits.number(key, default)
         except SettingsError as exc:
             raise ConfigError(f"limits.{exc}") from exc
         if number < least:
             raise ConfigError(f"limits.{key}: must be at least {least:g}")
         return number
 
-    sockets = int(machine_number("sockets", 1024, 64))
-    memory_mb = machine_number("memory_mb", 192, 16)
-    disk_mb = machine_number("disk_mb", 3, 0.5)
+    sockets = int(limit_number("sockets", 1024, 64))
+    memory_mb = limit_number("memory_mb", 192, 16)
+    disk_mb = limit_number("disk_mb", 3, 0.5)
     idle_ms = settings.number("limits.connIdleMs", 5000.0)
-    # Guards discovery, notices, the journal and operators against crowds: what they need is set apart first.
-    # Of the rest clients get a third, those that were told their last answer included, workers an eighth and
-    # kept connections a quarter. Requests that are not whole get an eighth of the memory.
+    # The descriptors of discovery, notices, the journal and operators are reserved first, so that crowds of
+    # clients cannot take them. Of the rest clients get a third, closing ones included, workers an eighth and
+    # idle connections a quarter. Partial requests get an eighth of the memory.
     operator_connections = min(base.operator_connections, sockets // 12)
-    sockets = min(sockets, int((sockets - OWN_DESCRIPTORS - operator_connections) / SHARED_OUT))
-    spares = min(base.client_closing_connections, sockets // 24)
+    sockets = min(sockets, int((sockets - RESERVED_DESCRIPTORS - operator_connections) / POOL_SHARES))
+    closing = min(base.client_closing_connections, sockets // 24)
     return replace(
         base,
         disk_bytes=int(disk_mb * 1_000_000),
-        client_connections=max(8, min(base.client_connections, sockets // 3 - spares)),
-        client_closing_connections=spares,
+        client_connections=max(8, min(base.client_connections, sockets // 3 - closing)),
+        client_closing_connections=closing,
         operator_connections=operator_connections,
         client_bytes=int(memory_mb * 1024 * 1024 / 8),
         workers=min(base.workers, max(2, sockets // 8)),
--- a/springspread/gc_pause.py
+++ b/springspread/gc_pause.py
@@ -1,4 +1,4 @@
-"""The cyclic garbage collector, while very many objects that live on are made."""
+"""Pauses the cyclic garbage collector while very many long-lived objects are created."""
 
 from __future__ import annotations
 
@@ -9,11 +9,11 @@
 
 @contextmanager
 def collector_paused() -> Iterator[None]:
-    """No collection meanwhile.
+    """Disable automatic collection within the block.
 
-    A document of 140,000 limits makes a million objects and no garbage; the collector would walk over all of
-    them again and again, which takes as long as the rest. Whoever pauses it while another thread does may
-    end that pause early, which costs time alone.
+    Decoding a document of 140,000 limits creates a million objects and no garbage, and repeated collections
+    would double the time. If two threads pause at once, one may end the other's pause early; that only costs
+    time.
     """
     was_enabled = gc.isenabled()
     gc.disable()
--- a/springspread/logs.py
+++ b/springspread/logs.py
@@ -1,7 +1,7 @@
-"""Logging through structlog, off the hot path: lines are put on a bounded queue that one thread renders.
+"""Logging through structlog, off the hot path: a bounded queue, rendered by one thread.
 
-structlog takes more than half of a start's processor time to load. Only that thread needs it, so it is loaded
-there, beside the first clients' messages and not before them.
+Importing structlog takes more than half of the CPU time of a start. Only the log thread needs it, so it is
+imported there, and does not delay the first clients.
 """
 
 from __future__ import annotations
@@ -19,64 +19,64 @@
 
 LEVELS = {"debug": 10, "info": 20, "warning": 30, "error": 40}
 FORMATS = ("json", "text")
-FLUSH_S = 0.2  # how long the end of the program waits for the log's thread
+FLUSH_S = 0.2  # longest wait for the log thread at exit
 
 Line = dict[str, object]
 
 
 class QueueLogger:
-    """Takes lines from any thread without blocking, and counts what it had to leave out."""
+    """Takes lines from any thread without blocking, and counts the lines it drops."""
 
-    def __init__(self, lines: int, stream: TextIO, form: str) -> None:
-        self._lines: Queue[Line] = Queue(lines)
-        self._stream, self._form = stream, form
+    def __init__(self, capacity: int, stream: TextIO, format_name: str) -> None:
+        self._queue: Queue[Line] = Queue(capacity)
+        self._stream, self._format = stream, format_name
         self._render: Callable[[Line], str] | None = None
-        self._lost = 0
-        self._writing = threading.Lock()
+        self._dropped = 0
+        self._write_lock = threading.Lock()
         threading.Thread(target=self._run, name="log", daemon=True).start()
 
     def put(self, line: Line) -> None:
-        """Queue a line."""
+        """Queue a line, or drop it if the queue is full."""
         try:
-            self._lines.put_nowait(line)
+            self._queue.put_nowait(line)
         except Full:
-            self._lost += 1
+            self._dropped += 1
 
     def _run(self) -> None:
         while True:
-            self._write(self._lines.get())
-            self._lines.task_done()
+            self._write(self._queue.get())
+            self._queue.task_done()
 
     def _write(self, line: Line) -> None:
-        with self._writing:
+        with self._write_lock:
             if self._render is None:
-                self._render = renderer(self._form)
+                self._render = renderer(self._format)
             try:
-                if self._lost:
-                    self._stream.write(f"{self._lost} lines left out\n")
-                    self._lost = 0
+                if self._dropped:
+                    self._stream.write(f"{self._dropped} log lines dropped\n")
+                    self._dropped = 0
                 self._stream.write(self._render(line) + "\n")
                 self._stream.flush()
             except (OSError, ValueError):
-                self._lost += 1  # nobody reads the log: the program goes on without one
+                self._dropped += 1  # the log's reader is gone; the program goes on without a log
 
     def flush(self) -> None:
-        """Write what is queued, from the calling thread; wait a little for a line that is being written."""
+        """Write the queued lines from the calling thread, and wait briefly for a line being written."""
         while True:
             try:
-                self._write(self._lines.get_nowait())
+                self._write(self._queue.get_nowait())
             except Empty:
                 break
-            self._lines.task_done()
-        with self._lines.all_tasks_done:
-            self._lines.all_tasks_done.wait_for(lambda: not self._lines.unfinished_tasks, FLUSH_S)
+            self._queue.task_done()
+        with self._queue.all_tasks_done:
+            self._queue.all_tasks_done.wait_for(lambda: not self._queue.unfinished_tasks, FLUSH_S)
 
 
-def renderer(form: str) -> Callable[[Line], str]:
-    """structlog's renderer of a line."""
+def renderer(format_name: str) -> Callable[[Line], str]:
+    """structlog's renderer for a format."""
     from structlog import processors
 
-    if form == "json":
+    if format_name == "json":
         as_json = processors.JSONRenderer()
         return lambda line: str(as_json(None, "", line))
     as_text = processors.KeyValueRenderer(key_order=["timestamp", "level", "event", "sender"])
@@ -84,13 +84,13 @@
 
 
 class Logger:
-    """What the program logs with: a line is put together where it is told, and rendered elsewhere."""
+    """The program's logger: lines are composed by the caller and rendered by the log thread."""
 
-    def __init__(self, sink: QueueLogger, sender: str, least: int) -> None:
-        self._sink, self._sender, self._least = sink, sender, least
+    def __init__(self, sink: QueueLogger, sender: str, min_level: int) -> None:
+        self._sink, self._sender, self._min_level = sink, sender, min_level
 
-    def _tell(self, level: str, event: str, values: dict[str, object]) -> None:
-        if LEVELS[level] < self._least:
+    def _emit(self, level: str, event: str, values: dict[str, object]) -> None:
+        if LEVELS[level] < self._min_level:
             return
         now = datetime.now(UTC).isoformat().replace("+00:00", "Z")
         line: Line = {"sender": self._sender, **values, "event": event, "level": level, "timestamp": now}
@@ -99,33 +99,33 @@
         self._sink.put(line)
 
     def debug(self, event: str, **values: object) -> None:
-        """A step on a message's way."""
-        self._tell("debug", event, values)
+        """Log a step in the handling of a message."""
+        self._emit("debug", event, values)
 
     def info(self, event: str, **values: object) -> None:
-        """Something worth a line."""
-        self._tell("info", event, values)
+        """Log a notable event."""
+        self._emit("info", event, values)
 
     def warning(self, event: str, **values: object) -> None:
-        """Something from outside went wrong."""
-        self._tell("warning", event, values)
+        """Log a failure outside the program."""
+        self._emit("warning", event, values)
 
     def error(self, event: str, **values: object) -> None:
-        """Something in here went wrong."""
-        self._tell("error", event, values)
+        """Log a failure of the program itself."""
+        self._emit("error", event, values)
 
 
-def make_log(name: str, lines: int, env: Mapping[str, str] = os.environ) -> tuple[Logger, QueueLogger]:
-    """The program's logger, and the queue behind it.
+def make_log(name: str, capacity: int, env: Mapping[str, str] = os.environ) -> tuple[Logger, QueueLogger]:
+    """Create the program's logger and its queue.
 
-    ``RELAY_LOG_LEVEL`` (debug, info, warning or error) and ``RELAY_LOG_FORMAT`` (json or text) choose what is
-    written; raises ``ConfigError`` for other words.
+    ``RELAY_LOG_LEVEL`` (debug, info, warning or error) and ``RELAY_LOG_FORMAT`` (json or text) select what is
+    written; raises ``ConfigError`` for other values.
     """
     level = env.get("RELAY_LOG_LEVEL", "info")
     if level not in LEVELS:
         raise ConfigError(f"RELAY_LOG_LEVEL: must be one of {', '.join(LEVELS)}: {level!r}")
-    form = env.get("RELAY_LOG_FORMAT", "json")
-    if form not in FORMATS:
-        raise ConfigError(f"RELAY_LOG_FORMAT: must be one of {', '.join(FORMATS)}: {form!r}")
-    sink = QueueLogger(lines, sys.stderr, form)
+    format_name = env.get("RELAY_LOG_FORMAT", "json")
+    if format_name not in FORMATS:
+        raise ConfigError(f"RELAY_LOG_FORMAT: must be one of {', '.join(FORMATS)}: {format_name!r}")
+    sink = QueueLogger(capacity, sys.stderr, format_name)
     return Logger(sink, name, LEVELS[level]), sink
--- a/tests/test_config.py
+++ b/tests/test_config.py
@@ -133,7 +133,7 @@
         + limits.workers
         + limits.idle_connections
     )
-    assert shared + limits.operator_connections + config.OWN_DESCRIPTORS <= sockets
+    assert shared + limits.operator_connections + config.RESERVED_DESCRIPTORS <= sockets
     own = config.operator_limits(limits)
     assert own.client_connections + own.client_closing_connections <= max(limits.operator_connections, 2)
     assert min(limits.client_connections, limits.workers, limits.idle_connections) >= 2
--- a/tests/test_reload.py
+++ b/tests/test_reload.py
@@ -96,8 +96,8 @@
         raw = {**raw, "discovery": f"127.0.0.1:{new.port}", **json.loads(text)}
         text = json.dumps(raw)
     program.reload(text)
-    until(lambda: events(program, "configuration not read again"), "the log's line")
-    assert events(program, "configuration not read again")[0]["error"].startswith(key)
+    until(lambda: events(program, "configuration not reloaded"), "the log's line")
+    assert events(program, "configuration not reloaded")[0]["error"].startswith(key)
     seen = old.watches
     until(lambda: old.watches > seen, "the watch goes on")
     assert program.hand_in("a") == 202 and not new.watches
