--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -1,4 +1,4 @@
-"""What tests of the whole program share: the other side, and programs that end with their test."""
+"""Fixtures for tests of the whole program: its peer, and cleanup of started programs."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 @pytest.fixture
 def ended() -> Iterator[Callable[[Program], None]]:
-    """Hand a program in, and its process is over when the test is."""
+    """Registers a program whose process is killed when the test ends."""
     programs: list[Program] = []
     yield programs.append
     for one in programs:
--- a/tests/test_config.py
+++ b/tests/test_config.py
@@ -1,4 +1,4 @@
-"""Configuration: what is read, what is defaulted, and that errors name the faulty key."""
+"""Configuration: reading, defaults, and errors that name the faulty key."""
 
 from __future__ import annotations
 
@@ -69,9 +69,9 @@
     assert (read.slots, read.max_held, read.must_ask, read.may_cancel) == (6, 40, True, True)
 
 
-def test_a_whole_configuration_is_read(tmp_path: Path) -> None:
+def test_complete_configuration_is_read(tmp_path: Path) -> None:
     read = config.read(make(tmp_path), {"RELAY_LISTEN": "127.0.0.2:8443"})
-    assert read.listen == ("127.0.0.2", 8443)  # the environment's own variables come first
+    assert read.listen == ("127.0.0.2", 8443)  # environment variables take precedence
     assert read.discovery == ("127.0.0.1", 9)
     assert read.seed == 0x8C1F30D27A5BE964
     assert read.names.report == ("x0", "x1")
@@ -123,7 +123,7 @@
 
 
 @pytest.mark.parametrize("sockets", [*range(64, 400, 7), 512, 1024, 4096])
-def test_every_user_of_descriptors_has_its_own_and_together_they_fit(tmp_path: Path, sockets: int) -> None:
+def test_descriptor_pools_fit_the_limit(tmp_path: Path, sockets: int) -> None:
     raw = make(tmp_path)
     raw["limits"]["sockets"] = sockets
     limits = config.read(raw, {}).limits
--- a/tests/test_gc_pause.py
+++ b/tests/test_gc_pause.py
@@ -9,14 +9,14 @@
 from springspread.gc_pause import collector_paused
 
 
-def test_the_collector_goes_on_after_the_block_and_after_a_fault() -> None:
+def test_collection_resumes_after_the_block_and_after_an_error() -> None:
     with pytest.raises(ValueError), collector_paused():
         assert not gc.isenabled()
         raise ValueError
     assert gc.isenabled()
 
 
-def test_a_pause_within_a_pause_does_not_end_it() -> None:
+def test_nested_pause_does_not_end_the_outer_one() -> None:
     with collector_paused():
         with collector_paused():
             pass
--- a/tests/test_journal_ownership.py
+++ b/tests/test_journal_ownership.py
@@ -1,4 +1,4 @@
-"""Several processes of the program on one folder: an upgrade, a death in it, and one limit of the disk."""
+"""Several processes on one state folder: upgrades, takeover after a crash, and the shared disk limit."""
 
 from __future__ import annotations
 
@@ -28,74 +28,70 @@
 from springspread.core.shared_backoff import MAX_FILE_BYTES, SharedBackoff
 from tests.peer import WAIT_S, Peer, Program, until
 from tests.test_config import make
-from tests.test_journal_repair import owed
+from tests.test_journal_repair import message
 
-WAITS = (429, {"Retry-After": "0.3"})
+RETRY_LATER = (429, {"Retry-After": "0.3"})
 
 
 @pytest.fixture
 def both(tmp_path: Path, peer: Peer, ended: Callable[[Program], None]) -> tuple[Program, Program]:
-    """Two processes on one folder, the older one first."""
+    """Two processes on one folder, the older first."""
     old, new = Program(tmp_path, peer), Program(tmp_path, peer)
     ended(old)
     ended(new)
     return old, new
 
 
-def test_what_a_process_that_died_owed_goes_on_in_the_one_beside_it_once_each(
+def test_messages_of_a_dead_process_are_delivered_once_each_by_the_other(
     both: tuple[Program, Program], peer: Peer
 ) -> None:
     old, new = both
-    peer.answers = [WAITS] * 40
+    peer.answers = [RETRY_LATER] * 40
     ids = [f"old{n}" for n in range(6)]
     assert [old.hand_in(id) for id in ids] == [202] * 6
     assert new.hand_in("new") == 202
     old.end(signal.SIGKILL)
-    until(lambda: any(line["event"] == "taken over" for line in new.log), "it took the other lane over")
+    until(lambda: any(line["event"] == "taken over" for line in new.log), "the other journal is taken over")
     with peer.lock:
-        turned_away = len(peer.calls)
+        rejected_calls = len(peer.calls)
         peer.answers.clear()
-    until(lambda: not read_pending(new.state), "all are over")
-    served = Peer.ids_of(peer.calls[turned_away:])
+    until(lambda: not read_pending(new.state), "all are completed")
+    served = Peer.ids_of(peer.calls[rejected_calls:])
     assert Counter(served) == dict.fromkeys((*ids, "new"), 1) and not peer.notices
 
 
-def test_a_message_that_a_process_beside_owes_is_not_taken_on_again(
+def test_message_pending_in_another_process_is_not_recorded_again(
     both: tuple[Program, Program], peer: Peer
 ) -> None:
     old, new = both
     peer.hold.clear()
     assert old.hand_in("pay", cls="pay") == 202
     until(lambda: peer.ids() == ["pay"], "it is called")
-    assert new.hand_in("pay", cls="pay") == 202  # owed already
+    assert new.hand_in("pay", cls="pay") == 202  # already pending
     assert new.hand_in("pay", cls="pay", body=b"other") == 409
-    old.end(signal.SIGKILL)  # while its call is out: it may have run
-    until(lambda: [one["id"] for one in peer.notices] == ["pay"], "it is told as undeliverable")
+    old.end(signal.SIGKILL)  # during its call, which may have run
+    until(lambda: [one["id"] for one in peer.notices] == ["pay"], "it is reported as undeliverable")
     peer.hold.set()
     assert peer.notices[0]["status"] != "deferred" and peer.ids() == ["pay"]
 
 
-def test_one_that_dies_with_two_lanes_leaves_both_to_the_next(
-    both: tuple[Program, Program], peer: Peer
-) -> None:
+def test_both_journals_of_a_dead_process_are_taken_over(both: tuple[Program, Program], peer: Peer) -> None:
     old, new = both
     peer.answers = [(429, {"Retry-After": "2"})] * 40
     first, second = [f"old{n}" for n in range(5)], [f"new{n}" for n in range(5)]
     assert {old.hand_in(id) for id in first} | {new.hand_in(id) for id in second} == {202}
     old.end(signal.SIGKILL)
-    until(lambda: any(line["event"] == "taken over" for line in new.log), "it took the other lane over")
+    until(lambda: any(line["event"] == "taken over" for line in new.log), "the other journal is taken over")
     new.end(signal.SIGKILL)
     assert {one.id for one in read_pending(new.state).values()} == {*first, *second}
     peer.answers.clear()
     new.start()
     until(lambda: {*first, *second} <= set(peer.ids()), "all are called")
-    until(lambda: not read_pending(new.state), "all are over")
+    until(lambda: not read_pending(new.state), "all are completed")
     assert not peer.notices
 
 
-def test_an_orderly_upgrade_on_the_listening_socket_that_both_inherit_turns_nobody_away(
-    tmp_path: Path, peer: Peer
-) -> None:
+def test_upgrade_on_an_inherited_listening_socket_refuses_no_client(tmp_path: Path, peer: Peer) -> None:
     state, file = tmp_path / "state", tmp_path / "config.json"
     state.mkdir()
     listening = socket.create_server(("127.0.0.1", 0), backlog=128)
@@ -115,33 +111,33 @@
 
     program = Program.__new__(Program)
     program.address = ("127.0.0.1", port)
-    said: dict[str, int] = {}
-    over = threading.Event()
+    statuses: dict[str, int] = {}
+    stop = threading.Event()
 
     def clients() -> None:
-        while not over.is_set():
-            id = f"m{len(said)}"
-            said[id] = program.hand_in(id)
+        while not stop.is_set():
+            id = f"m{len(statuses)}"
+            statuses[id] = program.hand_in(id)
 
     old = begin()
     thread = threading.Thread(target=clients)
     thread.start()
     new = begin()
-    until(lambda: len(said) > 50, "both serve")
+    until(lambda: len(statuses) > 50, "both serve")
     old.send_signal(signal.SIGTERM)
     assert old.wait(WAIT_S) == 0
-    count = len(said)
-    until(lambda: len(said) > count + 50, "the new one serves")
-    over.set()
+    count = len(statuses)
+    until(lambda: len(statuses) > count + 50, "the new one serves")
+    stop.set()
     thread.join(WAIT_S)
-    until(lambda: set(said) == set(peer.ids()), "all are delivered")
+    until(lambda: set(statuses) == set(peer.ids()), "all are delivered")
     new.kill()
     new.wait(WAIT_S)
     listening.close()
-    assert set(said.values()) == {202} and set(Counter(peer.ids()).values()) == {1} and not peer.notices
+    assert set(statuses.values()) == {202} and set(Counter(peer.ids()).values()) == {1} and not peer.notices
 
 
-def test_a_folder_with_no_lane_left_is_refused_by_name(tmp_path: Path, peer: Peer) -> None:
+def test_folder_without_a_free_journal_is_refused_by_name(tmp_path: Path, peer: Peer) -> None:
     program = Program(tmp_path, peer)
     for _ in range(MAX_JOURNALS - 1):
         OwnedJournals(program.state, 3_000_000, 8, 65536)
@@ -151,44 +147,44 @@
     program.end()
 
 
-def test_lanes_keep_the_disks_limit_together_and_give_room_back(tmp_path: Path) -> None:
+def test_journals_share_the_disk_limit_and_return_their_room(tmp_path: Path) -> None:
     disk = 1_000_000
     first = OwnedJournals(tmp_path, disk, 8, 4096)
-    fill(first, 1)
+    fill_journal(first, 1)
     second = OwnedJournals(tmp_path, disk, 8, 4096)
     first.check_ownership(time.monotonic() * 1e6)
-    fill(second, 1)
-    fill(first, 500)  # it sees the other one, and takes no more than its half
+    fill_journal(second, 1)
+    fill_journal(first, 500)  # its limit is halved now
     assert 0.4 * disk < sum(path.stat().st_size for path in tmp_path.rglob("journal.*")) <= disk
-    for lanes in (first, second):
-        for number in list(lanes.pending):
-            lanes.record_completed(number)
-    os.close(second._locks.pop(1))  # as its process dies
+    for journals in (first, second):
+        for number in list(journals.pending):
+            journals.record_completed(number)
+    os.close(second._locks.pop(1))  # simulates the death of its process
     assert (
         first.check_ownership(2e18) == []
         and first.check_ownership(3e18) == []
         and not first.has_other_journals
     )
     assert not list(journal_folder(tmp_path, 1).glob("journal.*"))
-    fill(first, 500)
+    fill_journal(first, 500)
     assert sum(path.stat().st_size for path in tmp_path.rglob("journal.*")) > 0.5 * disk
 
 
-def fill(lanes: OwnedJournals, number: int) -> None:
+def fill_journal(journals: OwnedJournals, number: int) -> None:
     while True:
         try:
-            one = owed(lanes.last_number + 1)
+            one = message(journals.last_number + 1)
             one.body = bytes(3000)
-            lanes.record_taken(one)
+            journals.record_taken(one)
         except JournalFull:
             return
 
 
-def test_lanes_number_apart_and_read_each_other_through_files_that_are_cleared_away(tmp_path: Path) -> None:
+def test_journals_number_apart_and_follow_each_other_through_compaction(tmp_path: Path) -> None:
     old, new = (OwnedJournals(tmp_path, 400_000, 8, 4096) for _ in range(2))
     assert (old.last_number, new.last_number) == (0, NUMBERS_PER_JOURNAL)
     for number in range(1, 3000):
-        one = owed(number)
+        one = message(number)
         one.body = bytes(500)
         old.record_taken(one)
         assert new.pending_elsewhere(one.id) is not None
@@ -202,21 +198,19 @@
     }
 
 
-def test_a_wait_that_one_process_was_told_binds_the_one_beside_it(
-    both: tuple[Program, Program], peer: Peer
-) -> None:
+def test_retry_after_of_one_process_binds_the_other(both: tuple[Program, Program], peer: Peer) -> None:
     old, new = both
     peer.answers = [(429, {"Retry-After": "1.5"})]
     assert old.hand_in("a") == 202
-    until(lambda: peer.ids() == ["a"], "it is turned away, and told to wait")
-    until(lambda: (old.state / "waits").read_bytes(), "the other one can know")
-    told_at = time.monotonic()
+    until(lambda: peer.ids() == ["a"], "it is rejected with a Retry-After")
+    until(lambda: (old.state / "waits").read_bytes(), "the wait is published")
+    start = time.monotonic()
     assert new.hand_in("b") == 202
     until(lambda: "b" in peer.ids(), "it is called")
-    assert time.monotonic() - told_at > 1.2
+    assert time.monotonic() - start > 1.2
 
 
-def test_a_board_stays_small_and_its_readers_forget_what_is_over(tmp_path: Path) -> None:
+def test_shared_backoff_file_stays_small_and_expired_waits_are_forgotten(tmp_path: Path) -> None:
     one, other = tmp_path / "one", tmp_path / "other"
     one.mkdir()
     other.mkdir()
@@ -230,12 +224,12 @@
     assert reader.blocked_until("7/half", 1_501.0) == 0.0
 
 
-def test_a_lane_that_cant_be_opened_or_removed_now_is_taken_over_later(
+def test_failed_takeover_or_deletion_of_a_journal_is_retried(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     old, new = (OwnedJournals(tmp_path, 400_000, 8, 4096) for _ in range(2))
-    old.record_taken(owed(1))
-    os.close(old._locks.pop(0))  # as its process dies
+    old.record_taken(message(1))
+    os.close(old._locks.pop(0))  # simulates the death of its process
 
     def full(*_: object) -> None:
         raise OSError(28, "No space left on device")
@@ -243,7 +237,7 @@
     monkeypatch.setattr(Journal, "_open", full)
     assert new.check_ownership(1e12) == [] and not new.pending
     monkeypatch.undo()
-    assert [one.id for one in new.check_ownership(2e12)] == [owed(1).id]
+    assert [one.id for one in new.check_ownership(2e12)] == [message(1).id]
     new.record_completed(1)
     monkeypatch.setattr(Files, "unlink", full)
     assert new.check_ownership(3e12) == [] and new.has_other_journals
--- a/tests/test_journal_repair.py
+++ b/tests/test_journal_repair.py
@@ -1,4 +1,4 @@
-"""A journal that is damaged in the middle loses what is damaged, and nothing else."""
+"""A journal file that is damaged in the middle loses the damaged records only."""
 
 from __future__ import annotations
 
@@ -15,35 +15,37 @@
 FIRST = "journal.00000001"
 
 
-def owed(number: int, body: bytes = b"x" * 40) -> PendingMessage:
+def message(number: int, body: bytes = b"x" * 40) -> PendingMessage:
     return PendingMessage(number, f"id-{number}", "pay", 7, 2e12, body)
 
 
-def filled(folder: Path, count: int) -> bytes:
+def write_journal(folder: Path, count: int) -> bytes:
     journal = Journal(folder, DISK)
     for number in range(1, count + 1):
-        journal.record_taken(owed(number))
+        journal.record_taken(message(number))
     journal.close()
     return (folder / FIRST).read_bytes()
 
 
-def flipped(data: bytes, at: int, bit: int = 0) -> bytes:
+def flip_bit(data: bytes, at: int, bit: int = 0) -> bytes:
     return data[:at] + bytes([data[at] ^ 1 << bit]) + data[at + 1 :]
 
 
-def test_a_flipped_bit_at_a_quarter_of_a_thousand_messages_loses_one(tmp_path: Path) -> None:
-    data = filled(tmp_path, 1000)
-    (tmp_path / FIRST).write_bytes(flipped(data, len(data) // 4))
+def test_flipped_bit_in_a_large_file_loses_one_message(tmp_path: Path) -> None:
+    data = write_journal(tmp_path, 1000)
+    (tmp_path / FIRST).write_bytes(flip_bit(data, len(data) // 4))
     journal = Journal(tmp_path, DISK)
     assert len(journal.pending) == 999
     (lost,) = set(range(1, 1001)) - set(journal.pending)
-    (told,) = journal.damaged[FIRST]
-    assert told.ids == (f"id-{lost}",) and journal.possibly_run[FIRST] == [f"id-{n}" for n in range(1, lost)]
-    # What was on record before the damage may have had its *begun* there; what came after may not.
+    (damaged,) = journal.damaged[FIRST]
+    assert damaged.ids == (f"id-{lost}",) and journal.possibly_run[FIRST] == [
+        f"id-{n}" for n in range(1, lost)
+    ]
+    # The lost records may include a *begun* of earlier messages, but not of later ones.
     assert all(one.may_have_run == (number < lost) for number, one in journal.pending.items())
     assert all(one.attempts <= 1 for one in journal.pending.values())
-    assert (tmp_path / "damaged.00000001").read_bytes() == flipped(data, len(data) // 4)[
-        told.start : told.end
+    assert (tmp_path / "damaged.00000001").read_bytes() == flip_bit(data, len(data) // 4)[
+        damaged.start : damaged.end
     ]
     journal.close()
     again = Journal(tmp_path, DISK)
@@ -51,18 +53,18 @@
 
 
 @pytest.mark.parametrize("bit", [0, 3, 7])
-@pytest.mark.parametrize("byte", [0, 1, 3, 4, 8, 9, 30])  # of the length, the checksum, the kind, and on
-def test_whatever_is_flipped_in_a_record_the_others_are_read(tmp_path: Path, byte: int, bit: int) -> None:
-    data = filled(tmp_path, 12)
+@pytest.mark.parametrize("byte", [0, 1, 3, 4, 8, 9, 30])  # in the length, checksum, kind and the rest
+def test_any_flipped_bit_loses_only_its_record(tmp_path: Path, byte: int, bit: int) -> None:
+    data = write_journal(tmp_path, 12)
     size = len(data) // 12
-    (tmp_path / FIRST).write_bytes(flipped(data, 5 * size + byte, bit))
+    (tmp_path / FIRST).write_bytes(flip_bit(data, 5 * size + byte, bit))
     assert set(range(1, 13)) - set(Journal(tmp_path, DISK).pending) == {6}
 
 
-def test_a_torn_record_of_a_client_is_not_looked_into(tmp_path: Path) -> None:
-    filled(tmp_path, 2)
-    forged = _encode_frame(b"O" + (1).to_bytes(4, "little")) * 3
-    record = owed(3, b"y" * 50 + forged + b"y" * 200).records()
+def test_body_of_a_torn_record_is_not_searched(tmp_path: Path) -> None:
+    write_journal(tmp_path, 2)
+    forged_records = _encode_frame(b"O" + (1).to_bytes(4, "little")) * 3
+    record = message(3, b"y" * 50 + forged_records + b"y" * 200).records()
     with (tmp_path / FIRST).open("ab") as out:
         out.write(record[:-100])
     journal = Journal(tmp_path, DISK)
@@ -71,34 +73,34 @@
     )
 
 
-def test_a_whole_record_that_is_damaged_is_passed_over_by_its_length(tmp_path: Path) -> None:
-    filled(tmp_path, 1)
-    forged = _encode_frame(b"O" + (1).to_bytes(4, "little")) * 3
-    record = owed(2, forged + b"y" * 20).records()
-    data = flipped(record, len(record) - 1) + owed(3).records()
+def test_damaged_record_is_skipped_by_its_length(tmp_path: Path) -> None:
+    write_journal(tmp_path, 1)
+    forged_records = _encode_frame(b"O" + (1).to_bytes(4, "little")) * 3
+    record = message(2, forged_records + b"y" * 20).records()
+    data = flip_bit(record, len(record) - 1) + message(3).records()
     with (tmp_path / FIRST).open("ab") as out:
         out.write(data)
     assert sorted(Journal(tmp_path, DISK).pending) == [1, 3]
 
 
-def test_an_older_file_that_ends_early_is_damaged_and_the_newest_only_torn(tmp_path: Path) -> None:
-    data = filled(tmp_path, 3)
+def test_older_file_that_ends_early_is_damaged_but_the_newest_only_torn(tmp_path: Path) -> None:
+    data = write_journal(tmp_path, 3)
     (tmp_path / FIRST).write_bytes(data[:-5])
     assert not Journal(tmp_path, DISK, read_only=True).damaged
-    (tmp_path / "journal.00000002").write_bytes(owed(9).records())
+    (tmp_path / "journal.00000002").write_bytes(message(9).records())
     journal = Journal(tmp_path, DISK)
     assert sorted(journal.pending) == [1, 2, 9] and list(journal.damaged) == [FIRST]
     assert [journal.pending[number].may_have_run for number in (1, 2, 9)] == [True, True, False]
 
 
-def test_what_is_set_aside_counts_towards_the_disk(tmp_path: Path) -> None:
+def test_set_aside_data_counts_towards_the_disk_limit(tmp_path: Path) -> None:
     disk = 400_000
-    for turn in range(6):
+    for round_number in range(6):
         journal = Journal(tmp_path, disk)
         for number in range(1, 30):
-            journal.record_taken(owed(100 * turn + number, b"z" * 900))
+            journal.record_taken(message(100 * round_number + number, b"z" * 900))
         for number in range(1, 30):
-            journal.record_completed(100 * turn + number)
+            journal.record_completed(100 * round_number + number)
         journal.close()
         newest = max(tmp_path.glob("journal.*"))
         newest.write_bytes(newest.read_bytes()[: FRAME_HEADER.size] + b"?" * 9_000)
@@ -109,7 +111,7 @@
 
 records = st.lists(
     st.one_of(
-        st.builds(lambda n, size: owed(n, b"q" * size).records(), st.integers(1, 9), st.integers(0, 90)),
+        st.builds(lambda n, size: message(n, b"q" * size).records(), st.integers(1, 9), st.integers(0, 90)),
         st.builds(lambda n: _encode_frame(b"O" + n.to_bytes(4, "little")), st.integers(1, 9)),
     ),
     min_size=1,
@@ -118,7 +120,7 @@
 
 
 @given(records, st.binary(max_size=40), st.data())
-def test_reading_comes_to_an_end_and_covers_every_byte_once(
+def test_reader_terminates_and_covers_every_byte_once(
     frames: list[bytes], noise: bytes, data: st.DataObject
 ) -> None:
     text = b"".join(frames)
--- a/tests/test_known_red.py
+++ b/tests/test_known_red.py
@@ -1,4 +1,4 @@
-"""The list of tests that are known to fail: bounded, whole, and of tests that exist."""
+"""The list of known failures: bounded in length, complete entries, existing tests."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 import pytest
 
 ROOT = Path(__file__).resolve().parent.parent
-HERE = "tests/test_known_red.py::test_an_empty_list_passes_over_nothing"
+HERE = "tests/test_known_red.py::test_empty_list_deselects_nothing"
 GOOD = f"{HERE} | a stand-in | issue 1\n"
 
 
@@ -21,12 +21,12 @@
     )
 
 
-def test_an_empty_list_passes_over_nothing(tmp_path: Path) -> None:
+def test_empty_list_deselects_nothing(tmp_path: Path) -> None:
     run = check(tmp_path, "\n")
     assert (run.returncode, run.stdout.strip(), run.stderr) == (0, "", "")
 
 
-def test_a_known_failure_is_passed_over_and_told(tmp_path: Path) -> None:
+def test_known_failure_is_deselected_and_reported(tmp_path: Path) -> None:
     run = check(tmp_path, GOOD)
     assert run.returncode == 0 and run.stdout.strip() == f"--deselect={HERE}"
     assert f"known red: {HERE}: a stand-in (issue 1)" in run.stderr
@@ -41,10 +41,10 @@
         (GOOD.replace("empty", "absent"), "no such test: "),
     ],
 )
-def test_a_fourth_an_unfinished_and_an_unknown_one_fail(tmp_path: Path, text: str, fault: str) -> None:
+def test_too_many_incomplete_and_unknown_entries_fail(tmp_path: Path, text: str, fault: str) -> None:
     run = check(tmp_path, text)
     assert run.returncode == 1 and fault in run.stderr and not run.stdout
 
 
-def test_the_list_of_this_repository_holds(tmp_path: Path) -> None:
+def test_list_of_this_repository_is_valid(tmp_path: Path) -> None:
     assert check(tmp_path, (ROOT / "KNOWN-RED.txt").read_text()).returncode == 0
--- a/tests/test_power.py
+++ b/tests/test_power.py
@@ -1,4 +1,4 @@
-"""Durability by choice: shared syncs, and power losses of the real program, in which the unsynced is lost."""
+"""Durability settings: group commit, and power losses of the real program that drop unsynced data."""
 
 from __future__ import annotations
 
@@ -18,13 +18,13 @@
 from springspread.faults.power import HeldBack
 from tests.peer import WAIT_S, Peer, Program, until
 from tests.test_config import make
-from tests.test_journal_repair import owed
+from tests.test_journal_repair import message
 
-HELD_BACK = "springspread.faults.power"
+LOSES_UNSYNCED = "springspread.faults.power"
 
 
 class Disk:
-    """Syncs when it is told to; what is on it is what was written when the sync began."""
+    """Holds syncs until ``go``; a sync covers what was written when it began."""
 
     def __init__(self) -> None:
         self.written = self.kept = 0
@@ -37,7 +37,7 @@
         self.kept = upto
 
 
-def test_many_share_a_sync_and_none_returns_before_its_own_is_kept() -> None:
+def test_writers_share_a_sync_and_none_returns_before_its_data_is_synced() -> None:
     disk, kept = Disk(), list[bool]()
     commit = GroupCommit(disk.sync)
 
@@ -50,7 +50,7 @@
 
     first = threading.Thread(target=write)
     first.start()
-    assert disk.begun.wait(WAIT_S)  # it syncs, and the others come too late for that
+    assert disk.begun.wait(WAIT_S)  # the others write too late for this sync
     others = [threading.Thread(target=write) for _ in range(20)]
     for other in others:
         other.start()
@@ -62,7 +62,7 @@
     assert kept == [True] * 21 and 2 <= commit.syncs <= 4
 
 
-def test_a_sync_that_failed_is_never_made_good() -> None:
+def test_failed_sync_is_final() -> None:
     fails = [True]
 
     def sync() -> None:
@@ -77,35 +77,37 @@
         fails.clear()
 
 
-def test_a_journal_whose_disk_failed_takes_nothing_more(
+def test_journal_refuses_messages_after_a_failed_sync(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     journal = Journal(tmp_path, 3 << 20, durable=True)
-    journal.record_taken(owed(1))
+    journal.record_taken(message(1))
     journal.wait_synced()
 
     def broken(file: int) -> None:
         raise OSError(5, "Input/output error")
 
     monkeypatch.setattr(os, "fdatasync", broken)
-    journal.record_taken(owed(2))
+    journal.record_taken(message(2))
     with pytest.raises(OSError):
         journal.wait_synced()
     monkeypatch.undo()
     with pytest.raises(OSError):
-        journal.record_taken(owed(3))
+        journal.record_taken(message(3))
     assert sorted(Journal(tmp_path, 3 << 20, read_only=True).pending) == [1, 2]
 
 
-def test_other_words_are_refused(tmp_path: Path) -> None:
+def test_unknown_durability_is_refused(tmp_path: Path) -> None:
     assert config.read(make(tmp_path), {}).durability is Durability.PROCESS
     with pytest.raises(ConfigError, match="durability: must be one of process, power: 'disk'"):
         config.read(make(tmp_path, durability="disk"), {})
 
 
-def power_lost(folder: Path, peer: Peer, durability: str, before: Callable[[Program], None]) -> Program:
-    """Run, lose power after ``before``, and run again."""
-    program = Program(folder, peer, module=HELD_BACK, durability=durability)
+def run_after_power_loss(
+    folder: Path, peer: Peer, durability: str, before: Callable[[Program], None]
+) -> Program:
+    """Start the program, run ``before``, lose power, and start it again."""
+    program = Program(folder, peer, module=LOSES_UNSYNCED, durability=durability)
     before(program)
     program.end(signal.SIGKILL)
     peer.calls.clear()
@@ -115,17 +117,17 @@
 
 
 @pytest.mark.parametrize("durability", ["power", "process"])
-def test_what_was_answered_202_outlasts_a_power_loss(tmp_path: Path, peer: Peer, durability: str) -> None:
+def test_messages_answered_202_survive_a_power_loss(tmp_path: Path, peer: Peer, durability: str) -> None:
     peer.hold.clear()
     ids = [f"m{n}" for n in range(12)]
 
     def hand_in(program: Program) -> None:
         assert [program.hand_in(id, left=8000) for id in ids] == [202] * 12
 
-    program = power_lost(tmp_path, peer, durability, hand_in)
+    program = run_after_power_loss(tmp_path, peer, durability, hand_in)
     if durability == "power":
         until(lambda: set(ids) <= set(peer.ids()), "all are delivered")
-    else:  # the rig finds what it should: nothing was synced
+    else:  # nothing was synced, so the messages are lost
         assert program.hand_in("after") == 202
         until(lambda: "after" in peer.ids(), "it serves")
         assert set(ids).isdisjoint(peer.ids())
@@ -134,36 +136,38 @@
 
 
 @pytest.mark.parametrize("durability", ["power", "process"])
-def test_an_unsafe_call_that_was_out_is_not_made_again(tmp_path: Path, peer: Peer, durability: str) -> None:
+def test_unsafe_call_in_flight_at_a_power_loss_is_not_repeated(
+    tmp_path: Path, peer: Peer, durability: str
+) -> None:
     peer.hold.clear()
 
     def call(program: Program) -> None:
         assert program.hand_in("paid", "pay", left=8000) == 202
-        until(lambda: peer.ids() == ["paid"], "the call is out")
+        until(lambda: peer.ids() == ["paid"], "the call is in flight")
 
-    program = power_lost(tmp_path, peer, durability, call)
+    program = run_after_power_loss(tmp_path, peer, durability, call)
     if durability == "power":
-        until(lambda: {"id": "paid", "status": "undeliverable"} in peer.notices, "its end is told")
+        until(lambda: {"id": "paid", "status": "undeliverable"} in peer.notices, "its end is reported")
     assert program.hand_in("after") == 202
     until(lambda: "after" in peer.ids(), "it serves")
     assert "paid" not in peer.ids()
-    assert bool(peer.notices) == (durability == "power")  # else nobody knows of it any more
+    assert bool(peer.notices) == (durability == "power")  # otherwise it is lost
     program.process.kill()
     program.process.wait(WAIT_S)
 
 
-def test_what_the_system_writes_back_by_itself_stands_where_it_belongs(tmp_path: Path) -> None:
+def test_partial_write_back_keeps_its_place(tmp_path: Path) -> None:
     for seed in range(40):
         place = tmp_path / str(seed)
         place.mkdir()
         files = HeldBack(place, Random(seed))
-        book = Journal(place, 1 << 20, durable=True, files=files)
+        journal = Journal(place, 1 << 20, durable=True, files=files)
         for n in range(1, 60):
-            book.record_taken(owed(n))
+            journal.record_taken(message(n))
             if n == 20:
-                book.wait_synced()
-        lost = Journal(place, 1 << 20, read_only=True)  # what a power loss leaves
+                journal.wait_synced()
+        lost = Journal(place, 1 << 20, read_only=True)  # what remains after a power loss
         assert set(range(1, 21)) <= set(lost.pending) <= set(range(1, 60))
-        book.wait_synced()
+        journal.wait_synced()
         kept = Journal(place, 1 << 20, read_only=True)
         assert set(kept.pending) == set(range(1, 60)) and not kept.damaged
--- a/tests/test_reload.py
+++ b/tests/test_reload.py
@@ -1,4 +1,4 @@
-"""SIGHUP: the configuration is read again and put in force whole, or not at all."""
+"""SIGHUP: the configuration is reloaded completely or not at all."""
 
 from __future__ import annotations
 
@@ -35,27 +35,23 @@
     return [line for line in program.log if line["event"] == name]
 
 
-def test_list_watch_and_notices_move_and_what_was_owed_is_told_there(
-    program: Program, peers: list[Peer]
-) -> None:
+def test_discovery_and_notices_move_to_the_new_address(program: Program, peers: list[Peer]) -> None:
     old, new = peers
-    old.notice_answers = [503] * 10_000  # never takes a notice
+    old.notice_answers = [503] * 10_000  # never accepts a notice
     until(lambda: old.watches, "a watch at the old address")
     assert program.hand_in("early", left=1) == 202
-    until(lambda: len(old.notice_answers) < 10_000, "a notice that the old address did not take")
+    until(lambda: len(old.notice_answers) < 10_000, "a notice that the old address rejected")
     new.watch_bodies = [json.dumps(old.members("Terminating", 2)).encode()]
     program.move(new)
     until(lambda: [line["id"] for line in new.notices] == ["early"], "the notice at the new address")
     until(lambda: new.watches > 1, "the watch at the new address")
     seen = old.watches
-    assert program.hand_in("late", left=300) == 202  # the list of the new address is in force: all drain
+    assert program.hand_in("late", left=300) == 202  # by the new address's list all endpoints drain
     until(lambda: [line["id"] for line in new.notices] == ["early", "late"], "its notice")
     assert not old.calls and not new.calls and not old.notices and old.watches == seen
 
 
-def test_a_watch_that_is_cut_off_is_asked_again_without_a_failure(
-    program: Program, peers: list[Peer]
-) -> None:
+def test_watch_interrupted_by_a_reload_is_not_a_failure(program: Program, peers: list[Peer]) -> None:
     old, new = peers
     until(lambda: old.watches, "a watch at the old address")
     old.hold_watch.clear()
@@ -66,12 +62,12 @@
     old.hold_watch.set()
 
 
-def test_a_list_that_counts_anew_is_asked_for_whole(program: Program, peers: list[Peer]) -> None:
+def test_list_of_the_new_address_is_fetched_whole(program: Program, peers: list[Peer]) -> None:
     old, new = peers
     with old.lock:
         old.hold_watch.clear()
         old.watch_bodies = [json.dumps({**old.members(), "index": 40}).encode()]
-    until(lambda: not old.watch_bodies and "since=40" in old.asked[-1], "it is heard")
+    until(lambda: not old.watch_bodies and "since=40" in old.asked[-1], "its list is read")
     program.move(new)
     until(lambda: "/catalog/members" in new.asked, "the whole list")
 
@@ -87,7 +83,7 @@
         ('{"known": {"index": "x"}}', "known: "),
     ],
 )
-def test_a_bad_file_is_told_with_its_key_and_the_old_one_stays(
+def test_invalid_file_is_logged_with_its_key_and_changes_nothing(
     program: Program, peers: list[Peer], text: str, key: str
 ) -> None:
     old, new = peers
@@ -96,7 +92,7 @@
         raw = {**raw, "discovery": f"127.0.0.1:{new.port}", **json.loads(text)}
         text = json.dumps(raw)
     program.reload(text)
-    until(lambda: events(program, "configuration not reloaded"), "the log's line")
+    until(lambda: events(program, "configuration not reloaded"), "the log line")
     assert events(program, "configuration not reloaded")[0]["error"].startswith(key)
     seen = old.watches
     until(lambda: old.watches > seen, "the watch goes on")
@@ -104,7 +100,7 @@
     assert program.process.poll() is None
 
 
-def test_repeated_under_load_and_with_a_restart_right_after(program: Program, peers: list[Peer]) -> None:
+def test_repeated_reloads_under_load_and_a_restart(program: Program, peers: list[Peer]) -> None:
     ids = [f"m{n}" for n in range(40)]
     for n, id in enumerate(ids):
         assert program.hand_in(id) == 202
@@ -120,7 +116,7 @@
     assert peers[0].watches == seen
 
 
-def test_the_file_goes_before_the_environment_for_discovery_alone(tmp_path: Path) -> None:
+def test_file_takes_precedence_over_the_environment_for_discovery_only(tmp_path: Path) -> None:
     env = {"RELAY_LISTEN": "127.0.0.3:1", "RELAY_DISCOVERY": "127.0.0.3:2"}
     read = config.read(make(tmp_path), env)
     assert (read.listen, read.discovery) == (("127.0.0.3", 1), ("127.0.0.1", 9))
