--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -17,7 +17,7 @@
 
 
 @pytest.fixture
-def ended() -> Iterator[Callable[[Program], None]]:
+def kill_at_teardown() -> Iterator[Callable[[Program], None]]:
     """Registers a program whose process is killed when the test ends."""
     programs: list[Program] = []
     yield programs.append
--- a/tests/test_gc_pause.py
+++ b/tests/test_gc_pause.py
@@ -1,4 +1,4 @@
-"""The pause of the garbage collector ends with the block, however that ends."""
+"""Pausing the garbage collector ends with the block, also after an error."""
 
 from __future__ import annotations
 
--- a/tests/test_journal_ownership.py
+++ b/tests/test_journal_ownership.py
@@ -34,18 +34,20 @@
 
 
 @pytest.fixture
-def both(tmp_path: Path, peer: Peer, ended: Callable[[Program], None]) -> tuple[Program, Program]:
+def processes(
+    tmp_path: Path, peer: Peer, kill_at_teardown: Callable[[Program], None]
+) -> tuple[Program, Program]:
     """Two processes on one folder, the older first."""
     old, new = Program(tmp_path, peer), Program(tmp_path, peer)
-    ended(old)
-    ended(new)
+    kill_at_teardown(old)
+    kill_at_teardown(new)
     return old, new
 
 
 def test_messages_of_a_dead_process_are_delivered_once_each_by_the_other(
-    both: tuple[Program, Program], peer: Peer
+    processes: tuple[Program, Program], peer: Peer
 ) -> None:
-    old, new = both
+    old, new = processes
     peer.answers = [RETRY_LATER] * 40
     ids = [f"old{n}" for n in range(6)]
     assert [old.hand_in(id) for id in ids] == [202] * 6
@@ -61,9 +63,9 @@
 
 
 def test_message_pending_in_another_process_is_not_recorded_again(
-    both: tuple[Program, Program], peer: Peer
+    processes: tuple[Program, Program], peer: Peer
 ) -> None:
-    old, new = both
+    old, new = processes
     peer.hold.clear()
     assert old.hand_in("pay", cls="pay") == 202
     until(lambda: peer.ids() == ["pay"], "it is called")
@@ -75,8 +77,10 @@
     assert peer.notices[0]["status"] != "deferred" and peer.ids() == ["pay"]
 
 
-def test_both_journals_of_a_dead_process_are_taken_over(both: tuple[Program, Program], peer: Peer) -> None:
-    old, new = both
+def test_both_journals_of_a_dead_process_are_taken_over(
+    processes: tuple[Program, Program], peer: Peer
+) -> None:
+    old, new = processes
     peer.answers = [(429, {"Retry-After": "2"})] * 40
     first, second = [f"old{n}" for n in range(5)], [f"new{n}" for n in range(5)]
     assert {old.hand_in(id) for id in first} | {new.hand_in(id) for id in second} == {202}
@@ -198,8 +202,8 @@
     }
 
 
-def test_retry_after_of_one_process_binds_the_other(both: tuple[Program, Program], peer: Peer) -> None:
-    old, new = both
+def test_retry_after_of_one_process_binds_the_other(processes: tuple[Program, Program], peer: Peer) -> None:
+    old, new = processes
     peer.answers = [(429, {"Retry-After": "1.5"})]
     assert old.hand_in("a") == 202
     until(lambda: peer.ids() == ["a"], "it is rejected with a Retry-After")
