--- a/springspread/config.py
+++ b/springspread/config.py
@@ -140,10 +140,10 @@
     mgmt: Address | None = None  # the operators' listener
 
 
-def parse_address(text: object, key: str, *, least: int = 1) -> Address:
+def parse_address(text: object, key: str, *, min_port: int = 1) -> Address:
     """Parse ``host:port``."""
     host, colon, port = str(text or "").rpartition(":")
-    if not colon or not host or not (port.isascii() and port.isdigit()) or not least <= int(port) < 65536:
+    if not colon or not host or not (port.isascii() and port.isdigit()) or not min_port <= int(port) < 65536:
         raise ConfigError(f"{key}: not an address of the form host:port: {text!r}")
     return host, int(port)
 
@@ -188,7 +188,7 @@
         raise ConfigError("RELAY_STATE: not set; it names the state folder")
     if not Path(str(state)).is_dir():
         raise ConfigError(f"RELAY_STATE: not a folder: {state}")
-    listen = parse_address(env.get("RELAY_LISTEN") or raw.get("listen"), "listen", least=0)
+    listen = parse_address(env.get("RELAY_LISTEN") or raw.get("listen"), "listen", min_port=0)
     discovery = parse_address(raw.get("discovery") or env.get("RELAY_DISCOVERY"), "discovery")
     mgmt = env.get("RELAY_MGMT") or raw.get("mgmt")
     raw_settings = raw.get("settings")
@@ -215,7 +215,7 @@
         limits=limits,
         durability=_durability(raw.get("durability", Durability.PROCESS.value)),
         waits=_waits(raw.get("recovery", {})),
-        mgmt=parse_address(mgmt, "mgmt", least=0) if mgmt else None,
+        mgmt=parse_address(mgmt, "mgmt", min_port=0) if mgmt else None,
     )
 
 
@@ -252,13 +252,13 @@
 def _limits(raw_limits: Reader, settings: Reader) -> Limits:
     base = Limits()
 
-    def limit_number(key: str, default: float, least: float) -> float:
+    def limit_number(key: str, default: float, minimum: float) -> float:
         try:
             number = raw_limits.number(key, default)
         except SettingsError as exc:
             raise ConfigError(f"limits.{exc}") from exc
-        if number < least:
-            raise ConfigError(f"limits.{key}: must be at least {least:g}")
+        if number < minimum:
+            raise ConfigError(f"limits.{key}: must be at least {minimum:g}")
         return number
 
     sockets = int(limit_number("sockets", 1024, 64))
--- a/springspread/core/journal.py
+++ b/springspread/core/journal.py
@@ -133,7 +133,7 @@
         self._lock = threading.Lock()
         self.pending: dict[int, PendingMessage] = {}
         self.last_number = first_number
-        self.cut_bytes = self.failures = 0
+        self.cut_bytes = self.write_failures = 0
         self.damaged: dict[str, list[DamagedRange]] = {}  # by file
         self.possibly_run: dict[str, list[str]] = {}  # ids of messages recorded before damage, by file
         self.written_wall = 0.0  # when a previous process last wrote its files (Unix time, ms)
@@ -284,7 +284,7 @@
                 self._compact_oldest()
             sync_position.clear(self._files)  # it referred to a deleted file
         except OSError:
-            self.failures += 1  # e.g. disk full: the damaged files stay, and the next start retries
+            self.write_failures += 1  # e.g. disk full: the damaged files stay, and the next start retries
 
     def _update_budget(self) -> None:
         """Subtract set-aside data from the budget; if it exceeds one file's size, the oldest is deleted."""
@@ -404,7 +404,7 @@
         try:
             self._append(record)
         except OSError:
-            self.failures += 1
+            self.write_failures += 1
 
     def _append(self, record: bytes) -> None:
         for _ in range(len(self._sizes)):
--- a/tests/test_journal.py
+++ b/tests/test_journal.py
@@ -149,7 +149,7 @@
         journal.record_taken(message(2))
     journal.record_completed(1)
     monkeypatch.undo()
-    assert journal.failures == 1
+    assert journal.write_failures == 1
     journal.record_taken(message(3))
     journal.close()
     assert sorted(Journal(tmp_path, DISK).pending) == [1, 3]  # only its *completed* record was lost
