--- a/springspread/admission/admission.py
+++ b/springspread/admission/admission.py
@@ -72,14 +72,14 @@
 def rules(limits: Limits) -> dict[Standing, Rule]:
     """The table of times, from the program's limits."""
     return {
-        Standing.NEW: Rule(limits.client_new_ms, limits.client_speak_ms),
-        Standing.READING: Rule(limits.client_brisk_ms, limits.client_half_ms),
-        Standing.LAGGING: Rule(limits.client_read_ms - limits.client_brisk_ms, 0.0),
+        Standing.NEW: Rule(limits.client_first_byte_ms, limits.client_new_evictable_ms),
+        Standing.READING: Rule(limits.client_slow_ms, limits.client_partial_evictable_ms),
+        Standing.LAGGING: Rule(limits.client_read_ms - limits.client_slow_ms, 0.0),
         Standing.WAITING: Rule(limits.verdict_ms),
-        Standing.ANSWERED: Rule(limits.client_write_ms, limits.client_brisk_ms),
+        Standing.ANSWERED: Rule(limits.client_write_ms, limits.client_slow_ms),
         Standing.IDLE: Rule(limits.client_idle_ms, 0.0),
         Standing.KEPT: Rule(limits.client_idle_ms, 0.0),
-        Standing.LEAVING: Rule(limits.client_linger_ms, limits.client_left_ms),
+        Standing.LEAVING: Rule(limits.client_linger_ms, limits.client_closing_evictable_ms),
     }
 
 
@@ -140,7 +140,7 @@
         everyone = len(self)
         if (
             everyone - leaving < self._limits.client_connections
-            and everyone < self._limits.client_connections + self._limits.client_spares
+            and everyone < self._limits.client_connections + self._limits.client_closing_connections
         ):
             return Room(True)
         return self._makes_room(now)
@@ -148,7 +148,10 @@
     def _makes_room(self, now: float) -> Room:
         soonest = inf
         for standing in ROOM:
-            if standing is Standing.LEAVING and self.count(standing) <= self._limits.client_spares:
+            if (
+                standing is Standing.LEAVING
+                and self.count(standing) <= self._limits.client_closing_connections
+            ):
                 continue  # these stand on the spares and take nobody's place
             head = next(iter(self._lines[standing]), None)
             if head is None:
@@ -170,7 +173,7 @@
 
     def may_turn_away(self) -> bool:
         """Whether there is a spare descriptor for somebody who is only told to come again."""
-        return len(self) < self._limits.client_connections + self._limits.client_spares
+        return len(self) < self._limits.client_connections + self._limits.client_closing_connections
 
     def enter(self, now: float, standing: Standing = Standing.NEW) -> Place:
         """Give a newcomer its place; LEAVING for one that is turned away."""
@@ -222,7 +225,7 @@
 
     def lags(self, place: Place) -> bool:
         """Whether a request that has just come to lag came slower than the least rate from its begin on."""
-        return place.held * 1000.0 < self._limits.client_least_bytes_s * self._limits.client_brisk_ms
+        return place.held * 1000.0 < self._limits.client_min_bytes_s * self._limits.client_slow_ms
 
     def leave(self, place: Place) -> None:
         """The connection is gone."""
@@ -233,7 +236,7 @@
         if self.closing and standing in (Standing.IDLE, Standing.KEPT):
             return 0.0
         if self.closing and standing is Standing.NEW:
-            return self._limits.client_speak_ms
+            return self._limits.client_new_evictable_ms
         return self._rules[standing].lasts_ms
 
     def due(self, now: float) -> Place | None:
--- a/springspread/cli/journal.py
+++ b/springspread/cli/journal.py
@@ -11,7 +11,7 @@
 import click
 
 if TYPE_CHECKING:
-    from springspread.core.journal import Journal, Owed
+    from springspread.core.journal import Journal, PendingMessage
 
 FOLDER = click.Path(path_type=Path, file_okay=False, exists=True)
 TRIES = 5
@@ -33,7 +33,7 @@
     raise click.ClickException(f"{folder}: its files change faster than they can be read")
 
 
-def _owed(owed: Owed) -> dict[str, object]:
+def _owed(owed: PendingMessage) -> dict[str, object]:
     deadline = datetime.fromtimestamp(owed.deadline_wall / 1000.0, UTC)
     ending = None if owed.ending is None else ("deferred" if owed.ending[0] else "undeliverable")
     return {
@@ -54,14 +54,14 @@
 def show(folder: Path, as_json: bool) -> None:
     """List the messages that FOLDER's sender owes."""
     seen = _look(folder)
-    for owed in seen.owed.values():
+    for owed in seen.pending.values():
         told = _owed(owed)
         if as_json:
             click.echo(json.dumps(told))
         else:
             click.echo("  ".join(f"{key} {value}" for key, value in told.items() if value is not None))
     if not as_json:
-        click.echo(f"{len(seen.owed)} messages owed, {len(seen.files)} files")
+        click.echo(f"{len(seen.pending)} messages owed, {len(seen.files)} files")
 
 
 @journal.command()
@@ -81,11 +81,11 @@
         entry: dict[str, object] = {"file": name, "readable": readable - sum(r.end - r.start for r in ranges)}
         entry |= {"rest": rest, "newest": n == len(seen.files)}
         entry["damaged"] = [{"from": r.start, "to": r.end, "ids": list(r.ids)} for r in ranges]
-        entry["after"] = seen.doubted.get(name, [])
+        entry["after"] = seen.possibly_run.get(name, [])
         files.append(entry)
     damaged = [entry for entry in files if entry["damaged"] or (entry["rest"] and not entry["newest"])]
     if as_json:
-        click.echo(json.dumps({"files": files, "owed": len(seen.owed), "damaged": len(damaged)}))
+        click.echo(json.dumps({"files": files, "owed": len(seen.pending), "damaged": len(damaged)}))
     else:
         for entry in files:
             tail = f", {entry['rest']} bytes that cannot be read" if entry["rest"] else ""
@@ -93,7 +93,7 @@
             for one in seen.damaged.get(str(entry["file"]), []):
                 ids = f", of {', '.join(one.ids)}" if one.ids else ""
                 click.echo(f"  bytes {one.start} to {one.end} are damaged{ids}")
-            for id in seen.doubted.get(str(entry["file"]), []):
+            for id in seen.possibly_run.get(str(entry["file"]), []):
                 click.echo(f"  may have run, as a record of it may be lost: {id}")
-        click.echo(f"{len(damaged)} damaged files, {len(seen.owed)} messages owed")
+        click.echo(f"{len(damaged)} damaged files, {len(seen.pending)} messages owed")
     sys.exit(bool(damaged))
--- a/springspread/core/clearance.py
+++ b/springspread/core/clearance.py
@@ -9,7 +9,7 @@
 
 from springspread.core.clock import SYSTEM, Clock
 from springspread.core.journal import Journal
-from springspread.core.lanes import Lanes
+from springspread.core.journal_ownership import OwnedJournals
 from springspread.core.list_index import ListIndex
 from springspread.core.types import Call, Endpoint, EndpointState, ListUpdate, Result, Shares
 from springspread.core.watch import NEVER_OUTDATED
@@ -46,7 +46,11 @@
     """Safe from any thread: asked by the threads that write calls, updated by them and by the loop."""
 
     def __init__(
-        self, journal: Journal | Lanes, grace_ms: float, clock: Clock = SYSTEM, shares: Shares | None = None
+        self,
+        journal: Journal | OwnedJournals,
+        grace_ms: float,
+        clock: Clock = SYSTEM,
+        shares: Shares | None = None,
     ) -> None:
         self._journal, self._grace_ms, self._clock, self._shares = journal, grace_ms, clock, shares
         self._lock = threading.Lock()
@@ -54,7 +58,7 @@
         self._stopped = False
         self._unapplied: list[tuple[ListUpdate, ListIndex]] = []  # read, and not yet applied by the loop
         self._outdated_period = NEVER_OUTDATED
-        self._shared = journal.board if isinstance(journal, Lanes) else None
+        self._shared = journal.shared_backoff if isinstance(journal, OwnedJournals) else None
 
     def set_retry_after(self, endpoint: Endpoint, wait_ms: float) -> None:
         """Apply an endpoint's retry-after at once, before the loop has handled the answer."""
@@ -64,12 +68,12 @@
             self._retry_after = {key: end for key, end in self._retry_after.items() if end > now}
             self._retry_after[endpoint.retry_after_key] = until
         if self._shared is not None and wait_ms > 0.0:
-            self._shared.tell(endpoint.retry_after_name, until, now)
+            self._shared.publish(endpoint.retry_after_name, until, now)
 
     def retry_after_left_ms(self, endpoint: Endpoint) -> float:
         """How much of an endpoint's retry-after is left."""
         now = self._clock.now()
-        other = 0.0 if self._shared is None else self._shared.until(endpoint.retry_after_name, now)
+        other = 0.0 if self._shared is None else self._shared.blocked_until(endpoint.retry_after_name, now)
         with self._lock:
             return max(self._retry_after.get(endpoint.retry_after_key, 0.0) - now, other - now, 0.0)
 
@@ -113,10 +117,10 @@
         try:
             for attempt in call.attempts:
                 # Where the client leaves at the same moment, the first record in the journal wins.
-                if not self._journal.begun(attempt.number, attempt.index):
+                if not self._journal.record_begun(attempt.number, attempt.index):
                     return _not_sent(WithheldReason.WITHDRAWN)
             if call.once:  # the record must outlast a power loss
-                self._journal.settle()
+                self._journal.wait_synced()
         except OSError:  # not recorded, so it may not be sent
             return _not_sent(WithheldReason.UNRECORDED)
         if shares is not None and self._clock.now() >= lease_until:
--- /dev/null
+++ b/springspread/core/journal_ownership.py
@@ -0,0 +1,278 @@
+"""Journal ownership when several processes share a state folder, e.g. during an upgrade.
+
+Each process writes a journal of its own, guarded by a file lock that the kernel releases when the process
+dies. The lock decides what a process does with each journal in the folder:
+
+    journal                        at startup                      later
+    first unlocked one             becomes this process's own      -
+    another unlocked one           taken over                      taken over: its process has died
+    locked by another process      peer: read, never written       peer
+    taken over, no pending message -                               deleted and unlocked
+
+Taking over copies nothing: pending messages continue to be recorded in the journal that holds them, so a
+crash at any moment leaves each message in exactly one journal. Each journal has its own range of message
+numbers. A message that is pending in a peer's journal is not recorded again. All journals together stay
+within the disk limit: a process with a peer counts half of the limit, or the peer's size if larger, as used.
+"""
+
+from __future__ import annotations
+
+import fcntl
+import os
+from collections import ChainMap
+from collections.abc import Mapping
+from contextlib import suppress
+from functools import partial
+from pathlib import Path
+
+from springspread.core.commit import GroupCommit
+from springspread.core.journal import FILE_PREFIX, Journal, PendingMessage
+from springspread.core.journal_repair import DamagedRange, RecordReader
+from springspread.core.shared_backoff import SharedBackoff
+
+MAX_JOURNALS = 4  # and processes that can share a folder
+NUMBERS_PER_JOURNAL = 1 << 30  # size of each journal's range of message numbers
+OWNERSHIP_CHECK_MS = 100.0
+READ_ATTEMPTS = 5
+
+
+class TooManyProcesses(OSError):
+    """All journals of the folder are in use by other processes."""
+
+
+def journal_folder(folder: Path, index: int) -> Path:
+    """The folder of a journal's files: the first journal is in the state folder itself."""
+    return folder / f"lane.{index}" if index else folder
+
+
+def read_pending(folder: Path) -> dict[int, PendingMessage]:
+    """Read the pending messages of all journals in a folder, without locking; raises ``OSError``."""
+    found: dict[int, PendingMessage] = {}
+    for index in range(MAX_JOURNALS):
+        if (place := journal_folder(folder, index)).is_dir():
+            found |= Journal(place, 1 << 40, read_only=True).pending
+    return found
+
+
+class PeerJournal:
+    """Read-only view of another process's journal; its files are read incrementally."""
+
+    def __init__(self, folder: Path) -> None:
+        self._folder = folder
+        self._read_offsets: dict[tuple[str, int], int] = {}  # by file name and inode
+        self._replica = Journal.replica()
+
+    def find(self, id: str) -> PendingMessage | None:
+        """The pending message with this id."""
+        for _ in range(READ_ATTEMPTS):
+            try:
+                self._read_new_records()
+                break
+            except FileNotFoundError:
+                continue  # deleted by compaction: its pending messages are in a later file
+        return next((message for message in self._replica.pending.values() if message.id == id), None)
+
+    def _read_new_records(self) -> None:
+        names = sorted(entry.name for entry in self._folder.iterdir() if entry.name.startswith(FILE_PREFIX))
+        files = {(name, (self._folder / name).stat().st_ino): name for name in names}
+        if self._read_offsets.keys() - files.keys():
+            # A deleted file may have held *completed* records that were not read yet.
+            self._read_offsets, self._replica = {}, Journal.replica()
+        for key, name in files.items():
+            offset = self._read_offsets.get(key, 0)
+            with (self._folder / name).open("rb") as file:
+                file.seek(offset)
+                reader = RecordReader(file.read())
+            for item in reader:
+                if not isinstance(item, DamagedRange):
+                    self._replica.apply_record(item[1])
+            self._read_offsets[key] = offset + reader.end
+
+    @property
+    def size(self) -> int:
+        """The total size of its files (bytes)."""
+        with suppress(FileNotFoundError):  # deleted by compaction meanwhile
+            return sum(entry.stat().st_size for entry in self._folder.iterdir() if entry.is_file())
+        return 0
+
+
+class OwnedJournals:
+    """The journals this process owns, with the interface of a single ``Journal``.
+
+    Raises ``TooManyProcesses`` if the folder has no free journal, or another ``OSError``.
+    """
+
+    def __init__(
+        self, folder: Path, disk_bytes: int, max_attempts: int, body_bytes: int, durable: bool = False
+    ) -> None:
+        self._folder, self._disk_bytes = folder, disk_bytes
+        self._make_journal = partial(
+            Journal, max_attempts=max_attempts, body_bytes=body_bytes, durable=durable
+        )
+        self._locks: dict[int, int] = {}
+        self._peers: dict[int, PeerJournal] = {}
+        self._own_index = next((index for index in range(MAX_JOURNALS) if self._lock(index)), -1)
+        if self._own_index < 0:
+            raise TooManyProcesses(f"{folder}: {MAX_JOURNALS} processes use it already")
+        self._journals = {self._own_index: self._open_journal(self._own_index)}
+        self._folder_mtime_ns = -1
+        self._next_check = 0.0
+        self._refresh()
+        self.shared_backoff = SharedBackoff(journal_folder(folder, self._own_index), self._peer_folders)
+        self.written_wall = max(journal.written_wall for journal in self._journals.values())
+
+    def _peer_folders(self) -> list[Path]:
+        return [journal_folder(self._folder, index) for index in list(self._peers)]
+
+    def _lock(self, index: int) -> bool:
+        folder = journal_folder(self._folder, index)
+        folder.mkdir(exist_ok=True)
+        file = os.open(folder / "lock", os.O_RDWR | os.O_CREAT | os.O_CLOEXEC, 0o600)
+        try:
+            fcntl.flock(file, fcntl.LOCK_EX | fcntl.LOCK_NB)
+        except BlockingIOError:
+            os.close(file)
+            return False
+        self._locks[index] = file
+        return True
+
+    def _unlock(self, index: int) -> None:
+        os.close(self._locks.pop(index))  # releases the lock
+
+    def _open_journal(self, index: int) -> Journal:
+        return self._make_journal(
+            journal_folder(self._folder, index), self._disk_bytes, first_number=index * NUMBERS_PER_JOURNAL
+        )
+
+    # Ownership
+
+    def check_ownership(self, now: float) -> list[PendingMessage]:
+        """Take over the journals of dead processes, at most every ``OWNERSHIP_CHECK_MS``.
+
+        Returns the pending messages of those taken over.
+        """
+        if now < self._next_check:
+            return []
+        self._next_check = now + OWNERSHIP_CHECK_MS
+        try:
+            return self._refresh_if_changed()
+        except OSError:  # retried at the next check
+            return []
+
+    def _refresh_if_changed(self) -> list[PendingMessage]:
+        mtime_ns = (
+            self._folder.stat().st_mtime_ns
+        )  # changes when another process creates its journal's folder
+        if mtime_ns == self._folder_mtime_ns and not self._peers and len(self._journals) == 1:
+            return []
+        return self._refresh()
+
+    def _refresh(self) -> list[PendingMessage]:
+        self._folder_mtime_ns = self._folder.stat().st_mtime_ns
+        found: list[PendingMessage] = []
+        for index in range(MAX_JOURNALS):
+            if index in self._journals or not (journal_folder(self._folder, index) / "lock").exists():
+                continue
+            if not self._lock(index):
+                self._peers.setdefault(index, PeerJournal(journal_folder(self._folder, index)))
+                continue
+            try:
+                self._journals[index] = self._open_journal(index)
+            except OSError:  # e.g. disk full: nothing is lost, and the next check retries
+                self._unlock(index)
+                self._peers.setdefault(index, PeerJournal(journal_folder(self._folder, index)))
+                continue
+            self._peers.pop(index, None)
+            found += self._journals[index].pending.values()
+        for index in [
+            index
+            for index, journal in self._journals.items()
+            if index != self._own_index and not journal.pending
+        ]:
+            with suppress(OSError):  # retried at the next check
+                self._journals[index].delete()
+                del self._journals[index]
+                self._unlock(index)
+        taken_over_bytes = sum(
+            journal.size for index, journal in self._journals.items() if index != self._own_index
+        )
+        peer_bytes = max((max(self._disk_bytes // 2, peer.size) for peer in self._peers.values()), default=0)
+        self._journals[self._own_index].set_disk_limit(self._disk_bytes - taken_over_bytes - peer_bytes)
+        return found
+
+    @property
+    def has_other_journals(self) -> bool:
+        """Whether another process uses the folder, or left pending messages in it."""
+        return bool(self._peers) or len(self._journals) > 1
+
+    def pending_elsewhere(self, id: str) -> PendingMessage | None:
+        """The message with this id that is pending in a peer's journal."""
+        return next(
+            (message for peer in self._peers.values() if (message := peer.find(id)) is not None), None
+        )
+
+    # The interface of a journal
+
+    def _journal_for(self, number: int) -> Journal:
+        return self._journals.get(number // NUMBERS_PER_JOURNAL, self._journals[self._own_index])
+
+    @property
+    def pending(self) -> Mapping[int, PendingMessage]:
+        """All pending messages of this process, by number."""
+        journals = list(self._journals.values())
+        return (
+            journals[0].pending
+            if len(journals) == 1
+            else ChainMap(*(journal.pending for journal in journals))
+        )
+
+    @property
+    def commit(self) -> GroupCommit | None:
+        """The group commit of this process's own journal, if it is durable."""
+        return self._journals[self._own_index].commit
+
+    @property
+    def damaged(self) -> Mapping[str, list[DamagedRange]]:
+        """The unreadable byte ranges, by file."""
+        return {
+            name: ranges for journal in self._journals.values() for name, ranges in journal.damaged.items()
+        }
+
+    @property
+    def cut_bytes(self) -> int:
+        """How many bytes of torn tails were discarded."""
+        return sum(journal.cut_bytes for journal in self._journals.values())
+
+    @property
+    def last_number(self) -> int:
+        """The number of the message recorded last."""
+        return self._journals[self._own_index].last_number
+
+    def wait_synced(self) -> None:
+        """As ``Journal.wait_synced``, for all journals."""
+        for journal in list(self._journals.values()):
+            journal.wait_synced()
+
+    def record_taken(self, message: PendingMessage) -> None:
+        """As ``Journal.record_taken``, in this process's own journal."""
+        self._journals[self._own_index].record_taken(message)
+
+    def record_begun(self, number: int, attempt: int) -> bool:
+        """As ``Journal.record_begun``."""
+        return self._journal_for(number).record_begun(number, attempt)
+
+    def withdraw(self, number: int) -> bool:
+        """As ``Journal.withdraw``."""
+        return self._journal_for(number).withdraw(number)
+
+    def record_not_run(self, number: int, attempt: int) -> None:
+        """As ``Journal.record_not_run``."""
+        self._journal_for(number).record_not_run(number, attempt)
+
+    def record_ending(self, number: int, deferred: bool, again_ms: float) -> None:
+        """As ``Journal.record_ending``."""
+        self._journal_for(number).record_ending(number, deferred, again_ms)
+
+    def record_completed(self, number: int) -> None:
+        """As ``Journal.record_completed``."""
+        self._journal_for(number).record_completed(number)
--- a/springspread/core/loop.py
+++ b/springspread/core/loop.py
@@ -15,8 +15,8 @@
 from springspread.core.clock import SYSTEM, Clock
 from springspread.core.destinations import KnownDestinations
 from springspread.core.figures import Figure, Figures
-from springspread.core.journal import Journal, JournalFull, Owed
-from springspread.core.lanes import LOOK_MS, Lanes
+from springspread.core.journal import Journal, JournalFull, PendingMessage
+from springspread.core.journal_ownership import OWNERSHIP_CHECK_MS, OwnedJournals
 from springspread.core.start import Startup
 from springspread.core.types import (
     Attempt,
@@ -49,7 +49,7 @@
 class OpenMessage:
     """An accepted message that the decision module has not ended yet."""
 
-    owed: Owed
+    owed: PendingMessage
     spec: i.ClassSpec
     deadline: float
     waiting_clients: int = 1  # requests for it whose clients have not left
@@ -61,7 +61,7 @@
     def __init__(
         self,
         config: Config,
-        journal: Journal | Lanes,
+        journal: Journal | OwnedJournals,
         clearance: Clearance,
         log: Log,
         clock: Clock = SYSTEM,
@@ -73,7 +73,7 @@
         self._clock, self._shares, self._policy = clock, shares, policy
         self._settings, self._limits = config.settings, config.limits
         self._journal, self._clearance, self._log = journal, clearance, log
-        self._lanes = journal if isinstance(journal, Lanes) else None
+        self._lanes = journal if isinstance(journal, OwnedJournals) else None
         self._figures = figures or Figures(())
         self._module = Dispatcher(config.settings, config.seed)
         self._classes = {spec.name: n for n, spec in enumerate(config.settings.classes)}
@@ -83,7 +83,7 @@
         self._numbers: dict[str, int] = {}  # by id; includes messages with an undelivered notice
         self._recently_closed: OrderedDict[str, bool] = OrderedDict()  # by id: whether delivered
         self._calls: dict[Call, int] = {}
-        self._destinations = KnownDestinations(config.limits.group_kept_ms, clock)
+        self._destinations = KnownDestinations(config.limits.destination_retention_ms, clock)
         self._unconfirmed: list[Message] = []  # accepted in this batch, answered after the sync
         self._timers: list[tuple[float, int]] = []
         self._stop_at = float("inf")
@@ -111,22 +111,22 @@
         """Recover the messages of the last process, before clients are told that this one is ready."""
         now = self._clock.now()
         events: list[i.Event] = [self._listed(known)]
-        waiting = self._recover(self._journal.owed.values())
+        waiting = self._recover(self._journal.pending.values())
         self.start.begin(now, waiting)
         for name, ranges in self._journal.damaged.items():
             places = [f"{one.start}-{one.end}" for one in ranges[:20]]
             ids = [id for one in ranges for id in one.ids][:20]
             self._log.error("journal damaged; set aside", file=name, ranges=places, ids=ids)
-        if self._journal.owed or self._journal.cut_bytes:
-            self._log.info("restored", owed=len(self._journal.owed), cut_bytes=self._journal.cut_bytes)
+        if self._journal.pending or self._journal.cut_bytes:
+            self._log.info("restored", owed=len(self._journal.pending), cut_bytes=self._journal.cut_bytes)
         if not self._settings.must_ask:
             # A list that was pushed to the agent counts as notified even if nobody asks for it.
             self._discovery.watch(True)
         self._decide(now, events + self._advance_startup(now))
 
-    def _recover(self, found: Iterable[Owed]) -> list[tuple[Owed, float]]:
+    def _recover(self, found: Iterable[PendingMessage]) -> list[tuple[PendingMessage, float]]:
         """Recover another process's messages; returns those to resume, with their class's deadline (ms)."""
-        waiting: list[tuple[Owed, float]] = []
+        waiting: list[tuple[PendingMessage, float]] = []
         for owed in list(found):
             self._numbers[owed.id] = owed.number
             cls = self._classes.get(owed.cls)
@@ -142,14 +142,14 @@
 
     def _take_over(self, now: float) -> list[i.Event]:
         """Take over the messages of another process on this folder, once it has died."""
-        if self._lanes is None or not (found := self._lanes.look(now)):
+        if self._lanes is None or not (found := self._lanes.check_ownership(now)):
             return []
         self._log.info("taken over", owed=len(found))
         return [
             self._reopen(now, owed, self.start.time_left(owed, most)) for owed, most in self._recover(found)
         ]
 
-    def _reopen(self, now: float, owed: Owed, left: float) -> i.Taken:
+    def _reopen(self, now: float, owed: PendingMessage, left: float) -> i.Taken:
         cls, deadline = self._classes[owed.cls], now + left
         self._log.debug("message resumed", number=owed.number, left_ms=round(left, 1), attempts=owed.attempts)
         self._open_messages[owed.number] = OpenMessage(owed, self._settings.classes[cls], deadline)
@@ -239,7 +239,7 @@
         verdict, events = Verdict.ACCEPTED, list[i.Event]()
         if waiting:
             try:
-                self._journal.settle()
+                self._journal.wait_synced()
             except OSError as exc:
                 self._log.error("journal sync failed; refusing new messages", reason=str(exc))
                 verdict = Verdict.REFUSED
@@ -259,8 +259,8 @@
         due = self.due
         if self._stop_at < float("inf") or not self.open:
             due = min(due, self._clock.now() + 20.0)  # checks for the end of a shutdown or of a startup stage
-        if self._lanes is not None and self._lanes.beside:
-            due = min(due, self._clock.now() + LOOK_MS)
+        if self._lanes is not None and self._lanes.has_other_journals:
+            due = min(due, self._clock.now() + OWNERSHIP_CHECK_MS)
         try:
             if due == float("inf"):
                 return self._inbox.get()
@@ -320,7 +320,7 @@
         elif message.id in self._numbers:
             # A retry by a client that got no answer; another client's message may not use the same id.
             number = self._numbers[message.id]
-            owed = self._journal.owed[number]
+            owed = self._journal.pending[number]
             if (owed.cls, owed.group, owed.body) != (message.cls, message.group, message.body):
                 message.answer(Verdict.CONFLICT)
                 return []
@@ -332,7 +332,7 @@
                 return self._client_left(message)
         elif self._recently_closed.get(message.id):
             message.answer(Verdict.DELIVERED)
-        elif self._lanes is not None and (other := self._lanes.elsewhere(message.id)) is not None:
+        elif self._lanes is not None and (other := self._lanes.pending_elsewhere(message.id)) is not None:
             # Another process on this folder is responsible for it.
             same = (other.cls, other.group, other.body) == (message.cls, message.group, message.body)
             message.answer(Verdict.ACCEPTED if same else Verdict.CONFLICT)
@@ -351,7 +351,7 @@
         number = self._journal.last_number + 1
         left = message.deadline - self._clock.now()
         until = self.start.wall() + left
-        owed = Owed(
+        owed = PendingMessage(
             number,
             message.id,
             message.cls,
@@ -363,7 +363,7 @@
             policy=self._policy,
         )
         try:
-            self._journal.taken(owed)
+            self._journal.record_taken(owed)
         except (JournalFull, OSError) as exc:
             self._log.warning("message not recorded; refusing it", reason=repr(exc))
             message.answer(Verdict.REFUSED)
@@ -430,7 +430,7 @@
                     limit=end.load.limit_per_s,
                 )
         if end.result.never_ran:
-            self._journal.not_run(attempt.number, attempt.index)
+            self._journal.record_not_run(attempt.number, attempt.index)
         open_message = self._open_messages.get(attempt.number)
         finished = open_message is None
         if open_message is not None and end.result is Result.DELIVERED and self._too_late(open_message, end):
@@ -486,29 +486,29 @@
             )
 
     def _complete(self, number: int, *, delivered: bool) -> None:
-        owed = self._journal.owed.get(number)
+        owed = self._journal.pending.get(number)
         if owed is None:
             return
         self._log.debug("message closed", number=number, delivered=delivered)
-        self._journal.over(number)
+        self._journal.record_completed(number)
         self._close(owed, delivered)
 
-    def _close(self, owed: Owed, delivered: bool) -> None:
+    def _close(self, owed: PendingMessage, delivered: bool) -> None:
         self.start.message_ended(owed.number)
         self._numbers.pop(owed.id, None)
         self._recently_closed[owed.id] = delivered
-        if len(self._recently_closed) > self._limits.recent_ends:
+        if len(self._recently_closed) > self._limits.recent_results:
             self._recently_closed.popitem(last=False)
 
     def _end(self, number: int, *, deferred: bool, again_ms: float = 0.0) -> None:
         """Send the final status; the message is closed in the journal once the platform has accepted it."""
-        owed = self._journal.owed.get(number)
+        owed = self._journal.pending.get(number)
         self._open_messages.pop(number, None)
         if owed is not None and owed.ending is None:
             self.start.message_ended(number)
             self._figures.count(Figure.REFUSED if deferred else Figure.FAILED, owed.cls)
             self._log.debug("message ended", number=number, deferred=deferred, again_ms=again_ms)
-            self._journal.ending(number, deferred, again_ms)
+            self._journal.record_ending(number, deferred, again_ms)
             self._notices.deliver(Notice(number, owed.id, deferred, again_ms))
 
     def _decide(self, now: float, events: list[i.Event]) -> None:
--- a/springspread/core/start.py
+++ b/springspread/core/start.py
@@ -10,7 +10,7 @@
 from springspread.config import Waits
 from springspread.core import wall_clock
 from springspread.core.clock import Clock
-from springspread.core.journal import Owed
+from springspread.core.journal import PendingMessage
 from springspread.core.startup_stages import Conditions, Progress, Stage, advance
 from springspread.core.types import Log
 
@@ -25,12 +25,12 @@
         self.progress = Progress(Stage.CLOCK, clock.now())
         self._known_time: tuple[float, float] | None = None  # an answer's date, and when it was read
         self._anchor: tuple[float, float] | None = None  # the corrected wall clock, and when it was set
-        self._held_back: list[tuple[Owed, float]] = []  # with their class's deadline (ms)
+        self._held_back: list[tuple[PendingMessage, float]] = []  # with their class's deadline (ms)
         self._backlog: set[int] = set()  # numbers of recovered messages that are still open
         self.backlog_at_start = 0
         self._fetch_at = 0.0
 
-    def begin(self, now: float, owed: Iterable[tuple[Owed, float]]) -> None:
+    def begin(self, now: float, owed: Iterable[tuple[PendingMessage, float]]) -> None:
         """Enter the first stage, with recovered messages and their class's deadline (ms)."""
         self.progress, self._held_back = Progress(Stage.CLOCK, now), list(owed)
         self._backlog = {one.number for one, _ in self._held_back}
@@ -67,12 +67,14 @@
         self._fetch_at = now + LIST_RETRY_MS
         return True
 
-    def proceed(self, now: float, slots: int, policy: bool, listed: bool) -> list[tuple[Owed, float]]:
+    def proceed(
+        self, now: float, slots: int, policy: bool, listed: bool
+    ) -> list[tuple[PendingMessage, float]]:
         """Leave the stages that are over; returns the messages that this releases, with their time left."""
         before = self.progress
         conditions = Conditions(len(self._backlog), slots, self._known_time is not None, policy, listed)
         self.progress = advance(before, conditions, self._waits, now)
-        since, released = before.since, list[tuple[Owed, float]]()
+        since, released = before.since, list[tuple[PendingMessage, float]]()
         for one in self.progress.passed[len(before.passed) :]:
             if self.has_waits:
                 waited = round(one.at - since, 1)
@@ -105,12 +107,12 @@
             return self._clock.wall()
         return self._anchor[0] + self._clock.now() - self._anchor[1]
 
-    def time_left(self, owed: Owed, most: float) -> float:
+    def time_left(self, owed: PendingMessage, most: float) -> float:
         """How much time (ms) a message has left; ``most``: its class's deadline."""
         left = owed.deadline_wall - self.wall()
         # A clock that is too early must not give a message more time than its class does.
         return min(left, most) if self._waits.clock_ms else left
 
-    def _release(self) -> list[tuple[Owed, float]]:
+    def _release(self) -> list[tuple[PendingMessage, float]]:
         released, self._held_back = self._held_back, []
         return [(owed, self.time_left(owed, most)) for owed, most in released]
--- a/springspread/experiments/plan.py
+++ b/springspread/experiments/plan.py
@@ -14,8 +14,8 @@
 from pydantic import Field, ValidationError, field_validator, model_validator
 
 from springspread import policy
-from springspread.checked import PlanError, Strict, faults_of, meant, read_toml
 from springspread.simulator.day import ANY, TROUBLES, Day, draw
+from springspread.validation import PlanError, StrictModel, format_errors, read_toml, suggestion
 
 MOST_RUNS = 10_000
 PLAIN = "plain"  # the arm of a plan that names none
@@ -31,7 +31,7 @@
 """The decision module's numbers, which an arm may set."""
 
 
-class Knobs(Strict):
+class Knobs(StrictModel):
     """What a day is drawn with. Times are milliseconds, rates are per second, shares are 0 to 1."""
 
     senders: Annotated[int, Field(ge=1, le=1000)] = 3
@@ -76,7 +76,9 @@
     def _constants(cls, module: dict[str, float]) -> dict[str, float]:
         for name in module:
             if name not in CONSTANTS:
-                raise ValueError(f"{name}: the decision module has no such number{meant(name, CONSTANTS)}")
+                raise ValueError(
+                    f"{name}: the decision module has no such number{suggestion(name, CONSTANTS)}"
+                )
         return module
 
 
@@ -84,7 +86,7 @@
 """The keys of a plan's tables, for whoever meant another one."""
 
 
-class Plan(Strict):
+class Plan(StrictModel):
     """An experiment: seeds, what all days share, what varies, and arms that are played on the same days."""
 
     name: Word
@@ -97,7 +99,7 @@
     def _varied(self) -> Plan:
         for key, values in self.vary.items():
             if key not in Knobs.model_fields:
-                raise ValueError(f"vary.{key}: no such key{meant(key, Knobs.model_fields)}")
+                raise ValueError(f"vary.{key}: no such key{suggestion(key, Knobs.model_fields)}")
             if not values:
                 raise ValueError(f"vary.{key}: holds no value")
             for where in [where for where, knobs in self._sets() if key in knobs.model_fields_set]:
@@ -155,4 +157,4 @@
     try:
         return Plan.model_validate(raw)
     except ValidationError as exc:
-        raise PlanError(faults_of(exc, list(Plan.model_fields), PARTS)) from exc
+        raise PlanError(format_errors(exc, list(Plan.model_fields), PARTS)) from exc
--- a/springspread/faults/crashes.py
+++ b/springspread/faults/crashes.py
@@ -19,7 +19,7 @@
 from pathlib import Path
 from random import Random
 
-from springspread.core.journal import Journal, Owed
+from springspread.core.journal import Journal, PendingMessage
 from springspread.faults.disk import Crash, Disk, MemoryFiles
 
 DISK_BYTES = 32_000  # files of 2,700 bytes, and room for three of them: they turn over often
@@ -38,7 +38,7 @@
     endings: dict[int, tuple[bool, float]] = field(default_factory=dict)
     over: set[int] = field(default_factory=set)
 
-    def broken(self, owed: dict[int, Owed]) -> str:
+    def broken(self, owed: dict[int, PendingMessage]) -> str:
         """What is wrong with what a journal says is owed; empty where nothing is."""
         for number in sorted(self.taken - self.over):
             if number not in owed:
@@ -64,28 +64,28 @@
             number += 1
             body = bytes([number % 251]) * rng.randrange(BODY_BYTES)
             facts.handed[number] = body
-            journal.taken(Owed(number, f"id-{number}", "pay", 7, 2e12, body))
-            journal.settle()
+            journal.record_taken(PendingMessage(number, f"id-{number}", "pay", 7, 2e12, body))
+            journal.wait_synced()
             facts.taken.add(number)
             out[number] = 0
             continue
         one = rng.choice(sorted(out))
         if what == "begin" and out[one] < 3 and one not in facts.begun:
-            journal.begun(one, out[one])
-            journal.settle()
+            journal.record_begun(one, out[one])
+            journal.wait_synced()
             facts.begun.add(one)
             out[one] += 1
         elif what == "prove" and one in facts.begun:
             facts.begun.discard(one)
-            journal.not_run(one, out[one] - 1)
+            journal.record_not_run(one, out[one] - 1)
         elif what == "end" and one not in facts.endings:
-            journal.ending(one, True, 5.0)
-            journal.settle()
+            journal.record_ending(one, True, 5.0)
+            journal.wait_synced()
             facts.endings[one] = (True, 5.0)
         elif what == "over":
             facts.over.add(one)
             del out[one]
-            journal.over(one)
+            journal.record_completed(one)
 
 
 Make = Callable[[MemoryFiles], Journal]
@@ -126,7 +126,7 @@
 
 def _recover(left: Disk, facts: Facts, make: Make, found: Searched, place: str, again: int) -> None:
     found.states += 1
-    found.broken = facts.broken(make(MemoryFiles(deepcopy(left))).owed)
+    found.broken = facts.broken(make(MemoryFiles(deepcopy(left))).pending)
     if found.broken:
         found.broken = f"{place}: {found.broken}"
         return
@@ -187,38 +187,38 @@
 
         what = ""
 
-        def settle(self) -> None:
+        def wait_synced(self) -> None:
             if self.what != "told before the sync":
-                super().settle()
+                super().wait_synced()
 
         def _sync_file(self) -> None:
             if self.what != "a file is left unsynced":
                 super()._sync_file()
 
-        def begun(self, number: int, attempt: int) -> bool:
+        def record_begun(self, number: int, attempt: int) -> bool:
             if self.what != "begun is not on record" or attempt:
-                return super().begun(number, attempt)
+                return super().record_begun(number, attempt)
             return True
 
-        def ending(self, number: int, deferred: bool, again_ms: float) -> None:
+        def record_ending(self, number: int, deferred: bool, again_ms: float) -> None:
             if self.what != "an ending is not on record" or number % 3:
-                super().ending(number, deferred, again_ms)
+                super().record_ending(number, deferred, again_ms)
 
-        def _clear_oldest(self) -> None:
+        def _compact_oldest(self) -> None:
             if self.what == "a file goes before its copies are made":
                 self._files.unlink(min(self.files))
                 del self._sizes[min(self._sizes)]
-                self._open(self._last + 1)
-                for owed in [owed for owed in self.owed.values() if owed.file not in self._sizes]:
+                self._open(self._file_number + 1)
+                for owed in [owed for owed in self.pending.values() if owed.file not in self._sizes]:
                     self._write(owed.records())
-                    owed.file = self._last
+                    owed.file = self._file_number
                 return
-            super()._clear_oldest()
+            super()._compact_oldest()
 
-        def _restore(self, number: int, newest: bool) -> None:
-            super()._restore(number, newest)
+        def _load_file(self, number: int, newest: bool) -> None:
+            super()._load_file(number, newest)
             if self.what == "proof is taken for granted":
-                for owed in self.owed.values():
+                for owed in self.pending.values():
                     owed.not_run |= owed.begun
 
     def skipping(what: str) -> Make:
--- a/springspread/faults/disk.py
+++ b/springspread/faults/disk.py
@@ -85,7 +85,7 @@
         """As the system's."""
         return len(self.disk.seen[name].seen)
 
-    def changed(self, name: str) -> float:
+    def modified_wall(self, name: str) -> float:
         """Nothing here has a time."""
         return 0.0
 
@@ -100,7 +100,7 @@
         self.before("append")
         self._open[file].seen.extend(data)
 
-    def put(self, name: str, data: bytes) -> None:
+    def overwrite(self, name: str, data: bytes) -> None:
         """As the system's."""
         self.before("put")
         self.disk.seen.setdefault(name, Inode()).seen[:] = data
@@ -120,7 +120,7 @@
         self.before("sync folder")
         self.disk.kept = dict(self.disk.seen)
 
-    def twin(self, file: int) -> int:
+    def duplicate(self, file: int) -> int:
         """As the system's."""
         return file
 
--- a/springspread/fleet/fit.py
+++ b/springspread/fleet/fit.py
@@ -7,9 +7,9 @@
 from collections.abc import Mapping
 from dataclasses import fields, replace
 
-from springspread.config import Config, ConfigError, decoded, read
+from springspread.config import Config, ConfigError, load_raw, read
 from springspread.core.journal import Journal
-from springspread.core.lanes import Lanes
+from springspread.core.journal_ownership import OwnedJournals
 from springspread.interface import Settings
 
 KEYS = {
@@ -21,14 +21,14 @@
 
 
 def under_policy(
-    running: Config, journal: Journal | Lanes, text: str, env: Mapping[str, str] = os.environ
+    running: Config, journal: Journal | OwnedJournals, text: str, env: Mapping[str, str] = os.environ
 ) -> Config:
     """The configuration of a running process with a policy's settings in place of its own.
 
     Raises ``ConfigError``, which begins with the key, where the process can't use them: they are faulty,
     change what serves a start, or leave no class or no room for a message that it holds.
     """
-    new = read({**decoded(env), "settings": json.loads(text)["settings"]}, env)
+    new = read({**load_raw(env), "settings": json.loads(text)["settings"]}, env)
     for bound in fields(new.limits):
         if getattr(new.limits, bound.name) != getattr(running.limits, bound.name):
             key = KEYS.get(bound.name, f"({bound.name})")
@@ -42,9 +42,9 @@
     return replace(running, settings=new.settings)
 
 
-def _check_held(settings: Settings, journal: Journal | Lanes) -> None:
+def _check_held(settings: Settings, journal: Journal | OwnedJournals) -> None:
     """Raise ``ConfigError`` where messages that have no end yet could not be carried any more."""
-    held = [message for message in list(journal.owed.values()) if message.ending is None]
+    held = [message for message in list(journal.pending.values()) if message.ending is None]
     classes = {spec.name for spec in settings.classes}
     if missing := sorted({message.cls for message in held} - classes):
         raise ConfigError(f"settings.classes: {', '.join(missing)}: messages of it are held here")
--- a/springspread/fleet/plan.py
+++ b/springspread/fleet/plan.py
@@ -8,12 +8,12 @@
 
 from pydantic import BeforeValidator, Field, ValidationError
 
-from springspread.checked import PlanError, Strict, faults_of, read_toml
 from springspread.fleet.limits import MAX_CALLS, MAX_SPAN_MS, MIN_SPAN_MS, Limit, LimitMode
 from springspread.fleet.members import Pauses
-from springspread.garbage import collector_paused
+from springspread.gc_pause import collector_paused
 from springspread.rollout.coordinator import Times
 from springspread.rollout.document import MAX_LIMITS, Policy, PolicyTooLarge, check_bounds
+from springspread.validation import PlanError, StrictModel, format_errors, read_toml
 
 Name = Annotated[str, Field(pattern=r"^[gr][A-Za-z0-9/._-]{1,100}$")]
 Mode = Annotated[LimitMode, BeforeValidator(LimitMode.named)]
@@ -23,7 +23,7 @@
     """A file that is over a bound of its size; the text names the key and the bound."""
 
 
-class LimitEntry(Strict):
+class LimitEntry(StrictModel):
     """So many calls in any span, whatever number of instances makes them."""
 
     calls: Annotated[int, Field(ge=1, le=MAX_CALLS)]
@@ -36,7 +36,7 @@
         return Limit(self.calls, self.span_ms, self.mode)
 
 
-class Restarts(Strict):
+class Restarts(StrictModel):
     """How soon instances that died are started again."""
 
     first_ms: Annotated[float, Field(ge=10.0, le=60_000.0)] = 100.0
@@ -45,14 +45,14 @@
     stop_ms: Annotated[float, Field(ge=3_500.0, le=60_000.0)] = 4_000.0
 
 
-class PolicyTimes(Strict):
+class PolicyTimes(StrictModel):
     """How long a right to act lasts while nobody renews it, and how long votes may take."""
 
     lease_ms: Annotated[float, Field(ge=1_000.0, le=600_000.0)] = 5_000.0
     vote_ms: Annotated[float, Field(ge=50.0, le=60_000.0)] = 300.0
 
 
-class Recovery(Strict):
+class Recovery(StrictModel):
     """The longest wait in each stage of a start (``core.startup_stages``), and how many start at once."""
 
     clock_ms: Annotated[float, Field(ge=0.0, le=600_000.0)] = 2_000.0
@@ -67,7 +67,7 @@
         return {key: value for key, value in self.model_dump().items() if key != "at_once"}
 
 
-class FleetPlan(Strict):
+class FleetPlan(StrictModel):
     """A fleet: its folder, its size, the configuration that instances share, and the limits that bind all."""
 
     folder: Path = Field(strict=False)
@@ -127,7 +127,7 @@
     except OSError as exc:
         raise PlanError(f"{path}: {exc.strerror}") from exc
     except ValidationError as exc:
-        lines = faults_of(exc, list(FleetPlan.model_fields), PARTS).splitlines()
+        lines = format_errors(exc, list(FleetPlan.model_fields), PARTS).splitlines()
         raise PlanError("\n".join(f"{path}: {line}" for line in lines)) from exc
     except ValueError as exc:
         raise PlanError(f"{path}: not TOML: {exc}") from exc
--- a/springspread/net/listener.py
+++ b/springspread/net/listener.py
@@ -117,7 +117,7 @@
 
     def drain(self, active: bool) -> None:
         """Send clients away, a while after they have been told at their front, or take them again."""
-        self._let_go_at = clock() + self._limits.drain_let_go_ms if active else inf
+        self._let_go_at = clock() + self._limits.drain_close_ms if active else inf
         self._ring()
 
     @property
@@ -226,7 +226,7 @@
                     return None  # guards those who rest: the last newcomer has been let in by now
                 self._make_room(self._clients[room.ends])
                 continue
-            if room.at - now > 2 * self._limits.client_speak_ms and self._admission.may_turn_away():
+            if room.at - now > 2 * self._limits.client_new_evictable_ms and self._admission.may_turn_away():
                 return False
             if not self._closing:
                 self._pause(room.at)
@@ -248,7 +248,10 @@
             self._spent(client)
         elif not self._heard_last(client):
             self._finish(client)
-            if client.open and self._admission.count(Standing.LEAVING) > self._limits.client_spares:
+            if (
+                client.open
+                and self._admission.count(Standing.LEAVING) > self._limits.client_closing_connections
+            ):
                 self._spent(client)  # the descriptors for those who linger are used up
         self._ended += 1
         if clock() - self._told_at >= TELL_MS:  # guards the log: such clients come by the hundred
--- a/tests/admission/test_admission.py
+++ b/tests/admission/test_admission.py
@@ -13,7 +13,7 @@
 from springspread.admission.admission import ROOM, STEPS, Admission, Misuse, Place, Standing, rules
 from springspread.config import Limits
 
-LIMITS = replace(Limits(), client_connections=6, client_spares=2, client_bytes=1000)
+LIMITS = replace(Limits(), client_connections=6, client_closing_connections=2, client_bytes=1000)
 RULES = rules(LIMITS)
 SAFE = (Standing.WAITING,)
 
@@ -32,9 +32,9 @@
     limits = replace(LIMITS, client_connections=100)
     listener = Admission(limits)
     first, *_ = fill(listener, 100)
-    early = listener.room(LIMITS.client_speak_ms - 1)
-    assert (early.admit, early.ends, early.at) == (False, None, LIMITS.client_speak_ms)
-    assert listener.room(LIMITS.client_speak_ms).ends is first
+    early = listener.room(LIMITS.client_new_evictable_ms - 1)
+    assert (early.admit, early.ends, early.at) == (False, None, LIMITS.client_new_evictable_ms)
+    assert listener.room(LIMITS.client_new_evictable_ms).ends is first
 
 
 def test_newcomers_are_spared_for_as_long_as_the_places_allow_at_their_rate() -> None:
@@ -90,9 +90,9 @@
         listener.step(place, Standing.LEAVING, 0.0)
     assert listener.room(0.0).admit
     fill(listener, 2)
-    assert len(listener) == LIMITS.client_connections + LIMITS.client_spares
+    assert len(listener) == LIMITS.client_connections + LIMITS.client_closing_connections
     listener.step(places[2], Standing.LEAVING, 0.0)
-    asked = listener.room(LIMITS.client_left_ms)
+    asked = listener.room(LIMITS.client_closing_evictable_ms)
     assert asked.ends is places[0]
 
 
@@ -116,7 +116,7 @@
     listener = Admission(LIMITS)
     (place,) = fill(listener, 1)
     listener.step(place, Standing.READING, 0.0)
-    least = int(LIMITS.client_least_bytes_s * LIMITS.client_brisk_ms / 1000)
+    least = int(LIMITS.client_min_bytes_s * LIMITS.client_slow_ms / 1000)
     for much, lags in ((1, True), (least - 1, True), (least, False)):
         listener.keep(place, much)
         assert listener.lags(place) is lags
@@ -130,8 +130,8 @@
     listener.closing = True
     assert listener.due(1.0) is idle
     listener.leave(idle)
-    assert listener.due(1.0) is None and listener.next_due() == LIMITS.client_speak_ms
-    assert listener.due(LIMITS.client_speak_ms) is new
+    assert listener.due(1.0) is None and listener.next_due() == LIMITS.client_new_evictable_ms
+    assert listener.due(LIMITS.client_new_evictable_ms) is new
 
 
 def test_a_driver_that_takes_a_step_the_table_does_not_name_is_told() -> None:
@@ -186,13 +186,13 @@
             assert room.ends.since + spared <= self.now
             self.listener.leave(room.ends)
             seen += 1
-            assert seen <= LIMITS.client_connections + LIMITS.client_spares
+            assert seen <= LIMITS.client_connections + LIMITS.client_closing_connections
         assert room.at > self.now
         busy = sum(map(self.listener.count, SAFE))
         if room.at == inf:  # nobody but those who ask: each is over in its own time
             assert busy == LIMITS.client_connections
         else:
-            assert room.at - self.now <= max(LIMITS.client_brisk_ms, LIMITS.client_speak_ms)
+            assert room.at - self.now <= max(LIMITS.client_slow_ms, LIMITS.client_new_evictable_ms)
 
     @precondition(lambda self: len(self.listener) > 0)
     @rule(number=st.integers(0, 7), standing=st.sampled_from(list(Standing)), much=st.integers(0, 300))
@@ -217,7 +217,7 @@
     def the_caps_hold(self) -> None:
         leaving = self.listener.count(Standing.LEAVING)
         assert len(self.listener) - leaving <= LIMITS.client_connections
-        assert len(self.listener) <= LIMITS.client_connections + LIMITS.client_spares
+        assert len(self.listener) <= LIMITS.client_connections + LIMITS.client_closing_connections
         assert self.listener.held == sum(place.held for place in self.listener)
 
     @invariant()
--- a/tests/test_clearance.py
+++ b/tests/test_clearance.py
@@ -7,7 +7,7 @@
 import pytest
 
 from springspread.core.clearance import Clearance, WithheldReason
-from springspread.core.journal import Journal, Owed
+from springspread.core.journal import Journal, PendingMessage
 from springspread.core.types import (
     Attempt,
     Call,
@@ -53,7 +53,7 @@
         """Why a call may not begin ``after_ms`` after the list was read."""
         self.clock.at = READ_AT + after_ms
         number = self.journal.last_number + 1
-        self.journal.taken(Owed(number, f"m{number}", "note", 7, 0.0, b"body"))
+        self.journal.record_taken(PendingMessage(number, f"m{number}", "note", 7, 0.0, b"body"))
         run = Attempt(number, 0, f"m{number}", b"body", self.clock.at + 1000.0, True)
         refusal = self.clearance.check(Call(self.endpoint, (run,), self.clock.at))
         assert refusal is None or refusal.result is Result.NOT_SENT
--- a/tests/test_core.py
+++ b/tests/test_core.py
@@ -11,7 +11,7 @@
 from springspread.core import types as t
 from springspread.core.clearance import Clearance, WithheldReason
 from springspread.core.clock import SYSTEM
-from springspread.core.journal import Journal, Owed
+from springspread.core.journal import Journal, PendingMessage
 from springspread.core.loop import Sender
 from tests.test_config import make
 
@@ -96,9 +96,9 @@
     message = rig.hand_in("a")
     assert message.verdict is t.Verdict.ACCEPTED
     (call,) = rig.drivers.calls
-    assert [owed.id for owed in rig.journal.owed.values()] == ["a"]
+    assert [owed.id for owed in rig.journal.pending.values()] == ["a"]
     rig.end(call, t.Result.DELIVERED)
-    assert not rig.journal.owed and not rig.drivers.notices
+    assert not rig.journal.pending and not rig.drivers.notices
     assert rig.hand_in("a").verdict is t.Verdict.DELIVERED  # handed in again: answered, not sent again
     assert len(rig.drivers.calls) == 1
 
@@ -122,10 +122,10 @@
     tmp_path: Path, cls: str, proved: bool, sent: int, notices: int
 ) -> None:
     first = Journal(tmp_path, 3_000_000)
-    first.taken(Owed(4, "a", cls, 7, SYSTEM.wall() + 5000, b"body"))
-    first.begun(4, 0)
+    first.record_taken(PendingMessage(4, "a", cls, 7, SYSTEM.wall() + 5000, b"body"))
+    first.record_begun(4, 0)
     if proved:
-        first.not_run(4, 0)
+        first.record_not_run(4, 0)
     first.close()
     rig = Rig(tmp_path)
     rig.restore()
@@ -141,8 +141,8 @@
 ) -> None:
     first = Journal(tmp_path, 3_000_000)
     for number, id in ((4, "ran"), (5, "untried")):
-        first.taken(Owed(number, id, "keyed", 7, SYSTEM.wall() + 5000, b"body"))
-    first.begun(4, 0)
+        first.record_taken(PendingMessage(number, id, "keyed", 7, SYSTEM.wall() + 5000, b"body"))
+    first.record_begun(4, 0)
     first.close()
     raw = make(tmp_path)
     raw["settings"]["classes"][0] |= {"name": "keyed", "effect": "by_key", "memorySpanMs": window_ms}
@@ -157,9 +157,9 @@
 
 def test_a_message_that_had_all_its_attempts_is_not_sent_again(tmp_path: Path) -> None:
     first = Journal(tmp_path, 3_000_000)
-    first.taken(Owed(4, "a", "note", 7, SYSTEM.wall() + 5000, b"body"))
+    first.record_taken(PendingMessage(4, "a", "note", 7, SYSTEM.wall() + 5000, b"body"))
     for attempt in range(8):
-        first.begun(4, attempt)
+        first.record_begun(4, attempt)
     first.close()
     rig = Rig(tmp_path)
     rig.restore()
@@ -168,20 +168,20 @@
 
 def test_a_final_status_is_sent_again_until_the_platform_has_accepted_it(tmp_path: Path) -> None:
     first = Journal(tmp_path, 3_000_000)
-    first.taken(Owed(4, "a", "note", 7, SYSTEM.wall() + 5000, b"body"))
-    first.ending(4, True, 300.0)
+    first.record_taken(PendingMessage(4, "a", "note", 7, SYSTEM.wall() + 5000, b"body"))
+    first.record_ending(4, True, 300.0)
     first.close()
     rig = Rig(tmp_path)
     rig.restore()
     assert rig.drivers.notices == [t.Notice(4, "a", True, 300.0)] and not rig.drivers.calls
-    assert 4 in rig.journal.owed
+    assert 4 in rig.journal.pending
     rig.sender.step([t.NoticesDelivered((4,))])
-    assert not rig.journal.owed
+    assert not rig.journal.pending
 
 
 def test_a_message_that_expired_while_down_ends_at_once(tmp_path: Path) -> None:
     first = Journal(tmp_path, 3_000_000)
-    first.taken(Owed(4, "a", "pay", 7, SYSTEM.wall() - 100, b"body"))
+    first.record_taken(PendingMessage(4, "a", "pay", 7, SYSTEM.wall() - 100, b"body"))
     first.close()
     rig = Rig(tmp_path)
     rig.restore()
@@ -202,7 +202,7 @@
     rig.restore()
     message = rig.hand_in("a")
     rig.sender.step([t.ClientLeft(message)])
-    assert rig.drivers.cancelled == rig.drivers.calls and not rig.journal.owed
+    assert rig.drivers.cancelled == rig.drivers.calls and not rig.journal.pending
     rig.end(rig.drivers.calls[0], t.Result.CANCELLED)
     assert not rig.drivers.notices
 
@@ -216,9 +216,9 @@
     messages = rig.hand_in("a"), rig.hand_in("a")
     assert messages[1].verdict is t.Verdict.ACCEPTED and len(rig.drivers.calls) == 1
     rig.sender.step([t.ClientLeft(messages[order[0]]), t.ClientLeft(messages[order[0]])])
-    assert len(rig.journal.owed) == 1
+    assert len(rig.journal.pending) == 1
     rig.sender.step([t.ClientLeft(messages[order[1]])])
-    assert not rig.journal.owed
+    assert not rig.journal.pending
 
 
 def test_the_id_of_an_open_message_is_not_accepted_for_another(tmp_path: Path) -> None:
@@ -229,7 +229,7 @@
     rig.sender.step([other])
     assert other.verdict is t.Verdict.CONFLICT
     rig.sender.step([t.ClientLeft(other)])
-    assert [owed.body for owed in rig.journal.owed.values()] == [b"body"] and len(rig.drivers.calls) == 1
+    assert [owed.body for owed in rig.journal.pending.values()] == [b"body"] and len(rig.drivers.calls) == 1
 
 
 def test_a_message_to_an_unknown_destination_is_refused(tmp_path: Path) -> None:
@@ -274,7 +274,7 @@
             module.in_flight,
             module.queued_dests,
             module.expiries,
-            rig.journal.owed,
+            rig.journal.pending,
         )
         return [len(table) for table in (*tables, *more, rig.clearance._retry_after, module.dests[7].routes)]
 
@@ -302,7 +302,7 @@
     while any(now > then for now, then in zip(sizes(), before, strict=True)) and t.clock() < end:
         serve()
     assert all(now <= then for now, then in zip(sizes(), before, strict=True)), (sizes(), before)
-    assert len(sender._recently_closed) <= rig.config.limits.recent_ends
+    assert len(sender._recently_closed) <= rig.config.limits.recent_results
 
 
 def test_a_waiting_message_uses_a_route_that_is_listed_later(tmp_path: Path) -> None:
@@ -337,7 +337,7 @@
         assert rig.clearance.check(call) is None
     assert not second.withdraw()  # too late: it has been accepted
     rig.sender.step([t.ClientLeft(first), t.ClientLeft(second)])
-    assert [owed.id for owed in rig.journal.owed.values()] == ["a", "b"]
+    assert [owed.id for owed in rig.journal.pending.values()] == ["a", "b"]
 
 
 @pytest.mark.parametrize("durability", ["process", "power"])
@@ -347,12 +347,12 @@
     message = t.Message("a", "note", 7, t.clock() + 8000.0, b"body")
     assert message.withdraw()  # its client has been refused, and may use another sender
     rig.sender.step([message])
-    assert not rig.drivers.calls and not rig.journal.owed and message.verdict is None
+    assert not rig.drivers.calls and not rig.journal.pending and message.verdict is None
     assert rig.hand_in("a").verdict is t.Verdict.ACCEPTED
     again = t.Message("a", "note", 7, t.clock() + 8000.0, b"body")
     assert again.withdraw()
     rig.sender.step([again])  # the open message stays open
-    assert [owed.id for owed in rig.journal.owed.values()] == ["a"]
+    assert [owed.id for owed in rig.journal.pending.values()] == ["a"]
 
 
 @pytest.mark.parametrize("first", ["the client leaves", "the call begins"])
@@ -368,7 +368,7 @@
     else:
         assert rig.clearance.check(call) is None
         rig.sender.step([t.ClientLeft(message)])
-        assert [owed.id for owed in rig.journal.owed.values()] == ["a"]
+        assert [owed.id for owed in rig.journal.pending.values()] == ["a"]
 
 
 def test_a_retry_after_stops_a_call_that_was_queued_before_it(tmp_path: Path) -> None:
@@ -379,7 +379,7 @@
     rig.clearance.set_retry_after(call.endpoint, 5000.0)
     refused = rig.clearance.check(call)
     assert refused is not None and refused[0] is t.Result.REJECTED and 4000 < refused[1] <= 5000
-    assert not rig.journal.owed[1].begun
+    assert not rig.journal.pending[1].begun
 
 
 def test_a_drain_stops_a_call_that_is_still_connecting(tmp_path: Path) -> None:
@@ -404,7 +404,7 @@
     rig.restore()
     rig.hand_in("a")
     (call,) = rig.drivers.calls
-    begun = rig.journal.begun
+    begun = rig.journal.record_begun
 
     def slow(number: int, attempt: int) -> bool:
         if change == "a drain":
@@ -413,12 +413,12 @@
             rig.clearance.set_retry_after(call.endpoint, 5000.0)
         return begun(number, attempt)
 
-    monkeypatch.setattr(rig.journal, "begun", slow)
+    monkeypatch.setattr(rig.journal, "record_begun", slow)
     refused = rig.clearance.check(call)
     assert refused is not None
     assert refused.reason is (WithheldReason.LEAVING if change == "a drain" else WithheldReason.RETRY_AFTER)
     rig.sender.step([t.AttemptEnd(call, call.attempts[0], refused.result, t.clock())])
-    assert not rig.journal.owed[1].may_have_run
+    assert not rig.journal.pending[1].may_have_run
 
 
 def test_an_endpoint_missing_from_a_whole_list_is_gone(tmp_path: Path) -> None:
@@ -453,7 +453,7 @@
     rig.sender._stop_at -= 2000.0
     assert rig.hand_in("late", "pay").verdict is t.Verdict.ACCEPTED
     assert len(rig.drivers.calls) == 2
-    assert not next(owed for owed in rig.journal.owed.values() if owed.id == "late").begun
+    assert not next(owed for owed in rig.journal.pending.values() if owed.id == "late").begun
 
 
 def test_a_new_policy_keeps_open_messages_and_route_state(tmp_path: Path) -> None:
@@ -480,7 +480,7 @@
     assert route.health is health and route.window == window and len(route.classes) == 3
     assert message("b", "pay").verdict is t.Verdict.UNKNOWN_CLASS  # removed by the new policy
     assert message("c", "new").verdict is t.Verdict.ACCEPTED
-    owed = {one.id: (one.cls, one.policy) for one in journal.owed.values()}
+    owed = {one.id: (one.cls, one.policy) for one in journal.pending.values()}
     assert owed == {"a": ("pay", 1), "c": ("new", 2)}
     assert sender._module.pending[1].spec.name == "pay"  # still open, with its old class
 
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -20,7 +20,7 @@
 from springspread.config import Limits
 from springspread.core.clearance import Clearance
 from springspread.core.figures import Figures
-from springspread.core.journal import Journal, JournalFull, Owed
+from springspread.core.journal import Journal, JournalFull, PendingMessage
 from springspread.core.types import (
     Attempt,
     AttemptEnd,
@@ -83,8 +83,8 @@
         now = clock()
         for _ in range(count):
             number = self.journal.last_number + 1
-            self.journal.taken(Owed(number, f"m{number}", "note", 7, 0.0, b"body"))
-        numbers = list(self.journal.owed)[-count:]
+            self.journal.record_taken(PendingMessage(number, f"m{number}", "note", 7, 0.0, b"body"))
+        numbers = list(self.journal.pending)[-count:]
         attempts = [Attempt(n, 0, f"m{n}", b"body", now + wait_ms, safe) for n in numbers]
         call = Call(self.target, attempts, now)
         self.workers.start(call)
@@ -240,7 +240,8 @@
     call = rig.start(safe=False)
     until(lambda: rig.endpoint.requests, "the complete request")
     until(
-        lambda: clock() - call.sent_at > 2 * Limits().break_ms, "too late for a break of an idle connection"
+        lambda: clock() - call.sent_at > 2 * Limits().stale_break_ms,
+        "too late for a break of an idle connection",
     )
     go.set()
     assert rig.result() is Result.BROKEN  # not NOT_CONNECTED, as it may have run
@@ -400,7 +401,9 @@
     journal = Journal(program.state, 3_000_000)
     wall = time.time() * 1000.0 + 60_000.0
     for number in range(1, 4):
-        journal.taken(Owed(journal.last_number + 1, f"theirs-{number}", "meter-reading", 7, wall, b"x"))
+        journal.record_taken(
+            PendingMessage(journal.last_number + 1, f"theirs-{number}", "meter-reading", 7, wall, b"x")
+        )
     journal.close()
     program.start()
     until(lambda: len(peer.notices) == 3, "their ends")
@@ -416,7 +419,7 @@
     with pytest.raises(JournalFull):
         while True:
             number = journal.last_number + 1
-            journal.taken(Owed(number, f"old-{number}", "note", 7, wall, b"x" * 3000))
+            journal.record_taken(PendingMessage(number, f"old-{number}", "note", 7, wall, b"x" * 3000))
             count += 1
     journal.close()
     assert count > 200
--- a/tests/test_lifetimes.py
+++ b/tests/test_lifetimes.py
@@ -124,7 +124,7 @@
     def client_leaves(self, which: int) -> None:
         life = list(self.lives.values())[which % len(self.lives)]
         number = life.message.number
-        owed = self.journal.owed.get(number)
+        owed = self.journal.pending.get(number)
         free = (
             owed is not None
             and not owed.begun
@@ -200,8 +200,8 @@
 
     @invariant()
     def open_messages_are_recorded(self) -> None:
-        assert set(self.sender._open_messages) <= set(self.journal.owed)
-        assert set(self.sender._numbers.values()) == set(self.journal.owed)
+        assert set(self.sender._open_messages) <= set(self.journal.pending)
+        assert set(self.sender._numbers.values()) == set(self.journal.pending)
 
     def teardown(self) -> None:
         self.clock.at += 40_000.0
@@ -215,7 +215,7 @@
             self.step(t.NoticesDelivered((notice.number,)))
         for life in self.lives.values():
             assert life.left or life.delivered or life.notified_by, "no end"
-        assert not self.journal.owed and not self.sender._open_messages and not self.sender._calls
+        assert not self.journal.pending and not self.sender._open_messages and not self.sender._calls
         assert not self.sender._numbers and not self.sender._module.pending
         self.journal.close()
         shutil.rmtree(self.folder)
