--- a/springspread/faults/hollow/allocator.py
+++ b/springspread/faults/hollow/allocator.py
@@ -68,7 +68,7 @@
         if successor and with_record:
             allocator.restore(self._record)
         elif successor:
-            allocator.presume(clock)
+            allocator.assume_exhausted(clock)
         self.control = AllocatorControl(FLEET, self._default_mode, self.limits, allocator, clock, successor)
         self._observer = self.control.register(clock, OBSERVER)
         self.alive = True
--- a/springspread/fleet/allocator.py
+++ b/springspread/fleet/allocator.py
@@ -137,7 +137,7 @@
         self._presumed: float | None = None
         self.steps = 0  # limits looked at by ``allocate``, for tests of what it costs
 
-    def presume(self, now: float) -> Lease:
+    def assume_exhausted(self, now: float) -> Lease:
         """What was given out before this moment is not known: each limit counts as used up.
 
         Leases of it may be used to their ends, so it costs a lease's time and a limit's span, once. The
--- a/springspread/fleet/allocator_server.py
+++ b/springspread/fleet/allocator_server.py
@@ -92,7 +92,7 @@
         if not record.complete or (began_before and not record.existed):
             # Guards limits after a power loss, or a record that is lost: anything may have been given out.
             self._log.warning("leases not known; limits count as used up")
-            record.append([allocator.presume(now)], now)
+            record.append([allocator.assume_exhausted(now)], now)
         learning = began_before or record.existed
         return AllocatorControl(fleet, default_mode, limits, allocator, now, learning)
 
--- a/tests/fleet/test_allocator_control.py
+++ b/tests/fleet/test_allocator_control.py
@@ -82,7 +82,7 @@
         if known:
             allocator.restore(self.record)
         else:
-            allocator.presume(self.now)
+            allocator.assume_exhausted(self.now)
         return AllocatorControl("fleet", self.default, self.limits, allocator, self.now, learning)
 
     def replace(self, known: bool = True) -> None:
--- a/tests/fleet/test_control_rules.py
+++ b/tests/fleet/test_control_rules.py
@@ -92,7 +92,7 @@
         if known:
             allocator.restore([] if self.forgets else self.record)
         else:
-            allocator.presume(self.now)
+            allocator.assume_exhausted(self.now)
         return AllocatorControl("fleet", self.default, LIMITS, allocator, self.now, learning)
 
     @rule(name=NAMES)
--- a/tests/fleet/test_limit_change_rules.py
+++ b/tests/fleet/test_limit_change_rules.py
@@ -52,7 +52,7 @@
         if known:
             allocator.restore(self.record)
         else:
-            allocator.presume(self.now)
+            allocator.assume_exhausted(self.now)
         policy = self.in_force
         control = AllocatorControl("fleet", policy.default_mode, policy.limits, allocator, self.now, learning)
         if policy is not self.policies[-1]:
--- a/tests/fleet/test_limits_review.py
+++ b/tests/fleet/test_limits_review.py
@@ -355,7 +355,7 @@
     cache.received(lease, died)
     successor = Allocator(lease_ms=200.0)
     successor.limited("g1", limit)
-    successor.presume(died)
+    successor.assume_exhausted(died)
     last = lease.until - 1.0
     assert cache.take("g1", last) == 0.0
     successor.ask(last + SPAN - 10.0, ("n1", 1), "g1", 5)
