--- a/benchmarks/capacity/mechanism.py
+++ b/benchmarks/capacity/mechanism.py
@@ -71,7 +71,7 @@
     """An allocator that knows so many limits; leases of all of them are asked for and given."""
     made = Allocator()
     for key in keys(limits):
-        made.limited(key, limit)
+        made.set_limit(key, limit)
     return made
 
 
@@ -128,7 +128,7 @@
     """
     limit, tick_ms = Limit(400, 2_000.0), 5.0
     allocator = Allocator()
-    allocator.limited("g0", limit)
+    allocator.set_limit("g0", limit)
     who, given = owners(sharers), list[tuple[float, int]]()
     dies_at, now = 6_000.0, 0.0
     while now < 60_000.0:
--- a/springspread/faults/hollow/allocator.py
+++ b/springspread/faults/hollow/allocator.py
@@ -84,7 +84,7 @@
     def change_limit(self, key: str, limit: Limit) -> None:
         """The operators change one limit at once."""
         self.limits[key] = limit
-        self.control.limited(self._queue.clock, key, limit)
+        self.control.set_limit(self._queue.clock, key, limit)
         self._news()
 
     def accept(self, connection: Connection) -> None:
--- a/springspread/fleet/allocator.py
+++ b/springspread/fleet/allocator.py
@@ -146,7 +146,7 @@
         self._presumed = now + self._lease_ms
         return Lease(0, NOBODY, UNKNOWN_KEY, 0, self._presumed)
 
-    def limited(self, key: str, limit: Limit) -> None:
+    def set_limit(self, key: str, limit: Limit) -> None:
         """A limit is told, or told anew. Leases that are out stay good to their ends, and count."""
         self._limits[key] = limit
         state = self._states.get(key)
--- a/springspread/fleet/allocator_control.py
+++ b/springspread/fleet/allocator_control.py
@@ -84,11 +84,11 @@
         self._sources = LimitSources(limits)
         self.causes: dict[Cause, int] = dict.fromkeys(Cause, 0)  # how often limits were bound, and why
         for key, limit in limits.items():
-            self.limited(now, key, limit)
+            self.set_limit(now, key, limit)
 
     # Limits
 
-    def limited(self, now: float, key: str, limit: Limit) -> None:
+    def set_limit(self, now: float, key: str, limit: Limit) -> None:
         """A limit holds from now on, in place of the one that the key had, if any."""
         before, known = self._status(key), self._allocator.limit(key)
         if known == limit:
@@ -97,7 +97,7 @@
             self._count_as_used(now, key, limit)
             one = fingerprint(key)
             self._limited_keys[one] = (*self._limited_keys.get(one, ()), key)
-        self._allocator.limited(key, limit)
+        self._allocator.set_limit(key, limit)
         if limit.mode is LimitMode.EXACT:
             self._bindings.pop(key, None)
         elif known is not None and known.mode is LimitMode.ADAPTIVE:
@@ -107,7 +107,7 @@
     def _count_as_used(self, now: float, key: str, limit: Limit) -> None:
         """A key that had no limit: senders that know it as unlimited have called it uncounted."""
         if self._news.anybody_knows(fingerprint(key)):
-            self._allocator.limited(key, limit)
+            self._allocator.set_limit(key, limit)
             self._allocator.count_unleased(now, key, limit.calls, now)
 
     def unlimited(self, key: str) -> None:
@@ -131,7 +131,7 @@
     ) -> None:
         """Other limits of the operators hold from a moment on; until then the stricter ones."""
         for key, limit in self._sources.announce(limits, since).items():
-            self.limited(now, key, limit)
+            self.set_limit(now, key, limit)
         self._news.send_gathered(now)
         self._next_default = default_mode or self._default_mode
         if self._next_default is LimitMode.EXACT:
@@ -144,7 +144,7 @@
             if limit is None:
                 self.unlimited(key)
             else:
-                self.limited(now, key, limit)
+                self.set_limit(now, key, limit)
         self._set_default(now, self._next_default)
 
     def _set_default(self, now: float, mode: LimitMode) -> None:
@@ -153,7 +153,7 @@
         self._default_mode = mode
         self._news.forget(default_status(mode))
         for key, limit in self._sources.partner_mode(mode).items():
-            self.limited(now, key, limit)
+            self.set_limit(now, key, limit)
         bound = self._allocator.keys if mode is LimitMode.ADAPTIVE else ()
         self._news.welcome_all(fingerprint(key) for key in bound if self.is_bound(key))
 
@@ -246,7 +246,7 @@
             if per_s > 0:
                 limit = Limit.of_rate(per_s, PARTNER_SPAN_MS, self._default_mode)
                 if self._sources.partner_told(key, limit):
-                    self.limited(now, key, limit)
+                    self.set_limit(now, key, limit)
         for key, calls in message.demands.items():
             self._ask(now, owner, key, calls)
 
@@ -259,7 +259,7 @@
             self._news.answer(owner, fingerprint(key), status, waits=calls > 0)
             return
         if calls and limit is None:
-            self.limited(now, key, NO_LIMIT)
+            self.set_limit(now, key, NO_LIMIT)
         self._allocator.ask(now, owner, key, calls)
 
     def _use(self, now: float, owner: Owner, message: UseReport) -> None:
--- a/springspread/simulator/virtual.py
+++ b/springspread/simulator/virtual.py
@@ -478,7 +478,7 @@
             habit = self.partners[group].habit
             if habit.limit_per_s:
                 key = f"r{group}/{name}" if habit.apart else f"g{group}"
-                self.control.limited(0.0, key, Limit.of_rate(habit.limit_per_s, SPAN_MS))
+                self.control.set_limit(0.0, key, Limit.of_rate(habit.limit_per_s, SPAN_MS))
         for cut in day.outages:
             if cut.service is Service.PLATFORM:
                 self.checker.platform_away(cut.begin, cut.end)
--- a/tests/fleet/test_allocator.py
+++ b/tests/fleet/test_allocator.py
@@ -47,7 +47,7 @@
         self.limit = Limit(5, SPAN)
         self.record: list[Lease] = []
         self.allocator = self._allocator()
-        self.allocator.limited(KEY, self.limit)
+        self.allocator.set_limit(KEY, self.limit)
         self.alive: dict[str, Instance] = {}
         self.epochs = 0
         self.mail: list[tuple[Instance, Lease]] = []
@@ -127,7 +127,7 @@
         """Its successor reads what was given out; the last of it may never have been told."""
         self.allocator = self._allocator()
         self.allocator.restore([] if self.forgets else self.record)
-        self.allocator.limited(KEY, self.limit)
+        self.allocator.set_limit(KEY, self.limit)
 
     @rule(ms=st.sampled_from([1.0, 5.0, 19.0, 40.0, 77.0, 160.0, 201.0]))
     def time_goes_by(self, ms: float) -> None:
@@ -196,7 +196,7 @@
     def __init__(self, count: int, limit: Limit, lease_ms: float = 200.0) -> None:
         self.now = 0.0
         self.allocator = Allocator(lease_ms=lease_ms)
-        self.allocator.limited(KEY, limit)
+        self.allocator.set_limit(KEY, limit)
         self.lease_caches = {(f"n{n:02}", 1): LeaseCache() for n in range(count)}
         self.made: list[tuple[float, Owner]] = []
 
@@ -258,7 +258,7 @@
     everyone = dict.fromkeys(fleet.lease_caches, 2)
     for _ in range(400):
         fleet.step(everyone)
-    fleet.allocator.limited(KEY, Limit(20, 2000.0))
+    fleet.allocator.set_limit(KEY, Limit(20, 2000.0))
     shrunk = fleet.now
     for _ in range(800):
         fleet.step(everyone)
@@ -277,7 +277,7 @@
 
 def test_nobody_frees_another_s_lease() -> None:
     allocator = Allocator()
-    allocator.limited(KEY, Limit(5, SPAN))
+    allocator.set_limit(KEY, Limit(5, SPAN))
     allocator.ask(0.0, ("n0", 1), KEY, 1)
     (lease,) = allocator.allocate(1.0)
     allocator.report(2.0, ("n1", 1), KEY, lease.serial, 0, 0.0)
@@ -288,7 +288,7 @@
 
 def test_an_older_epoch_gets_nothing() -> None:
     allocator = Allocator()
-    allocator.limited(KEY, Limit(5, SPAN))
+    allocator.set_limit(KEY, Limit(5, SPAN))
     assert allocator.joined(("n0", 2)) and not allocator.joined(("n0", 1))
     allocator.ask(0.0, ("n0", 1), KEY, 3)
     assert allocator.allocate(1.0) == []
@@ -297,7 +297,7 @@
 def test_ten_thousand_limits_cost_only_what_is_asked_for() -> None:
     allocator, rng = Allocator(), Random(1)
     for n in range(10_000):
-        allocator.limited(f"g{n}", Limit(4, 2000.0))
+        allocator.set_limit(f"g{n}", Limit(4, 2000.0))
     for n in rng.sample(range(10_000), 20):
         allocator.ask(0.0, ("n0", 1), f"g{n}", 1)
     leases = allocator.allocate(1.0)
@@ -320,7 +320,7 @@
 
 def test_a_demand_that_is_withdrawn_before_its_limit_is_forgotten_leaves_nothing_behind() -> None:
     allocator, owner = Allocator(LEASE), ("a", 1)
-    allocator.limited(KEY, Limit(1, SPAN))
+    allocator.set_limit(KEY, Limit(1, SPAN))
     allocator.ask(0.0, owner, KEY, 2)
     assert [lease.calls for lease in allocator.allocate(0.0)] == [1]
     assert allocator.allocate(5.0) == []
--- a/tests/fleet/test_allocator_control.py
+++ b/tests/fleet/test_allocator_control.py
@@ -223,7 +223,7 @@
             for sender in fleet.senders[: 2 * rate]:
                 sender.call("g1", fleet.now)
     assert fleet.control.is_bound("g1") is bound
-    fleet.control.limited(fleet.now, "g1", Limit(20, SPAN, ADAPTIVE))
+    fleet.control.set_limit(fleet.now, "g1", Limit(20, SPAN, ADAPTIVE))
     fell = fleet.now
     fleet.run(fell + 8_000.0, {"g1": 1})
     assert fleet.control.is_bound("g1")
@@ -351,7 +351,7 @@
     fleet = Fleet({}, mode, senders=3)
     fleet.run(3_000.0, {"g1": 1})
     assert all(one.made for one in fleet.senders)  # it has none
-    fleet.control.limited(fleet.now, "g1", Limit(20, SPAN, mode))
+    fleet.control.set_limit(fleet.now, "g1", Limit(20, SPAN, mode))
     given = fleet.now
     fleet.run(given + 8_000.0, {"g1": 1})
     assert fleet.most("g1", begin=given + (0.1 if mode is EXACT else FRESH_MS + SPAN)) <= 20
--- a/tests/fleet/test_limits_review.py
+++ b/tests/fleet/test_limits_review.py
@@ -150,7 +150,7 @@
     pair.cache.take(twin, 1.0)
     pair.exchange(2.0)
     assert pair.cache.take(exact, 3.0) == 0.0  # neither has a limit
-    pair.control.limited(4.0, exact, Limit(1, SPAN))
+    pair.control.set_limit(4.0, exact, Limit(1, SPAN))
     pair.heard(5.0, pair.downward(5.0))
     assert pair.cache.take(exact, 6.0) > 0.0
 
@@ -160,9 +160,9 @@
     pair = Pair(ADAPTIVE, dict.fromkeys(TWINS, Limit(20, SPAN, ADAPTIVE)))
     pair.upward(0.0, pair.session.connected(0.0))
     pair.heard(0.0, pair.downward(0.0))
-    pair.control.limited(1.0, one, Limit(10, SPAN, ADAPTIVE))  # it falls: it is bound
-    pair.control.limited(2.0, other, Limit(10, SPAN))
-    pair.control.limited(3.0, one, Limit(40, SPAN, ADAPTIVE))
+    pair.control.set_limit(1.0, one, Limit(10, SPAN, ADAPTIVE))  # it falls: it is bound
+    pair.control.set_limit(2.0, other, Limit(10, SPAN))
+    pair.control.set_limit(3.0, one, Limit(40, SPAN, ADAPTIVE))
     pair.heard(3.0, pair.downward(3.0))
     for now in range(3 + int(GATHER_MS[KeyStatus.BOUND]), 20_000, 100):
         pair.heard(float(now), pair.downward(float(now)))
@@ -171,7 +171,7 @@
     pair.heard(20_000.0, pair.downward(20_000.0))
     pair.exchange(20_001.0)
     assert not pair.control.is_bound(one) and not pair.control.is_bound(other)
-    pair.control.limited(20_002.0, one, Limit(30, SPAN, ADAPTIVE))
+    pair.control.set_limit(20_002.0, one, Limit(30, SPAN, ADAPTIVE))
     pair.control.tick(20_003.0)
     sent = pair.downward(20_003.0 + GATHER_MS[KeyStatus.BOUND])
     told = [item for item in sent if isinstance(item, KeyStatuses)]
@@ -348,13 +348,13 @@
 def test_leases_that_a_lost_record_held_count_to_a_span_after_their_ends() -> None:
     limit, died = Limit(5, SPAN), 10_000.0
     before = Allocator(lease_ms=200.0)
-    before.limited("g1", limit)
+    before.set_limit("g1", limit)
     before.ask(died, ("n0", 1), "g1", 5)
     (lease,) = before.allocate(died)
     cache = LeaseCache(keep_ms=1_000.0)
     cache.received(lease, died)
     successor = Allocator(lease_ms=200.0)
-    successor.limited("g1", limit)
+    successor.set_limit("g1", limit)
     successor.assume_exhausted(died)
     last = lease.until - 1.0
     assert cache.take("g1", last) == 0.0
@@ -403,7 +403,7 @@
 
 def test_a_limit_that_nobody_waits_for_any_more_does_not_keep_the_allocator_busy() -> None:
     allocator = Allocator()
-    allocator.limited("g1", Limit(1, 60_000.0))
+    allocator.set_limit("g1", Limit(1, 60_000.0))
     allocator.ask(0.0, ("n0", 1), "g1", 1)
     assert allocator.allocate(0.0) != []
     allocator.ask(1.0, ("n1", 1), "g1", 1)  # and is not heard of again
@@ -436,12 +436,12 @@
 def test_limits_that_come_and_go_leave_nothing_behind() -> None:
     control = AllocatorControl("fleet", ADAPTIVE, {}, Allocator(), 0.0)
     for n in range(100):
-        control.limited(float(n), "g1", Limit(20, SPAN, ADAPTIVE))
-        control.limited(float(n), "g1", Limit(10, SPAN, ADAPTIVE))  # it falls: it is bound
+        control.set_limit(float(n), "g1", Limit(20, SPAN, ADAPTIVE))
+        control.set_limit(float(n), "g1", Limit(10, SPAN, ADAPTIVE))  # it falls: it is bound
         if n < 99:
             control.unlimited("g1")
     once = AllocatorControl("fleet", ADAPTIVE, {"g1": Limit(20, SPAN, ADAPTIVE)}, Allocator(), 0.0)
-    once.limited(0.0, "g1", Limit(10, SPAN, ADAPTIVE))
+    once.set_limit(0.0, "g1", Limit(10, SPAN, ADAPTIVE))
     moments = [float(now) for now in range(1_000, 8_000, 500)]
     often, expected = (sum(operations(partial(one.tick, now)) for now in moments) for one in (control, once))
     assert often <= 2 * expected
