--- a/benchmarks/capacity/mechanism.py
+++ b/benchmarks/capacity/mechanism.py
@@ -112,7 +112,7 @@
     """A lease of one call for each pair of sender and limit."""
     for key in what:
         for owner in who:
-            allocator.ask(now, owner, key, 1)
+            allocator.set_demand(now, owner, key, 1)
     return allocator.allocate(now)
 
 
@@ -135,7 +135,7 @@
         now += tick_ms
         alive = who if now < dies_at else who[1:]
         for owner in alive:
-            allocator.ask(now, owner, "g0", limit.calls)
+            allocator.set_demand(now, owner, "g0", limit.calls)
         leases = [lease for lease in allocator.allocate(now) if lease.owner in alive]
         report_all(allocator, now, leases)
         given += [(now, sum(lease.calls for lease in leases if lease.owner != who[0]))]
--- a/springspread/fleet/allocator.py
+++ b/springspread/fleet/allocator.py
@@ -110,7 +110,7 @@
 
 
 class Allocator:
-    """Gives out leases. ``ask`` and ``report`` as messages come in, ``allocate`` every few milliseconds.
+    """Gives out leases. ``set_demand`` and ``report`` per message, ``allocate`` every few milliseconds.
 
     Its work goes with what was asked, reported and counted, never with the number of limits: a limit has a
     ``LimitState`` only while anything of it counts or is waited for.
@@ -177,7 +177,7 @@
         self._epochs[name] = epoch
         return True
 
-    def ask(self, now: float, owner: Owner, key: str, calls: int) -> None:
+    def set_demand(self, now: float, owner: Owner, key: str, calls: int) -> None:
         """An owner waits to make so many calls; this replaces what it asked before. Zero asks for nothing."""
         if key not in self._limits or owner[1] < self._epochs.get(owner[0], 0):
             return
--- a/springspread/fleet/allocator_control.py
+++ b/springspread/fleet/allocator_control.py
@@ -260,7 +260,7 @@
             return
         if calls and limit is None:
             self.set_limit(now, key, NO_LIMIT)
-        self._allocator.ask(now, owner, key, calls)
+        self._allocator.set_demand(now, owner, key, calls)
 
     def _use(self, now: float, owner: Owner, message: UseReport) -> None:
         name, epoch = owner
--- a/tests/fleet/test_allocator.py
+++ b/tests/fleet/test_allocator.py
@@ -71,7 +71,7 @@
     @rule(name=st.sampled_from("abc"), calls=st.integers(1, 9))
     def asks(self, name: str, calls: int) -> None:
         if name in self.alive:
-            self.allocator.ask(self.now, self.alive[name].owner, KEY, calls)
+            self.allocator.set_demand(self.now, self.alive[name].owner, KEY, calls)
 
     @rule()
     def allocates(self) -> None:
@@ -208,7 +208,7 @@
                     self.made.append((self.now, owner))
             for report in lease_cache.done(self.now):
                 self.allocator.report(self.now, owner, report.key, report.serial, report.made, report.last_at)
-            self.allocator.ask(self.now, owner, KEY, lease_cache.wants(self.now).get(KEY, 0))
+            self.allocator.set_demand(self.now, owner, KEY, lease_cache.wants(self.now).get(KEY, 0))
         for lease in self.allocator.allocate(self.now):
             self.lease_caches[lease.owner].received(lease, self.now)
 
@@ -278,7 +278,7 @@
 def test_nobody_frees_another_s_lease() -> None:
     allocator = Allocator()
     allocator.set_limit(KEY, Limit(5, SPAN))
-    allocator.ask(0.0, ("n0", 1), KEY, 1)
+    allocator.set_demand(0.0, ("n0", 1), KEY, 1)
     (lease,) = allocator.allocate(1.0)
     allocator.report(2.0, ("n1", 1), KEY, lease.serial, 0, 0.0)
     assert allocator.taken(2.0, KEY) == 1
@@ -290,7 +290,7 @@
     allocator = Allocator()
     allocator.set_limit(KEY, Limit(5, SPAN))
     assert allocator.joined(("n0", 2)) and not allocator.joined(("n0", 1))
-    allocator.ask(0.0, ("n0", 1), KEY, 3)
+    allocator.set_demand(0.0, ("n0", 1), KEY, 3)
     assert allocator.allocate(1.0) == []
 
 
@@ -299,7 +299,7 @@
     for n in range(10_000):
         allocator.set_limit(f"g{n}", Limit(4, 2000.0))
     for n in rng.sample(range(10_000), 20):
-        allocator.ask(0.0, ("n0", 1), f"g{n}", 1)
+        allocator.set_demand(0.0, ("n0", 1), f"g{n}", 1)
     leases = allocator.allocate(1.0)
     assert len(leases) == 20 and all(lease.calls == 1 for lease in leases)
     assert not allocator.waiting
@@ -321,10 +321,10 @@
 def test_a_demand_that_is_withdrawn_before_its_limit_is_forgotten_leaves_nothing_behind() -> None:
     allocator, owner = Allocator(LEASE), ("a", 1)
     allocator.set_limit(KEY, Limit(1, SPAN))
-    allocator.ask(0.0, owner, KEY, 2)
+    allocator.set_demand(0.0, owner, KEY, 2)
     assert [lease.calls for lease in allocator.allocate(0.0)] == [1]
     assert allocator.allocate(5.0) == []
-    allocator.ask(10.0, owner, KEY, 0)
+    allocator.set_demand(10.0, owner, KEY, 0)
     assert allocator.allocate(10_000.0) == []
     assert not allocator.waiting
     assert allocator.states == 0
--- a/tests/fleet/test_limits_review.py
+++ b/tests/fleet/test_limits_review.py
@@ -349,7 +349,7 @@
     limit, died = Limit(5, SPAN), 10_000.0
     before = Allocator(lease_ms=200.0)
     before.set_limit("g1", limit)
-    before.ask(died, ("n0", 1), "g1", 5)
+    before.set_demand(died, ("n0", 1), "g1", 5)
     (lease,) = before.allocate(died)
     cache = LeaseCache(keep_ms=1_000.0)
     cache.received(lease, died)
@@ -358,7 +358,7 @@
     successor.assume_exhausted(died)
     last = lease.until - 1.0
     assert cache.take("g1", last) == 0.0
-    successor.ask(last + SPAN - 10.0, ("n1", 1), "g1", 5)
+    successor.set_demand(last + SPAN - 10.0, ("n1", 1), "g1", 5)
     assert successor.allocate(last + SPAN - 10.0) == []  # its call is in each span until then
     assert successor.allocate(last + SPAN + 10.0) != []
 
@@ -404,14 +404,14 @@
 def test_a_limit_that_nobody_waits_for_any_more_does_not_keep_the_allocator_busy() -> None:
     allocator = Allocator()
     allocator.set_limit("g1", Limit(1, 60_000.0))
-    allocator.ask(0.0, ("n0", 1), "g1", 1)
+    allocator.set_demand(0.0, ("n0", 1), "g1", 1)
     assert allocator.allocate(0.0) != []
-    allocator.ask(1.0, ("n1", 1), "g1", 1)  # and is not heard of again
+    allocator.set_demand(1.0, ("n1", 1), "g1", 1)  # and is not heard of again
     assert allocator.allocate(1.0) == [] and allocator.waits("g1")
     allocator.allocate(2_000.0)
     assert not allocator.waiting
-    allocator.ask(3_000.0, ("n1", 1), "g1", 1)
-    allocator.ask(3_001.0, ("n1", 1), "g1", 0)
+    allocator.set_demand(3_000.0, ("n1", 1), "g1", 1)
+    allocator.set_demand(3_001.0, ("n1", 1), "g1", 0)
     allocator.allocate(3_001.0)
     assert not allocator.waiting
 
