--- a/springspread/faults/hollow/allocator.py
+++ b/springspread/faults/hollow/allocator.py
@@ -111,7 +111,7 @@
         owner = connection.owner
         if owner is not None and self._by_owner.get(owner) is connection:
             del self._by_owner[owner]
-            self.control.left(owner)
+            self.control.unregister(owner)
 
     def _news(self) -> None:
         if not self._ticking:  # otherwise it sleeps until its next tick
--- a/springspread/fleet/allocator_control.py
+++ b/springspread/fleet/allocator_control.py
@@ -223,7 +223,7 @@
         self._news.join(owner, complete=now >= self._learning_until)
         return owner
 
-    def left(self, owner: Owner) -> None:
+    def unregister(self, owner: Owner) -> None:
         """Its connection is over; its leases are not."""
         self._news.leave(owner)
 
--- a/springspread/fleet/allocator_server.py
+++ b/springspread/fleet/allocator_server.py
@@ -144,7 +144,7 @@
                 known = member.owner is not None and self._members.get(member.owner) is member
                 if known and member.owner is not None:
                     del self._members[member.owner]
-                    self.control.left(member.owner)
+                    self.control.unregister(member.owner)
             if known and member.owner is not None and self._heard is not None:
                 self._heard(member.owner, None, False)
             member.sock.close()
--- a/tests/fleet/test_control_rules.py
+++ b/tests/fleet/test_control_rules.py
@@ -118,7 +118,7 @@
         if connection in self.connections:
             self.connections.remove(connection)
             if connection.owner is not None:
-                self.control.left(connection.owner)
+                self.control.unregister(connection.owner)
 
     @rule(name=NAMES)
     def writes(self, name: str) -> None:
