--- a/springspread/fleet/allocator_server.py
+++ b/springspread/fleet/allocator_server.py
@@ -54,13 +54,14 @@
         log: Log,
         clock: Clock = SYSTEM,
         heard: Callable[[Owner, Vote | Acting | Fit | None, bool], None] | None = None,
-        began_before: bool = False,
+        had_predecessor: bool = False,
         default_mode: LimitMode = LimitMode.EXACT,
         fleet: str = "",
     ) -> None:
         """``heard`` is told who joined (true) or left (false), votes, and what they act under.
-        ``began_before``: there were instances before, so that no record is a lost one. ``default_mode``: how
-        keys that a sender knows nothing of are treated. ``fleet``: what instances have to name as theirs.
+        ``had_predecessor``: there were instances before, so that no record is a lost one.
+        ``default_mode``: how keys that a sender knows nothing of are treated.
+        ``fleet``: what instances have to name as theirs.
 
         Raises ``OSError`` where the socket or the record can't be opened."""
         self._log, self._clock = log, clock
@@ -72,7 +73,7 @@
         self._returning: dict[str, tuple[int, Returning]] = {}  # by instance: its epoch, and what it said
         longest = max([PARTNER_SPAN_MS, *(limit.span_ms for limit in limits.values())])
         self._record = LeaseRecord(folder, longest + SLACK_MS)
-        self.control = self._control(fleet, default_mode, limits, began_before)
+        self.control = self._control(fleet, default_mode, limits, had_predecessor)
         self.path = path
         path.unlink(missing_ok=True)
         self._listener = socket.socket(socket.AF_UNIX)
@@ -84,16 +85,16 @@
         spawn("fleet-allocate", self._run, log)
 
     def _control(
-        self, fleet: str, default_mode: LimitMode, limits: Mapping[str, Limit], began_before: bool
+        self, fleet: str, default_mode: LimitMode, limits: Mapping[str, Limit], had_predecessor: bool
     ) -> AllocatorControl:
         now, record = self._clock.now(), self._record
         allocator = Allocator(slack_ms=SLACK_MS)
         allocator.restore(record.earlier)
-        if not record.complete or (began_before and not record.existed):
+        if not record.complete or (had_predecessor and not record.existed):
             # Guards limits after a power loss, or a record that is lost: anything may have been given out.
             self._log.warning("leases not known; limits count as used up")
             record.append([allocator.assume_exhausted(now)], now)
-        learning = began_before or record.existed
+        learning = had_predecessor or record.existed
         return AllocatorControl(fleet, default_mode, limits, allocator, now, learning)
 
     @property
--- a/springspread/fleet/daemon.py
+++ b/springspread/fleet/daemon.py
@@ -67,7 +67,7 @@
         self._changes = self._load_policies(wanted, rows)
         if adopted.lost:
             rows = raise_epochs(rows, self._changes.record.history.generation + 1)
-        self._server = self._serve_limits(began_before=any(row.epoch for row in rows.values()))
+        self._server = self._serve_limits(had_predecessor=any(row.epoch for row in rows.values()))
         try:
             self._changes.begin(_running(rows.values()), self._server.tell, self._server.follow)
         except Damaged as exc:
@@ -108,7 +108,7 @@
             self._log.warning("files differ from the policy in force; propose them", differing=differing)
         return changes
 
-    def _serve_limits(self, began_before: bool) -> AllocatorServer:
+    def _serve_limits(self, had_predecessor: bool) -> AllocatorServer:
         history, clock = self._changes.record.history, self._clock
         undecided = clock.now() < history.since  # the daemon before decided it, for a moment to come
         policy = self._changes.policy(history.previous if undecided else history.in_force)
@@ -119,7 +119,7 @@
             self._log,
             clock,
             self._changes.received,
-            began_before,
+            had_predecessor,
             policy.default_mode,
             fleet_id(self.folder),
         )
--- a/tests/fleet/test_allocator_server.py
+++ b/tests/fleet/test_allocator_server.py
@@ -278,7 +278,7 @@
             if path.stat().st_size > 60:
                 spoil(path)
         place.server = AllocatorServer(
-            place.path, place.folder, place.limits, Quiet(), began_before=spoil is Path.unlink
+            place.path, place.folder, place.limits, Quiet(), had_predecessor=spoil is Path.unlink
         )
     until(lambda: len(callers.made) >= 35, "calls with the last one")
     callers.stop()
@@ -394,7 +394,7 @@
             if path.stat().st_size > 60:
                 _flipped(path)
     for _ in range(3):  # a daemon that dies soon after its start
-        server = AllocatorServer(tmp_path / "allot", tmp_path, limits, Quiet(), began_before=True)
+        server = AllocatorServer(tmp_path / "allot", tmp_path, limits, Quiet(), had_predecessor=True)
         assert server.control.given_out("g1", SYSTEM.now()) >= 8
         server.close()
     assert [name for name, _ in leased_epochs(tmp_path)] == []
