--- a/benchmarks/capacity/policy.py
+++ b/benchmarks/capacity/policy.py
@@ -64,7 +64,7 @@
         held = dict.fromkeys(keys(limits), LIMIT)
         changes = Changes(folder / "policy", Policy(settings, held, MODE), log)
         server = AllocatorServer(
-            folder / "allot", folder, held, log, heard=changes.received, default_mode=MODE
+            folder / "allot", folder, held, log, on_event=changes.received, default_mode=MODE
         )
         changes.begin([], server.tell, server.follow)
         processes = SenderProcesses(folder / "allot", file, senders)
--- a/springspread/fleet/allocator_server.py
+++ b/springspread/fleet/allocator_server.py
@@ -53,12 +53,12 @@
         limits: Mapping[str, Limit],
         log: Log,
         clock: Clock = SYSTEM,
-        heard: Callable[[Owner, Vote | Acting | Fit | None, bool], None] | None = None,
+        on_event: Callable[[Owner, Vote | Acting | Fit | None, bool], None] | None = None,
         had_predecessor: bool = False,
         default_mode: LimitMode = LimitMode.EXACT,
         fleet: str = "",
     ) -> None:
-        """``heard`` is told who joined (true) or left (false), votes, and what they act under.
+        """``on_event`` is told who joined (true) or left (false), votes, and what they act under.
         ``had_predecessor``: there were instances before, so that no record is a lost one.
         ``default_mode``: how keys that a sender knows nothing of are treated.
         ``fleet``: what instances have to name as theirs.
@@ -69,7 +69,7 @@
         self._news = threading.Event()
         self._members: dict[Owner, Member] = {}
         self._unsent: dict[Member, None] = {}  # those whose socket has not taken all
-        self._heard = heard
+        self._on_event = on_event
         self._returning: dict[str, tuple[int, Returning]] = {}  # by instance: its epoch, and what it said
         longest = max([PARTNER_SPAN_MS, *(limit.span_ms for limit in limits.values())])
         self._record = LeaseRecord(folder, longest + SLACK_MS)
@@ -146,8 +146,8 @@
                 if known and member.owner is not None:
                     del self._members[member.owner]
                     self.control.unregister(member.owner)
-            if known and member.owner is not None and self._heard is not None:
-                self._heard(member.owner, None, False)
+            if known and member.owner is not None and self._on_event is not None:
+                self._on_event(member.owner, None, False)
             member.sock.close()
 
     def _take(self, member: Member, message: Message) -> None:
@@ -162,8 +162,8 @@
                 case LeaseRequest() | UseReport():
                     self._received(owner, message)
                 case Vote() | Acting() | Fit():
-                    if self._heard is not None:
-                        self._heard(owner, message, True)
+                    if self._on_event is not None:
+                        self._on_event(owner, message, True)
                 case Returning():
                     self._returning[owner[0]] = (owner[1], message)
                 case _:
@@ -182,8 +182,8 @@
         member.owner = owner
         self._members[owner] = member
         self._news.set()
-        if self._heard is not None:
-            self._heard(owner, None, True)
+        if self._on_event is not None:
+            self._on_event(owner, None, True)
 
     def _received(self, owner: Owner, message: LeaseRequest | UseReport) -> None:
         try:
