--- a/springspread/fleet/allocator_server.py
+++ b/springspread/fleet/allocator_server.py
@@ -113,7 +113,7 @@
                 "bound": {key: cause.value for key, cause in bound.items()},
             }
 
-    def returning(self, owner: Owner) -> Returning | None:
+    def start_progress(self, owner: Owner) -> Returning | None:
         """How far an instance's start has come, as it last said."""
         epoch, said = self._returning.get(owner[0], (-1, None))
         return said if epoch == owner[1] else None
--- a/springspread/fleet/daemon.py
+++ b/springspread/fleet/daemon.py
@@ -207,7 +207,7 @@
         return [self._recovery_of(row) for row in self._supervisor.rows]
 
     def _recovery_of(self, row: Row) -> dict[str, Any]:
-        report = self._server.returning((row.name, row.epoch))
+        report = self._server.start_progress((row.name, row.epoch))
         now = self._clock.now()
         if row.pid and report is not None:
             return recovery_status(row, report, now)
