--- a/springspread/faults/daemon.py
+++ b/springspread/faults/daemon.py
@@ -67,10 +67,10 @@
     """Put the moments in, for this process."""
 
     class Server(AllocatorServer):
-        def tell(self, owner: Owner, message: Message) -> None:
+        def send(self, owner: Owner, message: Message) -> None:
             what = f"{type(message).__name__.lower()} to {owner[0]}"
             steps.moment(f"before {what}", False)
-            super().tell(owner, message)
+            super().send(owner, message)
             steps.moment(f"after {what}", False)
 
     RelayedDaemon.steps = steps
--- a/springspread/fleet/allocator_server.py
+++ b/springspread/fleet/allocator_server.py
@@ -192,7 +192,7 @@
             raise Unreadable(str(exc)) from exc
         self._news.set()
 
-    def tell(self, owner: Owner, message: Message) -> None:
+    def send(self, owner: Owner, message: Message) -> None:
         """Send a message to an instance, if it is connected. Never waits."""
         with self._lock:
             member = self._members.get(owner)
--- a/springspread/fleet/daemon.py
+++ b/springspread/fleet/daemon.py
@@ -69,7 +69,7 @@
             rows = raise_epochs(rows, self._changes.record.history.generation + 1)
         self._server = self._serve_limits(had_predecessor=any(row.epoch for row in rows.values()))
         try:
-            self._changes.begin(_running(rows.values()), self._server.tell, self._server.follow)
+            self._changes.begin(_running(rows.values()), self._server.send, self._server.follow)
         except Damaged as exc:
             raise Refused(str(exc)) from exc
         self._policy = PolicyOrders(self._changes, clock)
--- a/tests/fleet/test_allocator_server.py
+++ b/tests/fleet/test_allocator_server.py
@@ -359,7 +359,7 @@
         for n in range(2, 60):  # often, as the tick may come between by chance
             limits = {f"g{m}": Limit(8, SPAN_MS) for m in range(2, n + 1)}
             place.server.follow(limits, SYSTEM.now() + 60_000.0)
-            place.server.tell(("n1", 1), Grant((1, n), n, 0.0, 1.0))
+            place.server.send(("n1", 1), Grant((1, n), n, 0.0, 1.0))
             told = lines.readline()
             assert told.startswith(b"[5,") and json.loads(told)[2] == [fingerprint(f"g{n}")]
             assert b"grant" in lines.readline()
@@ -376,7 +376,7 @@
         raise RuntimeError("a fault of its own")
 
     sender.follow(fails, lambda event: None)
-    place.server.tell(("n0", 1), Question(1, "{}"))
+    place.server.send(("n0", 1), Question(1, "{}"))
     until(failed.is_set, "the question")
     until(lambda: sender.acquire(LINK), "a call over a new connection")
 
