--- a/benchmarks/capacity/policy.py
+++ b/benchmarks/capacity/policy.py
@@ -66,7 +66,7 @@
         server = AllocatorServer(
             folder / "allot", folder, held, log, on_event=changes.received, default_mode=MODE
         )
-        changes.begin([], server.send, server.follow)
+        changes.begin([], server.send, server.schedule_limits)
         processes = SenderProcesses(folder / "allot", file, senders)
         asked = processes.asked
         try:
--- a/springspread/faults/sabotage.py
+++ b/springspread/faults/sabotage.py
@@ -113,15 +113,15 @@
 
 
 def _raises_limits_at_once() -> None:
-    real = AllocatorServer.follow
+    real = AllocatorServer.schedule_limits
 
-    def follow(
+    def schedule_limits(
         self: AllocatorServer, limits: Mapping[str, Limit], since: float, default_mode: LimitMode
     ) -> None:
         doubled = {key: replace(limit, calls=limit.calls * 2) for key, limit in limits.items()}
         real(self, doubled, since, default_mode)
 
-    setattr(AllocatorServer, "follow", follow)  # noqa: B010
+    setattr(AllocatorServer, "schedule_limits", schedule_limits)  # noqa: B010
 
 
 SABOTAGES = {
--- a/springspread/fleet/allocator_control.py
+++ b/springspread/fleet/allocator_control.py
@@ -126,7 +126,7 @@
         """The limit of a key, where one is known."""
         return self._allocator.limit(key)
 
-    def follow(
+    def schedule_limits(
         self, now: float, limits: Mapping[str, Limit], since: float, default_mode: LimitMode | None = None
     ) -> None:
         """Other limits of the operators hold from a moment on; until then the stricter ones."""
--- a/springspread/fleet/allocator_server.py
+++ b/springspread/fleet/allocator_server.py
@@ -201,12 +201,12 @@
                 if member.unsent:
                     self._news.set()
 
-    def follow(
+    def schedule_limits(
         self, limits: Mapping[str, Limit], since: float, default_mode: LimitMode | None = None
     ) -> None:
         """Other limits of the operators hold from a moment on; until then the stricter ones."""
         with self._lock:
-            self.control.follow(self._clock.now(), limits, since, default_mode)
+            self.control.schedule_limits(self._clock.now(), limits, since, default_mode)
             longest = max((limit.span_ms for limit in limits.values()), default=0.0)
             self._record.extend_retention(longest + SLACK_MS)
             # Guards the limits against a sender that may act under their policy and has not heard of them.
--- a/springspread/fleet/daemon.py
+++ b/springspread/fleet/daemon.py
@@ -69,7 +69,7 @@
             rows = raise_epochs(rows, self._changes.record.history.generation + 1)
         self._server = self._serve_limits(had_predecessor=any(row.epoch for row in rows.values()))
         try:
-            self._changes.begin(_running(rows.values()), self._server.send, self._server.follow)
+            self._changes.begin(_running(rows.values()), self._server.send, self._server.schedule_limits)
         except Damaged as exc:
             raise Refused(str(exc)) from exc
         self._policy = PolicyOrders(self._changes, clock)
@@ -125,7 +125,7 @@
         )
         if undecided:
             coming = self._changes.policy(history.in_force)
-            server.follow(coming.limits, history.since, coming.default_mode)
+            server.schedule_limits(coming.limits, history.since, coming.default_mode)
         return server
 
     def given(self, name: str) -> dict[str, Any]:
--- a/tests/fleet/test_allocator_server.py
+++ b/tests/fleet/test_allocator_server.py
@@ -358,7 +358,7 @@
             known += len(json.loads(line)[4]) if line.startswith(b"[5,") else 0
         for n in range(2, 60):  # often, as the tick may come between by chance
             limits = {f"g{m}": Limit(8, SPAN_MS) for m in range(2, n + 1)}
-            place.server.follow(limits, SYSTEM.now() + 60_000.0)
+            place.server.schedule_limits(limits, SYSTEM.now() + 60_000.0)
             place.server.send(("n1", 1), Grant((1, n), n, 0.0, 1.0))
             told = lines.readline()
             assert told.startswith(b"[5,") and json.loads(told)[2] == [fingerprint(f"g{n}")]
--- a/tests/fleet/test_border.py
+++ b/tests/fleet/test_border.py
@@ -24,7 +24,7 @@
     server = AllocatorServer(tmp_path / "allot", tmp_path, old, Quiet())
     allocator = server.control
     since = SYSTEM.now() + 400.0
-    server.follow({"g1": Limit(8, 2000.0), "g2": Limit(100, 1000.0), "g3": Limit(5, 1000.0)}, since)
+    server.schedule_limits({"g1": Limit(8, 2000.0), "g2": Limit(100, 1000.0), "g3": Limit(5, 1000.0)}, since)
     before = {key: allocator.limit(key) for key in ("g1", "g2", "g3", "g4")}
     assert SYSTEM.now() < since
     assert before == {
@@ -69,6 +69,6 @@
     owner = server.control.register(SYSTEM.now(), Register(PROTOCOL_VERSION, "", "n000", 1))
     server.control.received(SYSTEM.now(), owner, LeaseRequest(partner_rates={"g1": 5.0}))
     assert server.control.limit("g1") == Limit(40, 2000.0)
-    server.follow({}, SYSTEM.now())
+    server.schedule_limits({}, SYSTEM.now())
     until(lambda: server.control.limit("g1") == Limit(10, 2000.0), "the partner's own limit binds")
     server.close()
--- a/tests/fleet/test_limit_change_rules.py
+++ b/tests/fleet/test_limit_change_rules.py
@@ -56,7 +56,9 @@
         policy = self.in_force
         control = AllocatorControl("fleet", policy.default_mode, policy.limits, allocator, self.now, learning)
         if policy is not self.policies[-1]:
-            control.follow(self.now, self.policies[-1].limits, self.since, self.policies[-1].default_mode)
+            control.schedule_limits(
+                self.now, self.policies[-1].limits, self.since, self.policies[-1].default_mode
+            )
         return control
 
     @property
@@ -72,7 +74,7 @@
         self.ticks()
         self.since = self.now + (lead_ms(self.policies[-1], policy) if self.leads else 0.0) + 1.0
         self.policies = (*self.policies, policy)
-        self.control.follow(self.now, policy.limits, self.since, policy.default_mode)
+        self.control.schedule_limits(self.now, policy.limits, self.since, policy.default_mode)
         self._send()
         for connection in self.connections:
             connection.down.append(self._line(b""))  # the grant of the policy
--- a/tests/fleet/test_limits_review.py
+++ b/tests/fleet/test_limits_review.py
@@ -91,7 +91,7 @@
     pair = Pair(EXACT, limits)
     pair.upward(0.0, pair.session.connected(0.0))
     pair.heard(0.0, pair.downward(0.0))
-    pair.control.follow(1.0, limits, 2.0, ADAPTIVE)
+    pair.control.schedule_limits(1.0, limits, 2.0, ADAPTIVE)
     for message in pair.downward(3.0):
         pair.heard(3.0, [message])
         assert pair.cache.take("g1", 3.0) > 0.0
@@ -106,7 +106,7 @@
     pair.control.received(1.0, pair.owner, LeaseRequest({"g1": 1}))
     leases = pair.control.tick(2.0)
     assert sum(lease.calls for lease in leases) == 1
-    pair.control.follow(3.0, {"g1": Limit(1, SPAN, ADAPTIVE)}, 4.0)
+    pair.control.schedule_limits(3.0, {"g1": Limit(1, SPAN, ADAPTIVE)}, 4.0)
     pair.heard(5.0, pair.downward(5.0))
     assert not pair.control.is_bound("g1")
     pair.control.received(6.0, pair.owner, UseReport(1, 0.0, {"g1": 2}))
@@ -214,14 +214,14 @@
     pair.session.partner_rate("g1", 5.0)
     pair.exchange(1.0)
     assert pair.control.limit("g1") == Limit(10, SPAN, ADAPTIVE)
-    pair.control.follow(2.0, {"g2": Limit(4, SPAN, ADAPTIVE)}, 3.0, EXACT)
+    pair.control.schedule_limits(2.0, {"g2": Limit(4, SPAN, ADAPTIVE)}, 3.0, EXACT)
     pair.heard(4.0, pair.downward(4.0))
     assert pair.control.limit("g1") == Limit(10, SPAN, EXACT)
     assert pair.control.limit("g2") == Limit(4, SPAN, ADAPTIVE)  # the operators say so
     pair.cache.take("g1", 5.0)
     pair.exchange(6.0)
     assert pair.cache.is_limited("g1") and pair.control.is_bound("g1")
-    pair.control.follow(7.0, {}, 8.0, ADAPTIVE)
+    pair.control.schedule_limits(7.0, {}, 8.0, ADAPTIVE)
     pair.heard(9.0, pair.downward(9.0))
     assert pair.control.limit("g1") == Limit(10, SPAN, ADAPTIVE)
 
@@ -231,7 +231,7 @@
     pair.upward(0.0, pair.session.connected(0.0))
     pair.session.partner_rate("g1", 5.0)
     pair.exchange(1.0)
-    pair.control.follow(2.0, {"g1": Limit(4, SPAN, ADAPTIVE)}, 10.0, EXACT)
+    pair.control.schedule_limits(2.0, {"g1": Limit(4, SPAN, ADAPTIVE)}, 10.0, EXACT)
     assert pair.control.limit("g1") == Limit(4, SPAN, ADAPTIVE)
     pair.downward(11.0)
     assert pair.control.limit("g1") == Limit(4, SPAN, ADAPTIVE)
@@ -271,17 +271,17 @@
 
 def test_a_second_announcement_takes_back_what_the_first_one_made_stricter() -> None:
     pair = Pair(EXACT, {"g1": Limit(20, SPAN)})
-    pair.control.follow(0.0, {"g1": Limit(5, SPAN)}, 1_000.0)
+    pair.control.schedule_limits(0.0, {"g1": Limit(5, SPAN)}, 1_000.0)
     assert pair.control.limit("g1") == Limit(5, SPAN)
-    pair.control.follow(10.0, {"g1": Limit(20, SPAN)}, 1_500.0)
+    pair.control.schedule_limits(10.0, {"g1": Limit(20, SPAN)}, 1_500.0)
     pair.downward(1_500.0)
     assert pair.control.limit("g1") == Limit(20, SPAN)
 
 
 def test_a_second_announcement_without_a_limit_that_the_first_one_brought_removes_it() -> None:
     pair = Pair(EXACT, {})
-    pair.control.follow(0.0, {"g1": Limit(5, SPAN)}, 1_000.0)
-    pair.control.follow(10.0, {}, 1_500.0)
+    pair.control.schedule_limits(0.0, {"g1": Limit(5, SPAN)}, 1_000.0)
+    pair.control.schedule_limits(10.0, {}, 1_500.0)
     pair.downward(1_500.0)
     assert pair.control.limit("g1") is None
 
