--- a/springspread/faults/hollow/sender.py
+++ b/springspread/faults/hollow/sender.py
@@ -132,7 +132,7 @@
 
     def partner_told(self, key: str, per_s: float) -> None:
         """A partner tells its limit (calls a second)."""
-        if self.session.partner_rate(key, per_s):
+        if self.session.set_partner_rate(key, per_s):
             self._wake(self.sender.queue.now)
 
     def served(self, key: str) -> None:
--- a/springspread/fleet/client.py
+++ b/springspread/fleet/client.py
@@ -152,7 +152,7 @@
     def load(self, endpoint: Endpoint, load: Load) -> Load:
         """The load to hand to the decision module: with this instance's part of the endpoint's limit."""
         key = key_of(endpoint)
-        if load.limit_per_s and self._session.partner_rate(key, load.limit_per_s):
+        if load.limit_per_s and self._session.set_partner_rate(key, load.limit_per_s):
             self._wake.set()
         rate = self._session.rate(key)
         return load if rate is None else Load(load.left_share, rate)
--- a/springspread/fleet/sender_session.py
+++ b/springspread/fleet/sender_session.py
@@ -59,7 +59,7 @@
         self._new_rates = dict(self._partner_rates)  # the allocator at its other end may know none of it
         return [self._register, *self._cache.resend(now)]
 
-    def partner_rate(self, key: str, per_s: float) -> bool:
+    def set_partner_rate(self, key: str, per_s: float) -> bool:
         """A partner tells its limit (calls a second); whether that is news that a message can hold."""
         if not 0.0 < per_s < MAX_MS or self._partner_rates.get(key) == per_s:
             return False
--- a/tests/fleet/test_limits_review.py
+++ b/tests/fleet/test_limits_review.py
@@ -198,7 +198,7 @@
     keys = [f"r{n}/" + "é" * 190 for n in range(MAX_KEYS)]
     pair.upward(0.0, pair.session.connected(0.0))
     for key in keys:
-        pair.session.partner_rate(key, 5.0)
+        pair.session.set_partner_rate(key, 5.0)
         pair.cache.take(key, 1.0)
     pair.heard(0.0, pair.downward(0.0))
     for key in keys:
@@ -211,7 +211,7 @@
 def test_limits_that_partners_told_take_on_the_fleets_new_default() -> None:
     pair = Pair(ADAPTIVE, {})
     pair.upward(0.0, pair.session.connected(0.0))
-    pair.session.partner_rate("g1", 5.0)
+    pair.session.set_partner_rate("g1", 5.0)
     pair.exchange(1.0)
     assert pair.control.limit("g1") == Limit(10, SPAN, ADAPTIVE)
     pair.control.schedule_limits(2.0, {"g2": Limit(4, SPAN, ADAPTIVE)}, 3.0, EXACT)
@@ -229,7 +229,7 @@
 def test_a_new_default_leaves_the_mode_of_an_operators_limit_that_is_to_come() -> None:
     pair = Pair(ADAPTIVE, {})
     pair.upward(0.0, pair.session.connected(0.0))
-    pair.session.partner_rate("g1", 5.0)
+    pair.session.set_partner_rate("g1", 5.0)
     pair.exchange(1.0)
     pair.control.schedule_limits(2.0, {"g1": Limit(4, SPAN, ADAPTIVE)}, 10.0, EXACT)
     assert pair.control.limit("g1") == Limit(4, SPAN, ADAPTIVE)
@@ -304,7 +304,7 @@
     while True:
         session = SenderSession("n0", 1, "fleet", LeaseCache())
         session.connected(0.0)
-        session.partner_rate("g1", 5.0)
+        session.set_partner_rate("g1", 5.0)
         seen = 0
 
         def at_line(frame: FrameType, event: str, _: object, nth: int = lines) -> Any:
@@ -315,7 +315,7 @@
                 seen += 1
                 if seen == nth:
                     sys.settrace(None)
-                    session.partner_rate("g1", 7.0)  # noqa: B023
+                    session.set_partner_rate("g1", 7.0)  # noqa: B023
             return at_line  # noqa: B023
 
         sys.settrace(at_line)
@@ -420,7 +420,7 @@
 def test_a_rate_that_makes_no_sense_is_not_passed_on(per_s: float) -> None:
     session = SenderSession("n0", 1, "fleet", LeaseCache())
     session.connected(0.0)
-    assert not session.partner_rate("g1", per_s)
+    assert not session.set_partner_rate("g1", per_s)
     assert session.due(1.0) == []
 
 
