--- a/tests/fleet/test_allocator_server.py
+++ b/tests/fleet/test_allocator_server.py
@@ -40,7 +40,7 @@
 APART = Endpoint(3, "s-3", "127.0.0.1", 1, 3, True, 1)
 
 
-class Quiet:
+class NullLog:
     """A log that nobody reads."""
 
     def info(self, event: str, **values: object) -> None:
@@ -84,16 +84,16 @@
     def __init__(self, folder: Path, limits: dict[str, Limit]) -> None:
         self.folder, self.limits = folder, limits
         self.path = folder / "allot"
-        self.server = AllocatorServer(self.path, folder, limits, Quiet())
+        self.server = AllocatorServer(self.path, folder, limits, NullLog())
         self.shares: list[FleetShares] = []
 
     def join(self, name: str, epoch: int = 1) -> FleetShares:
-        self.shares.append(FleetShares(self.path, name, epoch, Quiet()))
+        self.shares.append(FleetShares(self.path, name, epoch, NullLog()))
         return self.shares[-1]
 
     def replace(self) -> None:
         self.server.close()
-        self.server = AllocatorServer(self.path, self.folder, self.limits, Quiet())
+        self.server = AllocatorServer(self.path, self.folder, self.limits, NullLog())
 
     def close(self) -> None:
         for one in self.shares:
@@ -140,7 +140,7 @@
         callers.stop()
 
 
-class Noted(Quiet):
+class Noted(NullLog):
     """A log that keeps its warnings."""
 
     def __init__(self) -> None:
@@ -171,7 +171,7 @@
 ) -> None:
     log = Noted()
     server = AllocatorServer(tmp_path / "allot", tmp_path, {"g1": Limit(100, 60_000.0)}, log)
-    good = FleetShares(tmp_path / "allot", "n0", 1, Quiet())
+    good = FleetShares(tmp_path / "allot", "n0", 1, NullLog())
     until(lambda: good.acquire(LINK), "a call of a good one")
     given_out = server.control.given_out("g1", SYSTEM.now())
     with socket.socket(socket.AF_UNIX) as peer:
@@ -214,8 +214,8 @@
 
 def test_many_free_calls_wake_the_one_that_reports_them(tmp_path: Path) -> None:
     limits = {"g1": Limit(100_000, 60_000.0, LimitMode.ADAPTIVE)}
-    server = AllocatorServer(tmp_path / "allot", tmp_path, limits, Quiet(), default_mode=LimitMode.ADAPTIVE)
-    shares = FleetShares(tmp_path / "allot", "n0", 1, Quiet())
+    server = AllocatorServer(tmp_path / "allot", tmp_path, limits, NullLog(), default_mode=LimitMode.ADAPTIVE)
+    shares = FleetShares(tmp_path / "allot", "n0", 1, NullLog())
     until(lambda: shares.acquire(LINK), "a first call")
     until(lambda: server.control.reported_calls("g1", SYSTEM.now()) >= 1, "its report")
     shares._wake = wakes = CountedEvent()
@@ -228,7 +228,7 @@
 
 
 def test_without_an_allocator_nothing_limited_is_called(tmp_path: Path) -> None:
-    alone = FleetShares(tmp_path / "none", "n0", 1, Quiet())
+    alone = FleetShares(tmp_path / "none", "n0", 1, NullLog())
     begun = time.monotonic()
     assert not alone.acquire(LINK) and not alone.acquire(FREE)  # it can't know which are limited
     assert time.monotonic() - begun < 2.0
@@ -278,7 +278,7 @@
             if path.stat().st_size > 60:
                 spoil(path)
         place.server = AllocatorServer(
-            place.path, place.folder, place.limits, Quiet(), had_predecessor=spoil is Path.unlink
+            place.path, place.folder, place.limits, NullLog(), had_predecessor=spoil is Path.unlink
         )
     until(lambda: len(callers.made) >= 35, "calls with the last one")
     callers.stop()
@@ -287,8 +287,8 @@
 
 def test_a_sender_that_is_told_of_more_limits_than_its_socket_takes_at_once_is_served(tmp_path: Path) -> None:
     limits = {f"g{n}": Limit(8, SPAN_MS) for n in range(70_000)}
-    server = AllocatorServer(tmp_path / "allot", tmp_path, limits, Quiet(), default_mode=LimitMode.ADAPTIVE)
-    sender = FleetShares(tmp_path / "allot", "n0", 1, Quiet())
+    server = AllocatorServer(tmp_path / "allot", tmp_path, limits, NullLog(), default_mode=LimitMode.ADAPTIVE)
+    sender = FleetShares(tmp_path / "allot", "n0", 1, NullLog())
     until(lambda: sender.acquire(LINK), "a call")
     sender.close()
     server.close()
@@ -296,7 +296,7 @@
 
 def test_one_that_never_reads_loses_its_connection(tmp_path: Path) -> None:
     limits = {f"g{n}": Limit(8, SPAN_MS) for n in range(70_000)}
-    server = AllocatorServer(tmp_path / "allot", tmp_path, limits, Quiet(), default_mode=LimitMode.ADAPTIVE)
+    server = AllocatorServer(tmp_path / "allot", tmp_path, limits, NullLog(), default_mode=LimitMode.ADAPTIVE)
     with socket.socket(socket.AF_UNIX) as frozen:
         frozen.connect(str(server.path))
         frozen.sendall(write(Register(PROTOCOL_VERSION, "", "frozen", 1)))
@@ -318,7 +318,7 @@
 
 def test_no_request_however_large_ends_the_allocator(tmp_path: Path) -> None:
     limits = {"g1": Limit(1 << 50, SPAN_MS)}
-    server = AllocatorServer(tmp_path / "allot", tmp_path, limits, Quiet())
+    server = AllocatorServer(tmp_path / "allot", tmp_path, limits, NullLog())
     with socket.socket(socket.AF_UNIX) as peer:
         peer.connect(str(server.path))
         peer.settimeout(5.0)
@@ -338,8 +338,8 @@
         return accept(listener)
 
     monkeypatch.setattr(socket.socket, "accept", fails_once)
-    server = AllocatorServer(tmp_path / "allot", tmp_path, {"g1": Limit(8, SPAN_MS)}, Quiet())
-    sender = FleetShares(tmp_path / "allot", "n0", 1, Quiet())
+    server = AllocatorServer(tmp_path / "allot", tmp_path, {"g1": Limit(8, SPAN_MS)}, NullLog())
+    sender = FleetShares(tmp_path / "allot", "n0", 1, NullLog())
     until(lambda: sender.acquire(LINK), "a call")
     sender.close()
     server.close()
@@ -385,8 +385,8 @@
 def test_what_a_lost_record_may_have_held_counts_for_each_successor(tmp_path: Path, damaged: bool) -> None:
     limits = {"g1": Limit(8, 60_000.0)}
     if damaged:
-        first = AllocatorServer(tmp_path / "allot", tmp_path, limits, Quiet())
-        sender = FleetShares(tmp_path / "allot", "n0", 1, Quiet())
+        first = AllocatorServer(tmp_path / "allot", tmp_path, limits, NullLog())
+        sender = FleetShares(tmp_path / "allot", "n0", 1, NullLog())
         until(lambda: sender.acquire(LINK), "a lease")
         sender.close()
         first.close()
@@ -394,7 +394,7 @@
             if path.stat().st_size > 60:
                 _flipped(path)
     for _ in range(3):  # a daemon that dies soon after its start
-        server = AllocatorServer(tmp_path / "allot", tmp_path, limits, Quiet(), had_predecessor=True)
+        server = AllocatorServer(tmp_path / "allot", tmp_path, limits, NullLog(), had_predecessor=True)
         assert server.control.given_out("g1", SYSTEM.now()) >= 8
         server.close()
     assert [name for name, _ in leased_epochs(tmp_path)] == []
@@ -417,7 +417,7 @@
 
 def test_an_allocator_that_is_closed_leaves_no_thread_that_accepts(tmp_path: Path) -> None:
     before = set(threading.enumerate())
-    server = AllocatorServer(tmp_path / "allot", tmp_path, {}, Quiet())
+    server = AllocatorServer(tmp_path / "allot", tmp_path, {}, NullLog())
     began = [one for one in set(threading.enumerate()) - before if one.name == "fleet-accept"]
     assert began
     server.close()
--- a/tests/fleet/test_border.py
+++ b/tests/fleet/test_border.py
@@ -14,14 +14,14 @@
 from springspread.fleet.plan import read_fleet
 from springspread.rollout.record import PolicyRecord
 from springspread.rollout.terms import Decided, Proposed
-from tests.fleet.test_allocator_server import Quiet
+from tests.fleet.test_allocator_server import NullLog
 from tests.peer import until
 from tests.test_config import make
 
 
 def test_limits_change_at_the_border_and_the_smaller_one_before(tmp_path: Path) -> None:
     old = {"g1": Limit(40, 2000.0), "g2": Limit(10, 1000.0), "g4": Limit(3, 1000.0)}
-    server = AllocatorServer(tmp_path / "allot", tmp_path, old, Quiet())
+    server = AllocatorServer(tmp_path / "allot", tmp_path, old, NullLog())
     allocator = server.control
     since = SYSTEM.now() + 400.0
     server.schedule_limits({"g1": Limit(8, 2000.0), "g2": Limit(100, 1000.0), "g3": Limit(5, 1000.0)}, since)
@@ -45,7 +45,7 @@
     base = make(tmp_path)
     (tmp_path / "sender.json").write_text(json.dumps(base))
     file.write_text(head + limit.format(10))
-    first = Daemon(read_fleet(file), Quiet())
+    first = Daemon(read_fleet(file), NullLog())
     first.leave()
     file.write_text(head + limit.format(100))
     raised = read_fleet(file).policy(base)
@@ -55,7 +55,7 @@
     record.append(Proposed(2, raised.digest))
     record.append(Decided(2, since))
     record.close()
-    second = Daemon(read_fleet(file), Quiet())
+    second = Daemon(read_fleet(file), NullLog())
     allocator = second._server.control
     before = allocator.limit("g1")
     assert SYSTEM.now() < since and before == Limit(10, 1000.0)
@@ -65,7 +65,7 @@
 
 
 def test_what_a_partner_told_binds_again_when_the_operators_limit_goes(tmp_path: Path) -> None:
-    server = AllocatorServer(tmp_path / "allot", tmp_path, {"g1": Limit(40, 2000.0)}, Quiet())
+    server = AllocatorServer(tmp_path / "allot", tmp_path, {"g1": Limit(40, 2000.0)}, NullLog())
     owner = server.control.register(SYSTEM.now(), Register(PROTOCOL_VERSION, "", "n000", 1))
     server.control.received(SYSTEM.now(), owner, LeaseRequest(partner_rates={"g1": 5.0}))
     assert server.control.limit("g1") == Limit(40, 2000.0)
--- a/tests/fleet/test_daemon.py
+++ b/tests/fleet/test_daemon.py
@@ -20,7 +20,7 @@
 from springspread.fleet.folder import process_start
 from springspread.fleet.orders import Refused
 from springspread.fleet.plan import read_fleet
-from tests.fleet.test_allocator_server import Quiet
+from tests.fleet.test_allocator_server import NullLog
 from tests.peer import Peer, until
 from tests.test_config import make
 
@@ -44,7 +44,7 @@
         (folder / "sender.json").write_text(json.dumps(raw))
         self.file = folder / "fleet.toml"
         self.file.write_text(TOML)
-        self.daemon = Daemon(read_fleet(self.file), Quiet())
+        self.daemon = Daemon(read_fleet(self.file), NullLog())
 
     def rows(self) -> dict[str, dict[str, Any]]:
         return {row["name"]: row for row in self.daemon.order({"do": "status"})["instances"]}
@@ -102,7 +102,7 @@
 def test_a_new_daemon_adopts_what_runs(place: Place) -> None:
     before = {name: (row["pid"], row["epoch"]) for name, row in place.rows().items()}
     place.daemon.leave()
-    place.daemon = Daemon(read_fleet(place.file), Quiet())
+    place.daemon = Daemon(read_fleet(place.file), NullLog())
     until(lambda: place.serving() == ["n000", "n001"], "both are in the fleet again")
     assert {name: (row["pid"], row["epoch"]) for name, row in place.rows().items()} == before
     assert place.hand_in("n000", "after") in (200, 202)
@@ -190,7 +190,7 @@
 
 def test_two_daemons_on_one_file_and_orders_that_are_wrong(place: Place) -> None:
     with pytest.raises(Refused, match="another daemon runs this fleet"):
-        Daemon(read_fleet(place.file), Quiet())
+        Daemon(read_fleet(place.file), NullLog())
     for order, fault in (
         ({"do": "dance"}, "no such order"),
         ([], "must be an object"),
@@ -230,7 +230,7 @@
     for name in ("fleet.toml", "sender.json"):
         text = (deploy / name).read_text().replace("first_port = 8500", "first_port = 0")
         (tmp_path / "deploy" / name).write_text(text)
-    daemon = Daemon(read_fleet(tmp_path / "deploy" / "fleet.toml"), Quiet())
+    daemon = Daemon(read_fleet(tmp_path / "deploy" / "fleet.toml"), NullLog())
 
     def all_serve() -> bool:
         rows = daemon.order({"do": "status"})["instances"]
@@ -246,6 +246,6 @@
     for name in before:
         with (place.daemon.folder / name / "log").open("ab") as log:
             log.write(b'{"event": "other"}\n' * 20_000)
-    place.daemon = Daemon(read_fleet(place.file), Quiet())
+    place.daemon = Daemon(read_fleet(place.file), NullLog())
     until(lambda: place.serving() == ["n000", "n001"], "both are in the fleet again")
     assert {name: row["listen"] for name, row in place.rows().items()} == before
--- a/tests/fleet/test_orders.py
+++ b/tests/fleet/test_orders.py
@@ -26,7 +26,7 @@
 from springspread.fleet.plan import read_fleet
 from springspread.rollout import document
 from springspread.rollout.document import MAX_POLICY_BYTES, Policy
-from tests.fleet.test_allocator_server import Quiet
+from tests.fleet.test_allocator_server import NullLog
 from tests.peer import serving, until
 from tests.test_config import make
 
@@ -48,7 +48,7 @@
         (folder / "sender.json").write_text(json.dumps(make(folder)))
         self.file = folder / "fleet.toml"
         self.file.write_text(TOML)
-        self.daemon = Daemon(read_fleet(self.file), Quiet())
+        self.daemon = Daemon(read_fleet(self.file), NullLog())
         self.control = self.daemon.folder / "control"
 
     def propose(self, limits: dict[str, Limit]) -> dict[str, Any]:
@@ -86,7 +86,7 @@
 
     until(lambda: default_mode() is LimitMode.ADAPTIVE, "unknown keys are free")
     place.daemon.leave()
-    place.daemon = Daemon(read_fleet(place.file), Quiet())
+    place.daemon = Daemon(read_fleet(place.file), NullLog())
     assert default_mode() is LimitMode.ADAPTIVE
 
 
@@ -104,7 +104,7 @@
 
 
 def test_the_rest_of_an_order_that_is_too_long_is_read_before_it_is_refused(tmp_path: Path) -> None:
-    control = ControlSocket(tmp_path / "control", lambda order: {"order": order}, Quiet(), SYSTEM)
+    control = ControlSocket(tmp_path / "control", lambda order: {"order": order}, NullLog(), SYSTEM)
     order = {"do": "propose", "policy": "x" * (MAX_ORDER_BYTES + 5_000_000), "within": 5.0}
     size = len(json.dumps(order)) + 1
     fault = f"the order has {size:,} bytes; the bound is {MAX_ORDER_BYTES:,}"
@@ -117,7 +117,7 @@
     """The reader pauses for less than the longest pause each time, and for more than it in all."""
     monkeypatch.setattr(control_module, "IDLE_S", 1.0)
     policy = "x" * 3_000_000
-    control = ControlSocket(tmp_path / "control", lambda order: {"policy": policy}, Quiet(), SYSTEM)
+    control = ControlSocket(tmp_path / "control", lambda order: {"policy": policy}, NullLog(), SYSTEM)
     answer = bytearray()
     with socket.socket(socket.AF_UNIX) as sock:
         sock.settimeout(10.0)
@@ -163,7 +163,7 @@
 ) -> None:
     monkeypatch.setattr(control_module, "MAX_ORDER_BYTES", 1000)
     monkeypatch.setattr(control_module, "MAX_DISCARDED_BYTES", 10_000)
-    control = ControlSocket(tmp_path / "control", lambda order: {}, Quiet(), SYSTEM)
+    control = ControlSocket(tmp_path / "control", lambda order: {}, NullLog(), SYSTEM)
     with socket.socket(socket.AF_UNIX) as sock:
         sock.settimeout(10.0)
         sock.connect(str(tmp_path / "control"))
@@ -265,7 +265,7 @@
     shown = send_order(place.control, {"do": "limits"})["limits"]
     assert shown == {"limits": 2, "adaptive_bound": 0, "bound": {}}
     folder = place.daemon.folder
-    shares = FleetShares(folder / "allot", "n9", 1, Quiet(), fleet=fleet_id(folder))
+    shares = FleetShares(folder / "allot", "n9", 1, NullLog(), fleet=fleet_id(folder))
     endpoint = Endpoint(1, "s-1", "127.0.0.1", 1, 7, False, 1)
 
     for _ in range(OPENING_FAILURES):
--- a/tests/fleet/test_survey.py
+++ b/tests/fleet/test_survey.py
@@ -17,7 +17,7 @@
 from springspread.fleet.members import DesiredState, Row
 from springspread.fleet.plan import read_fleet
 from springspread.fleet.survey import EPOCHS, Evidence, Running, raise_epochs, reconcile
-from tests.fleet.test_allocator_server import Quiet
+from tests.fleet.test_allocator_server import NullLog
 from tests.fleet.test_daemon import Place, place
 from tests.peer import until
 
@@ -131,7 +131,7 @@
     before = {name: (row["pid"], row["epoch"]) for name, row in place.rows().items()}
     place.daemon.leave()
     spoil(place.daemon.folder / "members.json")
-    place.daemon = Daemon(read_fleet(place.file), Quiet())
+    place.daemon = Daemon(read_fleet(place.file), NullLog())
     until(lambda: place.serving() == ["n000", "n001"], "both are in the fleet again")
     assert {name: (row["pid"], row["epoch"]) for name, row in place.rows().items()} == before
     for pid, _ in before.values():
@@ -148,7 +148,7 @@
     (folder / "members.json").unlink()
     for name in before:
         (folder / name / "config.json").unlink()
-    place.daemon = Daemon(read_fleet(place.file), Quiet())
+    place.daemon = Daemon(read_fleet(place.file), NullLog())
     until(lambda: place.serving() == ["n000", "n001"], "both serve")
     assert all(row["epoch"] > EPOCHS > before[name] for name, row in place.rows().items())
 
@@ -158,7 +158,7 @@
     path = place.daemon.folder / "members.json"
     rows = read_members(path) or ()
     write_members(path, [Row(row.name, epoch=row.epoch) for row in rows])  # as it was before their start
-    place.daemon = Daemon(read_fleet(place.file), Quiet())
+    place.daemon = Daemon(read_fleet(place.file), NullLog())
     until(lambda: place.serving() == ["n000", "n001"], "both are in the fleet again")
     assert {row["pid"] for row in place.rows().values()} == {row.pid for row in rows}
     assert len(running(place.daemon.meeting_point)) == 2
--- a/tests/rollout/test_fleet.py
+++ b/tests/rollout/test_fleet.py
@@ -18,7 +18,7 @@
 from springspread.fleet.daemon import Daemon
 from springspread.fleet.orders import Refused
 from springspread.fleet.plan import read_fleet
-from tests.fleet.test_allocator_server import Quiet
+from tests.fleet.test_allocator_server import NullLog
 from tests.fleet.test_daemon import Place
 from tests.peer import until
 
@@ -158,7 +158,7 @@
     assert answer["state"] == "pending" and "n001" in answer["fault"]
     frozen = fleet.rows()["n001"]["pid"]
     fleet.daemon.leave()
-    fleet.daemon = Daemon(read_fleet(fleet.file), Quiet())
+    fleet.daemon = Daemon(read_fleet(fleet.file), NullLog())
     assert fleet.daemon.order({"do": "outcome", "version": 2})["state"] == "refused"
     os.kill(frozen, signal.SIGCONT)
     until(lambda: fleet.all_act_under(1), "all go on under what holds")
@@ -201,12 +201,12 @@
     fleet.daemon.leave()
     log.write_bytes(old)
     with pytest.raises(Refused, match="an older copy was put back: its record ends at policy 1"):
-        Daemon(read_fleet(fleet.file), Quiet())
+        Daemon(read_fleet(fleet.file), NullLog())
     log.write_bytes(new[:40] + b"x" + new[41:])
     with pytest.raises(Refused, match="line 1 is damaged"):
-        Daemon(read_fleet(fleet.file), Quiet())
+        Daemon(read_fleet(fleet.file), NullLog())
     log.write_bytes(new + b"torn")
-    fleet.daemon = Daemon(read_fleet(fleet.file), Quiet())
+    fleet.daemon = Daemon(read_fleet(fleet.file), NullLog())
     until(lambda: fleet.all_act_under(2), "it goes on where the record ends")
 
 
--- a/tests/rollout/test_record.py
+++ b/tests/rollout/test_record.py
@@ -28,7 +28,7 @@
 )
 from springspread.rollout.record import KEPT_POLICIES, Damaged, PolicyRecord
 from springspread.rollout.terms import Begun, Decided, Proposed
-from tests.fleet.test_allocator_server import Quiet
+from tests.fleet.test_allocator_server import NullLog
 from tests.test_config import SETTINGS
 
 
@@ -95,7 +95,7 @@
     record.keep(1, policy(slots=5))
     record.append(Proposed(1, policy(slots=5).digest))
     record.close()
-    changes = Changes(tmp_path, policy(), Quiet())
+    changes = Changes(tmp_path, policy(), NullLog())
     changes.begin((), lambda owner, message: None, lambda limits, since, mode: None)
     assert changes.in_force == 2 and changes.policy(2) == policy()
     assert changes.outcome(1) == ("refused", "the daemon ended before it was decided")
--- a/tests/rollout/test_relay.py
+++ b/tests/rollout/test_relay.py
@@ -13,7 +13,7 @@
 from springspread.faults.observer import begun, mixtures
 from springspread.faults.relay import Fault, Relay, Way
 from springspread.fleet.plan import read_fleet
-from tests.fleet.test_allocator_server import Quiet
+from tests.fleet.test_allocator_server import NullLog
 from tests.peer import until
 from tests.rollout.test_fleet import TIMES, Fleet, calls_out
 
@@ -102,7 +102,7 @@
 def test_a_daemon_that_dies_is_followed_by_one_that_waits_for_rights_it_never_gave(fleet: Relayed) -> None:
     fleet.relays["n001"].put(Fault.LOSE)  # it acts on what the first daemon granted
     fleet.daemon.leave()
-    fleet.daemon = RelayedDaemon(read_fleet(fleet.file), Quiet())
+    fleet.daemon = RelayedDaemon(read_fleet(fleet.file), NullLog())
     assert fleet.propose(**calls_out(7))["state"] == "in force"
     others_act_under(fleet, 2)
     fleet.relays["n001"].cut(away=False)
@@ -140,7 +140,7 @@
     for relay in fleet.relays.values():
         relay.cut(away=False)
         relay.heal()
-    fleet.daemon = RelayedDaemon(read_fleet(fleet.file), Quiet())
+    fleet.daemon = RelayedDaemon(read_fleet(fleet.file), NullLog())
     assert fleet.propose(**calls_out(7)) == {"state": "in force", "version": 2, "fault": ""}
     settled_under(fleet, 2, fleet.relays)
     assert fleet.daemon.order({"do": "outcome", "version": 2})["state"] == "in force"
