--- a/springspread/fleet/allocator_control.py
+++ b/springspread/fleet/allocator_control.py
@@ -2,7 +2,7 @@
 
 Theory of operation. It takes messages and moments and gives leases and messages. Exact limits are always
 bound. Adaptive ones are bound by ``binding``; while they are free their calls come as use reports. Which
-keys a sender needs leases for follows from the fleet's default; ``sender_news`` has who is told what.
+keys a sender needs leases for follows from the fleet's default; ``sender_notifier`` has who is told what.
 Nothing is sent because a limit exists: the cost goes with requests, reports and changes of status.
 
 A successor learns for ``learning_ms``: senders keep the statuses that they know, and a limit that anybody
@@ -37,7 +37,7 @@
     UseReport,
     fingerprint,
 )
-from springspread.fleet.sender_news import SenderNews
+from springspread.fleet.sender_notifier import SenderNews
 
 CHECK_MS = 1_000.0  # how often a bound limit is looked at
 LEARNING_MS = FRESH_MS + REPORT_MS  # by then every sender that lives has reported or asked
--- a/springspread/fleet/binding.py
+++ b/springspread/fleet/binding.py
@@ -26,7 +26,7 @@
 
 - While bound and every sender knows: at most N in any span, as of an exact limit.
 - After a jump of demand to L calls a millisecond: senders' reports come spread over R, so the allocator knows
-  after R + D at the latest, gathers news for G (``sender_news``: GATHER_MS, after others SPACING_MS), and
+  after R + D at the latest, gathers news for G (``sender_notifier``: GATHER_MS, after others SPACING_MS), and
   senders know after another D. The exposure is R + G + 2 D, and ends in any case after
   ``lease_cache.FRESH_MS`` for a sender that the allocator does not reach. Calls of a span that touches it: at
   most N + 2 x root of N + L (R + G + 2 D), and never more than senders x ``use_ledger.MAX_UNACKNOWLEDGED``
--- a/tests/faults/test_hollow.py
+++ b/tests/faults/test_hollow.py
@@ -22,7 +22,7 @@
 from springspread.fleet.lease_cache import FRESH_MS, REPORT_MS
 from springspread.fleet.limits import LimitMode
 from springspread.fleet.messages import LeaseReport, LeaseRequest, UseReport
-from springspread.fleet.sender_news import SPACING_MS
+from springspread.fleet.sender_notifier import SPACING_MS
 from springspread.fleet.wire import write
 from springspread.rollout.document import Policy
 
--- a/tests/fleet/test_allocator_control.py
+++ b/tests/fleet/test_allocator_control.py
@@ -28,7 +28,7 @@
     fingerprint,
 )
 from springspread.fleet.outbox import Outbox
-from springspread.fleet.sender_news import GATHER_MS, SPACING_MS
+from springspread.fleet.sender_notifier import GATHER_MS, SPACING_MS
 from springspread.fleet.sender_session import SenderSession
 
 SPAN = 2_000.0
--- a/tests/fleet/test_control_rules.py
+++ b/tests/fleet/test_control_rules.py
@@ -31,7 +31,7 @@
     UseReport,
     Welcome,
 )
-from springspread.fleet.sender_news import SenderNews
+from springspread.fleet.sender_notifier import SenderNews
 from springspread.fleet.sender_session import SenderSession
 from springspread.fleet.wire import Lines, Message, write
 
--- a/tests/fleet/test_limits_review.py
+++ b/tests/fleet/test_limits_review.py
@@ -36,7 +36,7 @@
     fingerprint,
 )
 from springspread.fleet.record import LeaseRecord
-from springspread.fleet.sender_news import GATHER_MS
+from springspread.fleet.sender_notifier import GATHER_MS
 from springspread.fleet.sender_session import SenderSession
 from springspread.fleet.wire import Lines, write
 
