--- a/springspread/fleet/key_health.py
+++ b/springspread/fleet/key_health.py
@@ -20,7 +20,7 @@
 
 from dataclasses import dataclass
 
-from springspread.fleet.line_parts import COUNT_BYTES, key_bytes
+from springspread.fleet.chunking import COUNT_BYTES, key_bytes
 from springspread.fleet.messages import LINE_BYTES, MAX_KEYS
 
 OPENING_FAILURES = 3  # in a row, as many as flag a route
--- a/springspread/fleet/outbox.py
+++ b/springspread/fleet/outbox.py
@@ -6,7 +6,7 @@
 
 from msgspec.structs import replace
 
-from springspread.fleet.line_parts import parts
+from springspread.fleet.chunking import parts
 from springspread.fleet.messages import (
     MAX_KEYS,
     Fingerprint,
--- a/springspread/fleet/sender_session.py
+++ b/springspread/fleet/sender_session.py
@@ -10,9 +10,9 @@
 from collections.abc import Iterable, Mapping
 from itertools import islice, zip_longest
 
+from springspread.fleet.chunking import COUNT_BYTES, parts
 from springspread.fleet.lease_cache import LeaseCache
 from springspread.fleet.limits import Lease
-from springspread.fleet.line_parts import COUNT_BYTES, parts
 from springspread.fleet.messages import (
     MAX_KEYS,
     MAX_MS,
--- a/springspread/fleet/use_ledger.py
+++ b/springspread/fleet/use_ledger.py
@@ -12,8 +12,8 @@
 
 from msgspec.structs import replace
 
+from springspread.fleet.chunking import COUNT_BYTES, key_bytes
 from springspread.fleet.key_health import HALF_OPEN_CALLS, KeyHealth
-from springspread.fleet.line_parts import COUNT_BYTES, key_bytes
 from springspread.fleet.messages import LINE_BYTES, MAX_KEYS, UseReport
 
 MAX_UNACKNOWLEDGED = 32  # calls of one key
--- a/tests/fleet/test_key_health.py
+++ b/tests/fleet/test_key_health.py
@@ -2,9 +2,9 @@
 
 from __future__ import annotations
 
+from springspread.fleet.chunking import COUNT_BYTES
 from springspread.fleet.key_health import OPENING_FAILURES, RECOVERED_BYTES, KeyHealth
 from springspread.fleet.lease_cache import EARLY_MS, REPORT_MS, LeaseCache
-from springspread.fleet.line_parts import COUNT_BYTES
 from springspread.fleet.messages import LINE_BYTES, MAX_KEYS, KeyStatus, KeyStatuses, UseReport, Welcome
 from springspread.fleet.use_ledger import MAX_UNACKNOWLEDGED
 from springspread.fleet.wire import Lines, write
