--- a/tests/fleet/test_control_rules.py
+++ b/tests/fleet/test_allocator_stateful.py
@@ -275,7 +275,7 @@
     database=None,
     suppress_health_check=list(HealthCheck),
 )
-"""For a long search: SPRINGSPREAD_SEARCH=5000 python -m pytest tests/fleet/test_control_rules.py."""
+"""For a long search: SPRINGSPREAD_SEARCH=5000 python -m pytest tests/fleet/test_allocator_stateful.py."""
 
 PLANTED = settings(SEARCH, max_examples=500, phases=[Phase.generate])
 
--- a/tests/fleet/test_limit_change_rules.py
+++ b/tests/fleet/test_limit_change_rules.py
@@ -18,7 +18,7 @@
 from springspread.fleet.messages import KeyStatuses, LeaseGrants, Welcome
 from springspread.fleet.wire import Lines, write
 from springspread.rollout.document import Policy, lead_ms
-from tests.fleet.test_control_rules import (
+from tests.fleet.test_allocator_stateful import (
     ADAPTIVE_KEY,
     EXACT_KEY,
     KEYS,
