--- a/springspread/fleet/allocator_control.py
+++ b/springspread/fleet/allocator_control.py
@@ -37,7 +37,7 @@
     UseReport,
     fingerprint,
 )
-from springspread.fleet.sender_notifier import SenderNews
+from springspread.fleet.sender_notifier import SenderNotifier
 
 CHECK_MS = 1_000.0  # how often a bound limit is looked at
 LEARNING_MS = FRESH_MS + REPORT_MS  # by then every sender that lives has reported or asked
@@ -79,7 +79,7 @@
         self._limited_keys: dict[Fingerprint, tuple[str, ...]] = {}  # keys that have a limit
         self._checks: deque[tuple[float, str]] = deque()  # bound adaptive limits, and when to look at them
         self._checked: set[str] = set()  # their keys
-        self._news = SenderNews(default_status(default_mode))
+        self._news = SenderNotifier(default_status(default_mode))
         self._sequences: dict[str, tuple[int, int]] = {}  # epoch and sequence of the last report, by name
         self._sources = LimitSources(limits)
         self.causes: dict[Cause, int] = dict.fromkeys(Cause, 0)  # how often limits were bound, and why
@@ -118,7 +118,7 @@
         self._limited_keys[one] = tuple(other for other in self._limited_keys[one] if other != key)
         if not self._limited_keys[one]:
             del self._limited_keys[one]
-        self._allocator.unlimited(key)
+        self._allocator.remove_limit(key)
         self._bindings.pop(key, None)
         self._status_changed(key, before)
 
@@ -159,7 +159,7 @@
 
     def given_out(self, key: str, now: float) -> int:
         """How many calls of a key count against its limit now."""
-        return self._allocator.taken(now, key)
+        return self._allocator.committed(now, key)
 
     def reported_calls(self, key: str, now: float) -> int:
         """Calls of an adaptive limit that were reported for the span that ends now, and no fewer."""
@@ -218,7 +218,7 @@
         if message.fleet != self._fleet:
             raise RegisterRefused(f"it belongs to another fleet: {message.fleet or 'none'}")
         owner = (message.name, message.epoch)
-        if not self._allocator.joined(owner):
+        if not self._allocator.register(owner):
             raise RegisterRefused(f"{message.name}: a later start of it is known than {message.epoch}")
         self._news.join(owner, complete=now >= self._learning_until)
         return owner
@@ -335,7 +335,7 @@
         binding = self._bindings.get(key)
         if binding is None or not binding.bound:
             return
-        if self._allocator.waits(key):
+        if self._allocator.is_waiting(key):
             binding.contended(now)
         if binding.released(now):
             self._status_changed(key, KeyStatus.BOUND)
--- a/springspread/fleet/sender_notifier.py
+++ b/springspread/fleet/sender_notifier.py
@@ -29,7 +29,7 @@
 SPACING_MS = 250.0  # the least between two of these writes
 
 
-class SenderNews:
+class SenderNotifier:
     """The senders that are registered, what each knows, and what each is to be told."""
 
     def __init__(self, default: KeyStatus) -> None:
@@ -87,7 +87,7 @@
         if status is before and (status is not KeyStatus.BOUND or one in self._bound):
             return
         if self.default is KeyStatus.FREE:
-            self._tell_everybody(one, status)
+            self._broadcast(one, status)
             return
         for owner, known in self._informed.items():
             if one in known:
@@ -95,7 +95,7 @@
                 if status is KeyStatus.BOUND:
                     known.discard(one)
 
-    def _tell_everybody(self, one: Fingerprint, status: KeyStatus) -> None:
+    def _broadcast(self, one: Fingerprint, status: KeyStatus) -> None:
         known = one in self._bound
         if status is KeyStatus.BOUND:
             self._bound[one] = None
--- a/tests/fleet/test_allocator.py
+++ b/tests/fleet/test_allocator.py
@@ -54,14 +54,14 @@
         self.calls: deque[float] = deque()
 
     def _allocator(self) -> Allocator:
-        return Allocator(lease_ms=LEASE, want_ms=100.0)
+        return Allocator(lease_ms=LEASE, demand_ttl_ms=100.0)
 
     @rule(name=st.sampled_from("abc"))
     def starts(self, name: str) -> None:
         """Also in place of one that runs: as if that had been killed, or thought dead."""
         self.epochs += 1
         self.alive[name] = Instance((name, self.epochs))
-        assert self.allocator.joined(self.alive[name].owner)
+        assert self.allocator.register(self.alive[name].owner)
 
     @rule(name=st.sampled_from("abc"))
     def freezes_or_goes_on(self, name: str) -> None:
@@ -141,7 +141,7 @@
 
     @invariant()
     def no_more_is_out_than_the_limit(self) -> None:
-        assert self.allocator.taken(self.now, KEY) <= self.limit.calls
+        assert self.allocator.committed(self.now, KEY) <= self.limit.calls
 
 
 class Forgetful(Fleet):
@@ -281,15 +281,15 @@
     allocator.set_demand(0.0, ("n0", 1), KEY, 1)
     (lease,) = allocator.allocate(1.0)
     allocator.report(2.0, ("n1", 1), KEY, lease.serial, 0, 0.0)
-    assert allocator.taken(2.0, KEY) == 1
+    assert allocator.committed(2.0, KEY) == 1
     allocator.report(2.0, ("n0", 1), KEY, lease.serial, 0, 0.0)
-    assert allocator.taken(2.0, KEY) == 0
+    assert allocator.committed(2.0, KEY) == 0
 
 
 def test_an_older_epoch_gets_nothing() -> None:
     allocator = Allocator()
     allocator.set_limit(KEY, Limit(5, SPAN))
-    assert allocator.joined(("n0", 2)) and not allocator.joined(("n0", 1))
+    assert allocator.register(("n0", 2)) and not allocator.register(("n0", 1))
     allocator.set_demand(0.0, ("n0", 1), KEY, 3)
     assert allocator.allocate(1.0) == []
 
@@ -327,4 +327,4 @@
     allocator.set_demand(10.0, owner, KEY, 0)
     assert allocator.allocate(10_000.0) == []
     assert not allocator.waiting
-    assert allocator.states == 0
+    assert allocator.state_count == 0
--- a/tests/fleet/test_allocator_control.py
+++ b/tests/fleet/test_allocator_control.py
@@ -191,7 +191,7 @@
             control.received(now, owner, UseReport(n + 1, 0.0, {f"g{n}": 1}))
             control.grant(now, control.tick(now))
         told = [one for message in control.take_messages()[owner] for one in [message]]
-        costs.append((allocator.steps, allocator.states, len(told)))
+        costs.append((allocator.limits_examined, allocator.state_count, len(told)))
     assert costs[0] == costs[1] and costs[0][0] <= 200
 
 
--- a/tests/fleet/test_allocator_stateful.py
+++ b/tests/fleet/test_allocator_stateful.py
@@ -31,7 +31,7 @@
     UseReport,
     Welcome,
 )
-from springspread.fleet.sender_notifier import SenderNews
+from springspread.fleet.sender_notifier import SenderNotifier
 from springspread.fleet.sender_session import SenderSession
 from springspread.fleet.wire import Lines, Message, write
 
@@ -299,9 +299,9 @@
 
 
 def test_the_search_finds_statuses_that_are_not_sent(monkeypatch: pytest.MonkeyPatch) -> None:
-    def silent(self: SenderNews, one: int, status: object) -> None:
+    def silent(self: SenderNotifier, one: int, status: object) -> None:
         """Tell nobody."""
 
-    monkeypatch.setattr(SenderNews, "_tell_everybody", silent)
+    monkeypatch.setattr(SenderNotifier, "_broadcast", silent)
     with pytest.raises(AssertionError):
         run_state_machine_as_test(Fleet, settings=PLANTED)
--- a/tests/fleet/test_limits_regressions.py
+++ b/tests/fleet/test_limits_regressions.py
@@ -398,7 +398,7 @@
     owner = control.register(0.0, Register(PROTOCOL_VERSION, "fleet", "n0", 1))
     control.received(1.0, owner, UseReport(1, 0.0, {}, {"g1": 4}))
     control.received(9_000.0, owner, UseReport(2, 8_000.0, {"g1": 4}, {}))
-    assert allocator.states == 0
+    assert allocator.state_count == 0
 
 
 def test_a_limit_that_nobody_waits_for_any_more_does_not_keep_the_allocator_busy() -> None:
@@ -407,7 +407,7 @@
     allocator.set_demand(0.0, ("n0", 1), "g1", 1)
     assert allocator.allocate(0.0) != []
     allocator.set_demand(1.0, ("n1", 1), "g1", 1)  # and is not heard of again
-    assert allocator.allocate(1.0) == [] and allocator.waits("g1")
+    assert allocator.allocate(1.0) == [] and allocator.is_waiting("g1")
     allocator.allocate(2_000.0)
     assert not allocator.waiting
     allocator.set_demand(3_000.0, ("n1", 1), "g1", 1)
