--- a/springspread/fleet/binding.py
+++ b/springspread/fleet/binding.py
@@ -26,11 +26,11 @@
 
 - While bound and every sender knows: at most N in any span, as of an exact limit.
 - After a jump of demand to L calls a millisecond: senders' reports come spread over R, so the allocator knows
-  after R + D at the latest, gathers news for G (``sender_notifier``: GATHER_MS, after others SPACING_MS), and
-  senders know after another D. The exposure is R + G + 2 D, and ends in any case after
-  ``lease_cache.FRESH_MS`` for a sender that the allocator does not reach. Calls of a span that touches it: at
-  most N + 2 x root of N + L (R + G + 2 D), and never more than senders x ``use_ledger.MAX_UNACKNOWLEDGED``
-  above N + 2 x root of N, as an acknowledgement brings the status with it.
+  after R + D at the latest, gathers news for G (``sender_notifier``: GATHER_MS, after others
+  BROADCAST_INTERVAL_MS), and senders know after another D. The exposure is R + G + 2 D, and ends in any case
+  after ``lease_cache.FRESH_MS`` for a sender that the allocator does not reach. Calls of a span that touches
+  it: at most N + 2 x root of N + L (R + G + 2 D), and never more than senders x
+  ``use_ledger.MAX_UNACKNOWLEDGED`` above N + 2 x root of N, as an acknowledgement brings the status with it.
 - While free with no jump: the mean is below ``BIND_AT`` of N, and a span of N + 2 x root of N + 2 calls is a
   rare accident of its spread (measured in ``benchmarks.hollow_fleet``).
 
--- a/springspread/fleet/sender_notifier.py
+++ b/springspread/fleet/sender_notifier.py
@@ -11,8 +11,8 @@
 
 A sender's news go out in one write with whatever it is told next. News for every sender wait for more of
 them (``GATHER_MS``), as each write costs more than what it says, and follow the ones before after
-``SPACING_MS``: a binding that comes alone is told soon, and of many at once each sender gets a few writes a
-second.
+``BROADCAST_INTERVAL_MS``: a binding that comes alone is told soon, and of many at once each sender gets
+a few writes a second.
 """
 
 from __future__ import annotations
@@ -26,7 +26,7 @@
 
 GATHER_MS = {KeyStatus.BOUND: 50.0, KeyStatus.FREE: 1_000.0}
 """So long news for every sender wait for more of them, where nothing else goes out to it before."""
-SPACING_MS = 250.0  # the least between two of these writes
+BROADCAST_INTERVAL_MS = 250.0  # the least between two of these writes
 
 
 class SenderNotifier:
@@ -141,7 +141,7 @@
 
     @property
     def _gathered_until(self) -> float:
-        return max(self._gather_since + self._gather_ms, self._sent_at + SPACING_MS)
+        return max(self._gather_since + self._gather_ms, self._sent_at + BROADCAST_INTERVAL_MS)
 
     def send_gathered(self, now: float) -> None:
         """Gather no longer."""
--- a/tests/faults/test_hollow.py
+++ b/tests/faults/test_hollow.py
@@ -22,7 +22,7 @@
 from springspread.fleet.lease_cache import FRESH_MS, REPORT_MS
 from springspread.fleet.limits import LimitMode
 from springspread.fleet.messages import LeaseReport, LeaseRequest, UseReport
-from springspread.fleet.sender_notifier import SPACING_MS
+from springspread.fleet.sender_notifier import BROADCAST_INTERVAL_MS
 from springspread.fleet.wire import write
 from springspread.rollout.document import Policy
 
@@ -113,7 +113,7 @@
     fleet, spans = run(size, [jump], AT + 6_000.0)
     limit = fleet.limits[target]
     per_ms = 100.0 * float(Traffic(law, size.senders, size.seed).rates[target]) / 1_000.0
-    exposure_ms = REPORT_MS + SPACING_MS + 2.0 * longest_way_ms
+    exposure_ms = REPORT_MS + BROADCAST_INTERVAL_MS + 2.0 * longest_way_ms
     exposed = spans.fullest(SpanClass.EXPOSED, destination=target)
     assert exposed.ratio > 3.0  # the jump was a real one
     assert exposed.ratio * limit.calls <= limit.tolerated + per_ms * exposure_ms
--- a/tests/fleet/test_allocator_control.py
+++ b/tests/fleet/test_allocator_control.py
@@ -28,7 +28,7 @@
     fingerprint,
 )
 from springspread.fleet.outbox import Outbox
-from springspread.fleet.sender_notifier import GATHER_MS, SPACING_MS
+from springspread.fleet.sender_notifier import BROADCAST_INTERVAL_MS, GATHER_MS
 from springspread.fleet.sender_session import SenderSession
 
 SPAN = 2_000.0
@@ -435,7 +435,9 @@
         if owners[1] in control.take_messages():
             told.append(float(now))
     assert told[0] == 10.0 + GATHER_MS[KeyStatus.BOUND]
-    assert [later - at for at, later in pairwise(told)] == [SPACING_MS] * (len(told) - 1) and len(told) == 4
+    assert [later - at for at, later in pairwise(told)] == [BROADCAST_INTERVAL_MS] * (len(told) - 1) and len(
+        told
+    ) == 4
 
 
 def test_an_acknowledgement_goes_behind_every_status_that_was_told_before_it() -> None:
