--- a/benchmarks/capacity/mechanism.py
+++ b/benchmarks/capacity/mechanism.py
@@ -38,7 +38,7 @@
     UseReport,
 )
 from springspread.fleet.record import LeaseRecord
-from springspread.fleet.wire import Lines, Unreadable, write
+from springspread.fleet.wire import Lines, Unreadable, encode
 from springspread.logs import make_log
 
 CALLS, SPAN_MS = 200, 2_000.0  # far above the demand of any measurement: nothing waits for it
@@ -90,7 +90,7 @@
 
     def _said(self) -> bytes:
         told = self._control.take_messages()
-        return b"".join(write(message) for messages in told.values() for message in messages)
+        return b"".join(encode(message) for messages in told.values() for message in messages)
 
     def join(self) -> bytes:
         """The sender begins anew; what it is sent."""
@@ -150,24 +150,24 @@
 
 def request_line(wants: int) -> bytes:
     """What a sender sends that waits for one call to each of so many destinations."""
-    return write(LeaseRequest(dict.fromkeys(keys(wants), 1)))
+    return encode(LeaseRequest(dict.fromkeys(keys(wants), 1)))
 
 
 def report_line(reports: int) -> bytes:
     """What a sender sends that is done with so many leases."""
     made = (LeaseReport(key, 1_000_000 + n, 1, 1_234_567.891) for n, key in enumerate(keys(reports)))
-    return write(LeaseRequest({}, tuple(made)))
+    return encode(LeaseRequest({}, tuple(made)))
 
 
 def use_line(used: int) -> bytes:
     """What a sender sends that made a call to each of so many destinations without a lease."""
-    return write(UseReport(1_000, 12.5, dict.fromkeys(keys(used), 1)))
+    return encode(UseReport(1_000, 12.5, dict.fromkeys(keys(used), 1)))
 
 
 def lease_lines(leases: int) -> bytes:
     """What the allocator sends for so many leases of one tick."""
     made = (GrantedLease(key, 1_000_000 + n, 1, 1_234_567.891, 100.0) for n, key in enumerate(keys(leases)))
-    return write(LeaseGrants(tuple(made)))
+    return encode(LeaseGrants(tuple(made)))
 
 
 def join_lines(limits: int) -> bytes:
@@ -354,7 +354,7 @@
         for who in owners(joiners):
             sock = socket.socket(socket.AF_UNIX)
             sock.connect(str(Path(name) / "allot"))
-            sock.sendall(write(_hello(who)))
+            sock.sendall(encode(_hello(who)))
             selector.register(sock, EVENT_READ, (sock, Lines()))
         while heard + refused < joiners and time.monotonic() < begun + 60.0:
             for item, _ in selector.select(0.1):
@@ -378,9 +378,9 @@
     with tempfile.TemporaryDirectory() as name, serving(limits, Path(name)):
         sock = socket.socket(socket.AF_UNIX)
         sock.connect(str(Path(name) / "allot"))
-        sock.sendall(write(_hello(ALONE)))
+        sock.sendall(encode(_hello(ALONE)))
         _read_line(sock)
-        line, last = report_line(reports) if reports else write(LeaseRequest()), write(UseReport(1))
+        line, last = report_line(reports) if reports else encode(LeaseRequest()), encode(UseReport(1))
         cpu = time.process_time()
         for _ in range(requests):
             sock.sendall(line)
--- a/benchmarks/policy_virtual.py
+++ b/benchmarks/policy_virtual.py
@@ -17,7 +17,7 @@
 
 from benchmarks.tables import tell, write_table
 from springspread.faults.virtual import Costs, Virtual
-from springspread.fleet.wire import write
+from springspread.fleet.wire import encode
 from springspread.rollout.document import Policy
 from springspread.rollout.terms import Grant
 
@@ -30,7 +30,7 @@
     grant = Grant((1, 2), 3, 123456.789, 234567.891)
     start = time.perf_counter()
     for _ in range(20_000):
-        write(grant)
+        encode(grant)
     return (time.perf_counter() - start) / 20.0
 
 
--- a/springspread/faults/hollow/allocator.py
+++ b/springspread/faults/hollow/allocator.py
@@ -27,7 +27,7 @@
     Register,
     UseReport,
 )
-from springspread.fleet.wire import write
+from springspread.fleet.wire import encode
 
 FLEET = "hollow"
 OBSERVER = Register(PROTOCOL_VERSION, FLEET, "observer", 0)  # is told of statuses, at no modelled cost
@@ -132,7 +132,7 @@
         self.control.grant(clock, leases)
         outgoing = self.control.take_messages()
         observed = outgoing.pop(self._observer, [])
-        written = [(owner, b"".join(map(write, messages))) for owner, messages in outgoing.items()]
+        written = [(owner, b"".join(map(encode, messages))) for owner, messages in outgoing.items()]
         self.meter.cpu_ns += perf_counter_ns() - begun
         for owner, data in written:
             if (connection := self._by_owner.get(owner)) is not None:
--- a/springspread/faults/hollow/policy.py
+++ b/springspread/faults/hollow/policy.py
@@ -20,7 +20,7 @@
 from springspread.fleet.limits import Owner
 from springspread.fleet.messages import PROTOCOL_VERSION, Register
 from springspread.fleet.policy_participant import REPORT_INTERVAL_MS
-from springspread.fleet.wire import Document, Message, write
+from springspread.fleet.wire import Document, Message, encode
 from springspread.rollout import coordinator, participant
 from springspread.rollout.coordinator import Coordinator, History, Step, Times
 from springspread.rollout.document import Policy
@@ -116,7 +116,7 @@
             messages = [Document(number, self._policy.text), message]
         for one in messages:
             begun = perf_counter_ns()
-            data = write(one)
+            data = encode(one)
             self.meter.cpu_ns += perf_counter_ns() - begun
             self.meter.sent.add(1, len(data))
             connection.send_down(data)
@@ -152,7 +152,7 @@
     def _write(self, connection: Connection, message: Message) -> None:
         meter = self._meter
         begun = perf_counter_ns()
-        data = write(message)
+        data = encode(message)
         meter.cpu_ns += perf_counter_ns() - begun
         meter.sent.add(1, len(data))
         connection.send_up(data)
--- a/springspread/faults/hollow/sender.py
+++ b/springspread/faults/hollow/sender.py
@@ -23,7 +23,7 @@
 from springspread.fleet.lease_cache import LeaseCache
 from springspread.fleet.messages import KeyStatuses, LeaseGrants, Welcome
 from springspread.fleet.sender_session import POLL_MS, SenderSession
-from springspread.fleet.wire import write
+from springspread.fleet.wire import encode
 
 
 @dataclass(slots=True, eq=False)
@@ -72,7 +72,7 @@
         queue, meter = self.sender.queue, self.sender.meter
         begun = perf_counter_ns()
         messages = self.session.connected(queue.clock)
-        data = b"".join(map(write, messages))
+        data = b"".join(map(encode, messages))
         meter.cpu_ns += perf_counter_ns() - begun
         meter.sent.add(len(messages), len(data))
         self.sender.lines_pass(Way.UP, data)
@@ -106,7 +106,7 @@
         clock, meter = sender.queue.clock, sender.meter
         begun = perf_counter_ns()
         due = self.session.due(clock)
-        data = b"".join(map(write, due))
+        data = b"".join(map(encode, due))
         wait_ms = self.session.wait_ms(clock)
         meter.cpu_ns += perf_counter_ns() - begun
         if due:
--- a/springspread/faults/virtual.py
+++ b/springspread/faults/virtual.py
@@ -15,7 +15,7 @@
 
 from springspread.fleet.change import LOOK_MS
 from springspread.fleet.policy_participant import REPORT_INTERVAL_MS
-from springspread.fleet.wire import Document, Lines, Message, write
+from springspread.fleet.wire import Document, Lines, Message, encode
 from springspread.rollout import coordinator, participant
 from springspread.rollout.coordinator import Coordinator, History, Step, Times
 from springspread.rollout.document import Policy
@@ -113,7 +113,7 @@
         self._after(REPORT_INTERVAL_MS, partial(self._say, owner))
 
     def _count(self, message: Message) -> Message:
-        line = write(message)
+        line = encode(message)
         self.said.lines += 1
         self.said.bytes += len(line)
         return Lines().feed(line)[0]
--- a/springspread/fleet/allocator_server.py
+++ b/springspread/fleet/allocator_server.py
@@ -22,7 +22,7 @@
 from springspread.fleet.limits import PARTNER_SPAN_MS, Limit, LimitMode, Owner
 from springspread.fleet.messages import LeaseRequest, Register, UseReport
 from springspread.fleet.record import LeaseRecord
-from springspread.fleet.wire import Fit, Lines, Message, Returning, Unreadable, write
+from springspread.fleet.wire import Fit, Lines, Message, Returning, Unreadable, encode
 from springspread.net.threads import spawn
 from springspread.rollout.terms import Acting, Vote
 
@@ -249,7 +249,7 @@
         now = self._clock.now()
         if not member.unsent:
             member.sent_at = now
-        member.unsent += b"".join(map(write, messages))
+        member.unsent += b"".join(map(encode, messages))
         self._send_rest(member, now)
 
     def _send_rest(self, member: Member, now: float) -> None:
--- a/springspread/fleet/client.py
+++ b/springspread/fleet/client.py
@@ -26,7 +26,7 @@
 from springspread.fleet.messages import MAX_KEY_CHARS, KeyStatuses, LeaseGrants, Welcome
 from springspread.fleet.policy_participant import PolicyParticipant
 from springspread.fleet.sender_session import POLL_MS, SenderSession
-from springspread.fleet.wire import Lines, Message, PolicyMessage, Returning, Unreadable, write
+from springspread.fleet.wire import Lines, Message, PolicyMessage, Returning, Unreadable, encode
 from springspread.net.threads import spawn
 
 RECONNECT_MS = 100.0
@@ -181,7 +181,7 @@
     def _use_connection(self, sock: socket.socket) -> None:
         """Read and write until the connection ends; its reader has ended, too, when this returns."""
         self._participant.connected()
-        sock.sendall(b"".join(map(write, self._session.connected(self._clock.now()))))
+        sock.sendall(b"".join(map(encode, self._session.connected(self._clock.now()))))
         ended = threading.Event()
         reader = spawn("fleet-reader", partial(self._read, sock, ended), self._log, vital=False)
         try:
@@ -205,7 +205,7 @@
                 due.append(report)
             due += self._session.due(now)
             if due:
-                sock.sendall(b"".join(map(write, due)))
+                sock.sendall(b"".join(map(encode, due)))
             self._wake.wait(min(self._session.wait_ms(now), self._participant.advance(now)) / 1000.0)
             self._wake.clear()
 
--- a/springspread/fleet/wire.py
+++ b/springspread/fleet/wire.py
@@ -75,7 +75,7 @@
 _ENCODER = msgspec.json.Encoder()
 
 
-def write(message: Message) -> bytes:
+def encode(message: Message) -> bytes:
     """As a line."""
     if isinstance(message, LimitMessage):
         return _ENCODER.encode(message) + b"\n"
--- a/tests/faults/test_hollow.py
+++ b/tests/faults/test_hollow.py
@@ -23,7 +23,7 @@
 from springspread.fleet.limits import LimitMode
 from springspread.fleet.messages import LeaseReport, LeaseRequest, UseReport
 from springspread.fleet.sender_notifier import BROADCAST_INTERVAL_MS
-from springspread.fleet.wire import write
+from springspread.fleet.wire import encode
 from springspread.rollout.document import Policy
 
 POLICY = Policy(json.loads(Path("deploy/sender.json").read_text())["settings"], {})
@@ -246,7 +246,7 @@
     ],
 )
 def test_lines_beside_real_instances_are_told_by_kind(message: LeaseRequest | UseReport, kind: str) -> None:
-    assert kind_of(write(message)) == kind
+    assert kind_of(encode(message)) == kind
 
 
 def test_a_success_that_a_hollow_sender_is_told_of_ends_its_row_of_failures() -> None:
--- a/tests/fleet/test_allocator_server.py
+++ b/tests/fleet/test_allocator_server.py
@@ -30,7 +30,7 @@
 )
 from springspread.fleet.record import leased_epochs
 from springspread.fleet.use_ledger import EARLY_CALLS
-from springspread.fleet.wire import LINE_BYTES, Question, write
+from springspread.fleet.wire import LINE_BYTES, Question, encode
 from springspread.rollout.terms import Grant
 from tests.peer import until
 
@@ -131,10 +131,10 @@
 def test_one_that_does_not_read_holds_nobody_up(place: Place) -> None:
     with socket.socket(socket.AF_UNIX) as frozen:
         frozen.connect(str(place.path))
-        frozen.sendall(write(Register(PROTOCOL_VERSION, "", "frozen", 1)))
+        frozen.sendall(encode(Register(PROTOCOL_VERSION, "", "frozen", 1)))
         until(lambda: place.server.members == [("frozen", 1)], "its hello")
         for _ in range(200):
-            frozen.sendall(write(LeaseRequest({"g1": 1})))
+            frozen.sendall(encode(LeaseRequest({"g1": 1})))
         callers = Callers([place.join("n0")])
         until(lambda: len(callers.made) >= 8, "calls of another")
         callers.stop()
@@ -152,14 +152,14 @@
 
 BAD_PEERS = {
     "a line that is too long": (b"[" + b"1" * (LINE_BYTES + 10), "a line of more than"),
-    "a line that is torn": (write(Register(PROTOCOL_VERSION, "", "n1", 1))[:-9] + b"\n", "not a message"),
-    "an unknown version": (write(Register(9, "", "n1", 1)), "protocol version 9, this is 2"),
+    "a line that is torn": (encode(Register(PROTOCOL_VERSION, "", "n1", 1))[:-9] + b"\n", "not a message"),
+    "an unknown version": (encode(Register(9, "", "n1", 1)), "protocol version 9, this is 2"),
     "the version before": (b'{"kind":"hello","name":"n1","epoch":1}\n', "of protocol version 1"),
-    "another fleet": (write(Register(PROTOCOL_VERSION, "other", "n1", 1)), "another fleet: other"),
-    "an older start": (write(Register(PROTOCOL_VERSION, "", "n0", 0)), "n0: a later start of it is known"),
-    "a request before it registers": (write(LeaseRequest({"g1": 1})), "not expected before it registers"),
+    "another fleet": (encode(Register(PROTOCOL_VERSION, "other", "n1", 1)), "another fleet: other"),
+    "an older start": (encode(Register(PROTOCOL_VERSION, "", "n0", 0)), "n0: a later start of it is known"),
+    "a request before it registers": (encode(LeaseRequest({"g1": 1})), "not expected before it registers"),
     "what only an allocator says": (
-        write(Register(PROTOCOL_VERSION, "", "n1", 1)) + write(Welcome(KeyStatus.FREE, True)),
+        encode(Register(PROTOCOL_VERSION, "", "n1", 1)) + encode(Welcome(KeyStatus.FREE, True)),
         "not expected: Welcome",
     ),
 }
@@ -193,11 +193,11 @@
     until(lambda: owner.acquire(LINK), "a lease")
     with socket.socket(socket.AF_UNIX) as peer:
         peer.connect(str(place.path))
-        peer.sendall(write(Register(PROTOCOL_VERSION, "", "n1", 1)))
+        peer.sendall(encode(Register(PROTOCOL_VERSION, "", "n1", 1)))
         before = place.server.control.given_out("g1", SYSTEM.now())
         reports = tuple(LeaseReport("g1", serial, 0, 0.0) for serial in range(1, 50))
-        peer.sendall(write(LeaseRequest({}, reports)))
-        peer.sendall(write(LeaseRequest({"g1": 1})))
+        peer.sendall(encode(LeaseRequest({}, reports)))
+        peer.sendall(encode(LeaseRequest({"g1": 1})))
         until(lambda: b'[6,[["g1"' in peer.recv(65536), "the answer to what came after")
     assert place.server.control.given_out("g1", SYSTEM.now()) >= before
 
@@ -299,7 +299,7 @@
     server = AllocatorServer(tmp_path / "allot", tmp_path, limits, NullLog(), default_mode=LimitMode.ADAPTIVE)
     with socket.socket(socket.AF_UNIX) as frozen:
         frozen.connect(str(server.path))
-        frozen.sendall(write(Register(PROTOCOL_VERSION, "", "frozen", 1)))
+        frozen.sendall(encode(Register(PROTOCOL_VERSION, "", "frozen", 1)))
         until(lambda: server.members == [("frozen", 1)], "its hello")
         until(lambda: server.members == [], "its end")
     server.close()
@@ -309,8 +309,8 @@
     with socket.socket(socket.AF_UNIX) as peer:
         peer.connect(str(place.path))
         peer.settimeout(5.0)
-        peer.sendall(write(Register(PROTOCOL_VERSION, "", "n1", 1)))
-        peer.sendall(write(Register(PROTOCOL_VERSION, "", "n2", 1)))
+        peer.sendall(encode(Register(PROTOCOL_VERSION, "", "n1", 1)))
+        peer.sendall(encode(Register(PROTOCOL_VERSION, "", "n2", 1)))
         while peer.recv(65536):
             pass
     until(lambda: place.server.members == [], "the end of both names")
@@ -322,8 +322,8 @@
     with socket.socket(socket.AF_UNIX) as peer:
         peer.connect(str(server.path))
         peer.settimeout(5.0)
-        peer.sendall(write(Register(PROTOCOL_VERSION, "", "n1", 1)))
-        peer.sendall(write(LeaseRequest({"g1": 1 << 61}, (), {"g2": 1e17})))
+        peer.sendall(encode(Register(PROTOCOL_VERSION, "", "n1", 1)))
+        peer.sendall(encode(LeaseRequest({"g1": 1 << 61}, (), {"g2": 1e17})))
         until(lambda: b'[6,[["g1"' in peer.recv(65536), "a lease")
     server.close()
 
@@ -349,8 +349,8 @@
     with socket.socket(socket.AF_UNIX) as peer:
         peer.connect(str(place.path))
         peer.settimeout(5.0)
-        peer.sendall(write(Register(PROTOCOL_VERSION, "", "n1", 1)))
-        peer.sendall(write(LeaseRequest({f"g{n}": 0 for n in range(2, 60)})))
+        peer.sendall(encode(Register(PROTOCOL_VERSION, "", "n1", 1)))
+        peer.sendall(encode(LeaseRequest({f"g{n}": 0 for n in range(2, 60)})))
         lines = peer.makefile("rb")
         known = 0
         while known < 58:
@@ -406,12 +406,12 @@
         for peer, of in ((earlier, 1), (later, epoch)):
             peer.settimeout(5.0)
             peer.connect(str(place.path))
-            peer.sendall(write(Register(PROTOCOL_VERSION, "", "n1", of)))
+            peer.sendall(encode(Register(PROTOCOL_VERSION, "", "n1", of)))
             assert peer.recv(65536)  # its welcome
         while earlier.recv(65536):
             pass  # it would be told of no limit that comes
         until(lambda: place.server.members == [("n1", epoch)], "the later one alone")
-        later.sendall(write(LeaseRequest({"g1": 1})))
+        later.sendall(encode(LeaseRequest({"g1": 1})))
         until(lambda: b'[6,[["g1"' in later.recv(65536), "a lease")
 
 
--- a/tests/fleet/test_allocator_stateful.py
+++ b/tests/fleet/test_allocator_stateful.py
@@ -33,7 +33,7 @@
 )
 from springspread.fleet.sender_notifier import SenderNotifier
 from springspread.fleet.sender_session import SenderSession
-from springspread.fleet.wire import Lines, Message, write
+from springspread.fleet.wire import Lines, Message, encode
 
 SPAN = 200.0
 LEASE = 40.0
@@ -131,7 +131,7 @@
             self.connections.append(sender.connection)
             due += sender.session.connected(self.now)
         due += sender.session.due(self.now)
-        sender.connection.up.extend((self.now, write(message)) for message in due)
+        sender.connection.up.extend((self.now, encode(message)) for message in due)
 
     @rule(name=NAMES, lines=st.integers(1, 4))
     def allocator_reads(self, name: str, lines: int) -> None:
@@ -165,7 +165,7 @@
         for owner, messages in self.control.take_messages().items():
             for connection in self.connections:
                 if connection.owner == owner:
-                    connection.down.extend(map(write, messages))
+                    connection.down.extend(map(encode, messages))
 
     @rule(name=NAMES, lines=st.integers(1, 4))
     def sender_reads(self, name: str, lines: int) -> None:
--- a/tests/fleet/test_key_health.py
+++ b/tests/fleet/test_key_health.py
@@ -7,7 +7,7 @@
 from springspread.fleet.lease_cache import EARLY_MS, REPORT_MS, LeaseCache
 from springspread.fleet.messages import LINE_BYTES, MAX_KEYS, KeyStatus, KeyStatuses, UseReport, Welcome
 from springspread.fleet.use_ledger import MAX_UNACKNOWLEDGED
-from springspread.fleet.wire import Lines, write
+from springspread.fleet.wire import Lines, encode
 
 KEY = "g1"
 
@@ -139,6 +139,6 @@
         cache.served(key)
     report = cache.use_report(1.0)
     assert report is not None and report.calls and report.failed and report.recovered
-    line = write(report)
+    line = encode(report)
     assert LINE_BYTES // 2 < len(line) <= LINE_BYTES
     assert Lines().feed(line) == [report]
--- a/tests/fleet/test_limit_change_stateful.py
+++ b/tests/fleet/test_limit_change_stateful.py
@@ -16,7 +16,7 @@
 from springspread.fleet.allocator_control import AllocatorControl
 from springspread.fleet.limits import Limit, LimitMode
 from springspread.fleet.messages import KeyStatuses, LeaseGrants, Welcome
-from springspread.fleet.wire import Lines, write
+from springspread.fleet.wire import Lines, encode
 from springspread.rollout.document import Policy, lead_ms
 from tests.fleet.test_allocator_stateful import (
     ADAPTIVE_KEY,
@@ -86,7 +86,7 @@
         for owner, messages in self.control.take_messages().items():
             for connection in self.connections:
                 if connection.owner == owner:
-                    connection.down.extend(self._line(write(message)) for message in messages)
+                    connection.down.extend(self._line(encode(message)) for message in messages)
 
     @rule()
     def ticks(self) -> None:
--- a/tests/fleet/test_limits_regressions.py
+++ b/tests/fleet/test_limits_regressions.py
@@ -38,7 +38,7 @@
 from springspread.fleet.record import LeaseRecord
 from springspread.fleet.sender_notifier import GATHER_MS
 from springspread.fleet.sender_session import SenderSession
-from springspread.fleet.wire import Lines, write
+from springspread.fleet.wire import Lines, encode
 
 SPAN = 2_000.0
 EXACT, ADAPTIVE = LimitMode.EXACT, LimitMode.ADAPTIVE
@@ -188,7 +188,7 @@
         pair.cache.take(key, 1.0)
     pair.cache.take("g" + "9" * 20, 1.0)
     requests = [one for one in pair.session.due(2.0) if isinstance(one, LeaseRequest)]
-    heard = [message for one in requests for message in Lines().feed(write(one))]
+    heard = [message for one in requests for message in Lines().feed(encode(one))]
     assert heard == requests
     assert {key for one in requests for key in one.demands} == {*keys, "g" + "9" * 20}
 
@@ -204,7 +204,7 @@
     for key in keys:
         pair.cache.take(key, 1.0)
     messages = pair.session.due(2.0)
-    assert [message for one in messages for message in Lines().feed(write(one))] == messages
+    assert [message for one in messages for message in Lines().feed(encode(one))] == messages
     assert {key for one in messages if isinstance(one, LeaseRequest) for key in one.partner_rates} == {*keys}
 
 
@@ -429,7 +429,7 @@
     assert len(keys) == 3
     for key in keys:
         request = LeaseRequest({key: 1})
-        assert Lines().feed(write(request)) == [request]
+        assert Lines().feed(encode(request)) == [request]
     assert key_of(Endpoint(1, "x" * 190, "h", 1, 7, True, 1)) == "r7/" + "x" * 190
 
 
--- a/tests/fleet/test_wire.py
+++ b/tests/fleet/test_wire.py
@@ -23,7 +23,7 @@
     Welcome,
 )
 from springspread.fleet.record import FILE_BYTES, LeaseRecord
-from springspread.fleet.wire import Document, Lines, Message, Unreadable, write
+from springspread.fleet.wire import Document, Lines, Message, Unreadable, encode
 
 MESSAGES: list[Message] = [
     Register(PROTOCOL_VERSION, "fleet", "n001", 7),
@@ -39,7 +39,7 @@
 @given(cuts=st.lists(st.integers(0, 400), max_size=8))
 @settings(max_examples=100, deadline=None, derandomize=True, database=None)
 def test_messages_are_read_however_their_bytes_are_cut(cuts: list[int]) -> None:
-    data = b"".join(map(write, MESSAGES))
+    data = b"".join(map(encode, MESSAGES))
     lines, received, at = Lines(), [], 0
     for cut in [*sorted(cuts), len(data)]:
         received += lines.feed(data[at:cut])
