--- a/springspread/fleet/allocator_control.py
+++ b/springspread/fleet/allocator_control.py
@@ -101,7 +101,7 @@
         if limit.mode is LimitMode.EXACT:
             self._bindings.pop(key, None)
         elif known is not None and known.mode is LimitMode.ADAPTIVE:
-            self._note(now, key, self._binding(key, known).changed(now, limit))
+            self._note(now, key, self._binding(key, known).change_limit(now, limit))
         self._status_changed(key, before)
 
     def _count_as_used(self, now: float, key: str, limit: Limit) -> None:
@@ -241,7 +241,7 @@
             self._allocator.report(now, owner, report.key, report.serial, report.made, report.last_at)
             binding = self._bindings.get(report.key)
             if binding is not None and report.made:
-                self._note(now, report.key, binding.used(now, report.made))
+                self._note(now, report.key, binding.record_calls(now, report.made))
         for key, per_s in message.partner_rates.items():
             if per_s > 0:
                 limit = Limit.of_rate(per_s, PARTNER_SPAN_MS, self._default_mode)
@@ -287,7 +287,7 @@
             binding = self._binding(key, limit)
         if binding.bound:
             self._allocator.count_unleased(now, key, calls, made_at)
-        self._note(now, key, binding.used(now, calls, failed))
+        self._note(now, key, binding.record_calls(now, calls, failed))
 
     def _recovered(self, now: float, key: str) -> None:
         limit = self._allocator.limit(key)
@@ -336,8 +336,8 @@
         if binding is None or not binding.bound:
             return
         if self._allocator.is_waiting(key):
-            binding.contended(now)
-        if binding.released(now):
+            binding.record_contention(now)
+        if binding.try_release(now):
             self._status_changed(key, KeyStatus.BOUND)
         else:
             self._check_later(now, key)
--- a/springspread/fleet/destination_health.py
+++ b/springspread/fleet/destination_health.py
@@ -1,13 +1,12 @@
-"""Whether a destination fails, by what senders report of their calls to it. No I/O; times are milliseconds.
+"""Detects from senders' reports whether a destination is failing. No I/O; times are milliseconds.
 
-    state     event                                                                       next
-    serving   ``FAILING_CALLS`` or more failed in a span, and half of its calls           failing
-    any       a sender that had only failures says that it was served                     serving: it is back
-    failing   since it fails, ``FAILING_CALLS`` calls lately, fewer than half of them     serving: it is back
-              failed
+    state     event                                                                  next
+    serving   at least ``FAILING_CALLS`` and half of the calls in a span failed      failing
+    any       a sender that had only failures reports a success                      serving (recovered)
+    failing   ``FAILING_CALLS`` calls since then, fewer than half of them failed     serving (recovered)
 
-The second way back is for destinations that nobody called often enough to have only failures; it looks at
-several spans, as a call is reported before its failure is known.
+The last transition covers destinations that no sender calls often enough to see only failures. It looks at
+several spans, because a call is reported before its failure is known.
 """
 
 from __future__ import annotations
@@ -15,7 +14,7 @@
 from springspread.fleet.demand import SMOOTHING_SPANS, DemandEstimate
 
 FAILING_CALLS = 3
-FAILING_PART = 0.5
+FAILING_FRACTION = 0.5
 
 
 class DestinationHealth:
@@ -27,35 +26,35 @@
         self._span_ms = span_ms
         self.failing = False
         self._failures = DemandEstimate(span_ms)
-        self._calls = DemandEstimate(span_ms)  # since it fails
+        self._calls = DemandEstimate(span_ms)  # since it began to fail
 
-    def used(self, now: float, calls: int, failed: int, recent_calls: float) -> bool:
-        """Calls and failures are reported; whether the destination is back.
+    def record(self, now: float, calls: int, failed: int, recent_calls: float) -> bool:
+        """Record reported calls and failures; whether the destination has recovered.
 
-        ``recent_calls``: of the span that ends now.
+        ``recent_calls``: the calls in the span that ends now.
         """
         self._failures.add(now, failed)
         if self.failing:
             self._calls.add(now, calls)
-            return self._serves_again(now)
+            return self._has_recovered(now)
         recent = self._failures.recent(now)
-        if recent >= FAILING_CALLS and recent >= FAILING_PART * recent_calls:
+        if recent >= FAILING_CALLS and recent >= FAILING_FRACTION * recent_calls:
             self.failing = True
-            self._forget()
+            self._reset()
         return False
 
-    def recovered(self) -> None:
-        """A sender was served after failures alone."""
+    def record_recovery(self) -> None:
+        """Record that a sender had a success after only failures."""
         self.failing = False
-        self._forget()
+        self._reset()
 
-    def _serves_again(self, now: float) -> bool:
+    def _has_recovered(self, now: float) -> bool:
         calls = SMOOTHING_SPANS * self._calls.smoothed(now)
         failed = SMOOTHING_SPANS * self._failures.smoothed(now)
-        if calls < FAILING_CALLS or failed >= FAILING_PART * calls:
+        if calls < FAILING_CALLS or failed >= FAILING_FRACTION * calls:
             return False
-        self.recovered()
+        self.record_recovery()
         return True
 
-    def _forget(self) -> None:
+    def _reset(self) -> None:
         self._failures, self._calls = DemandEstimate(self._span_ms), DemandEstimate(self._span_ms)
--- a/springspread/fleet/key_health.py
+++ b/springspread/fleet/key_health.py
@@ -1,19 +1,17 @@
-"""Which keys a sender found failing, and how many free calls of them it makes at a time. No I/O, no clock.
+"""A circuit breaker per key, which limits a sender's free calls to failing destinations. No I/O, no clock.
 
-A circuit breaker for each key, as one sender sees it:
+    state       event                            next
+    closed      ``OPENING_FAILURES`` in a row    half-open
+    half-open   a call succeeds                  recovered; the next report says so
+    recovered   that report is acknowledged      closed
+    recovered   a call fails                     half-open
 
-    state       event                                              next
-    closed      ``OPENING_FAILURES`` in a row                      half-open
-    half-open   a call is served                                   recovered; the next report says so
-    recovered   that report is acknowledged                        closed
-    recovered   a call fails                                       half-open
+A key that is not closed has at most ``HALF_OPEN_CALLS`` unacknowledged calls. Otherwise every sender would
+send all its waiting messages at once when a destination recovers. Instead each tries one call, and the
+acknowledgement of its success carries the allocator's current status of the key (``binding``).
 
-A key that is not closed has at most ``HALF_OPEN_CALLS`` unacknowledged calls. When a destination returns,
-every sender with messages for it would send them at once; so it tries one, and the acknowledgement of its
-success brings the allocator's status of the key with it (``binding``).
-
-Two events that can cross: a call succeeds while the report of an earlier success is on its way, and a call
-fails meanwhile. The failure opens the key again, and only the report of a later success closes it.
+Race: a call may fail while the report of an earlier success is on its way. The failure reopens the key, and
+only the report of a later success closes it.
 """
 
 from __future__ import annotations
@@ -23,55 +21,55 @@
 from springspread.fleet.chunking import COUNT_BYTES, key_bytes
 from springspread.fleet.messages import LINE_BYTES, MAX_KEYS
 
-OPENING_FAILURES = 3  # in a row, as many as flag a route
+OPENING_FAILURES = 3  # in a row; as many as flag a route
 HALF_OPEN_CALLS = 1
-RECOVERED_BYTES = LINE_BYTES // 16  # the keys of one report
+RECOVERED_BYTES = LINE_BYTES // 16  # for the recovered keys in one report
 
 
 @dataclass(slots=True)
 class KeyState:
-    """One key whose last call failed, or that is not closed again yet."""
+    """A key whose last call failed, or whose breaker is not closed yet."""
 
     failures: int = 0  # in a row
     recovered: bool = False
-    reported_in: int = 0  # the sequence of the report that says that it recovered; 0: none yet
+    reported_in: int = 0  # sequence of the report of its recovery; 0: not reported
 
     @property
     def half_open(self) -> bool:
-        """Whether its calls are limited."""
+        """Whether its unacknowledged calls are limited."""
         return self.failures >= OPENING_FAILURES
 
 
 class KeyHealth:
-    """The keys of one sender; of very many that fail, the latest."""
+    """The breakers of one sender's failing keys, of at most ``MAX_KEYS`` of them."""
 
     def __init__(self) -> None:
         self._states: dict[str, KeyState] = {}
         self._recovered: dict[str, None] = {}  # to be reported
 
     def limits(self, key: str) -> bool:
-        """Whether a key has room for ``HALF_OPEN_CALLS`` alone."""
+        """Whether a key is limited to ``HALF_OPEN_CALLS``."""
         state = self._states.get(key)
         return state is not None and state.half_open
 
-    def failed(self, key: str) -> None:
-        """A call failed."""
+    def record_failure(self, key: str) -> None:
+        """Record a failed call."""
         state = self._states.get(key)
         if state is None:
             if len(self._states) >= MAX_KEYS:
-                self._forget(next(iter(self._states)))
+                self._drop(next(iter(self._states)))
             state = self._states[key] = KeyState()
         state.failures += 1
         state.recovered, state.reported_in = False, 0
         self._recovered.pop(key, None)
 
-    def served(self, key: str) -> bool:
-        """A call succeeded; whether there is news to report."""
+    def record_success(self, key: str) -> bool:
+        """Record a successful call; whether the key recovered, which has to be reported."""
         state = self._states.get(key)
         if state is None or state.recovered:
             return False
         if not state.half_open:
-            self._forget(key)
+            self._drop(key)
             return False
         state.recovered = True
         self._recovered[key] = None
@@ -83,7 +81,7 @@
         return bool(self._recovered)
 
     def take_recovered(self, sequence: int) -> tuple[str, ...]:
-        """The keys that the report of that sequence says have recovered, as many as it holds."""
+        """The recovered keys to put into the report with that sequence, as many as fit."""
         taken: list[str] = []
         size = 0
         for key in self._recovered:
@@ -96,13 +94,13 @@
             del self._recovered[key]
         return tuple(taken)
 
-    def acknowledged(self, sequence: int, recovered: tuple[str, ...]) -> None:
-        """The report of that sequence, which named these keys, counts."""
+    def acknowledge(self, sequence: int, recovered: tuple[str, ...]) -> None:
+        """Close the keys whose recovery was in the acknowledged report."""
         for key in recovered:
             state = self._states.get(key)
             if state is not None and state.reported_in == sequence:
                 del self._states[key]
 
-    def _forget(self, key: str) -> None:
+    def _drop(self, key: str) -> None:
         del self._states[key]
         self._recovered.pop(key, None)
--- a/springspread/fleet/lease_cache.py
+++ b/springspread/fleet/lease_cache.py
@@ -96,7 +96,7 @@
         self._set(message.bound, KeyStatus.BOUND)
         self._set(message.free, KeyStatus.FREE)
         self._set(message.unlimited, KeyStatus.UNLIMITED)
-        sent_at = self._ledger.acknowledged(message.acknowledged)
+        sent_at = self._ledger.acknowledge(message.acknowledged)
         if sent_at is not None:
             self._fresh_until = max(self._fresh_until, sent_at + FRESH_MS)
 
@@ -137,9 +137,9 @@
     def _take_free(self, key: str, now: float) -> float:
         self._free_used_at = now
         if now >= self._fresh_until or not self._ledger.allows(key):
-            self._ledger.early = True
+            self._ledger.report_early = True
             return self._retry_ms
-        self._ledger.add(key, now)
+        self._ledger.add_call(key, now)
         return 0.0
 
     def _take_leased(self, key: str, now: float, waiting: bool) -> float:
@@ -223,7 +223,7 @@
     @property
     def reports_early(self) -> bool:
         """Whether so many calls are unreported that a report should not wait for its interval."""
-        return self._ledger.early
+        return self._ledger.report_early
 
     def use_report_at(self, now: float) -> float:
         """When the next report is due; inf: there is nothing to report."""
@@ -231,7 +231,7 @@
             return self._use_report_at(now)
 
     def _use_report_at(self, now: float) -> float:
-        if self._ledger.early:
+        if self._ledger.report_early:
             return self._reported_at + EARLY_MS
         if self._ledger.unreported or now < self._free_used_at + IDLE_MS:
             return self._reported_at + REPORT_MS
--- a/springspread/fleet/sender_notifier.py
+++ b/springspread/fleet/sender_notifier.py
@@ -10,7 +10,7 @@
                                                        in time otherwise (docs/design/limits-at-scale.md)
 
 A sender's news go out in one write with whatever it is told next. News for every sender wait for more of
-them (``GATHER_MS``), as each write costs more than what it says, and follow the ones before after
+them (``BATCH_DELAY_MS``), as each write costs more than what it says, and follow the ones before after
 ``BROADCAST_INTERVAL_MS``: a binding that comes alone is told soon, and of many at once each sender gets
 a few writes a second.
 """
@@ -24,7 +24,7 @@
 from springspread.fleet.messages import Fingerprint, GrantedLease, KeyStatus, LimitMessage, Welcome
 from springspread.fleet.outbox import Outbox
 
-GATHER_MS = {KeyStatus.BOUND: 50.0, KeyStatus.FREE: 1_000.0}
+BATCH_DELAY_MS = {KeyStatus.BOUND: 50.0, KeyStatus.FREE: 1_000.0}
 """So long news for every sender wait for more of them, where nothing else goes out to it before."""
 BROADCAST_INTERVAL_MS = 250.0  # the least between two of these writes
 
@@ -104,7 +104,7 @@
         if known is not (status is KeyStatus.BOUND):
             for outbox in self._outboxes.values():
                 outbox.statuses[one] = status
-            self._gather_ms = min(self._gather_ms, GATHER_MS[status])
+            self._gather_ms = min(self._gather_ms, BATCH_DELAY_MS[status])
 
     def _tell(self, owner: Owner, one: Fingerprint, status: KeyStatus) -> None:
         if (outbox := self._outboxes.get(owner)) is not None:
--- a/tests/fleet/test_allocator_control.py
+++ b/tests/fleet/test_allocator_control.py
@@ -28,7 +28,7 @@
     fingerprint,
 )
 from springspread.fleet.outbox import Outbox
-from springspread.fleet.sender_notifier import BROADCAST_INTERVAL_MS, GATHER_MS
+from springspread.fleet.sender_notifier import BATCH_DELAY_MS, BROADCAST_INTERVAL_MS
 from springspread.fleet.sender_session import SenderSession
 
 SPAN = 2_000.0
@@ -411,7 +411,7 @@
     assert control.next_at <= 1.0
     control.tick(2.0)
     assert control.take_messages() == {owners[0]: [KeyStatuses(1, bound=bound)]}  # with what is due anyway
-    gathered_at = 2.0 + GATHER_MS[KeyStatus.BOUND]
+    gathered_at = 2.0 + BATCH_DELAY_MS[KeyStatus.BOUND]
     control.tick(gathered_at - 1.0)
     assert control.take_messages() == {} and control.next_at == gathered_at
     control.tick(gathered_at)
@@ -434,7 +434,7 @@
         control.tick(float(now))
         if owners[1] in control.take_messages():
             told.append(float(now))
-    assert told[0] == 10.0 + GATHER_MS[KeyStatus.BOUND]
+    assert told[0] == 10.0 + BATCH_DELAY_MS[KeyStatus.BOUND]
     assert [later - at for at, later in pairwise(told)] == [BROADCAST_INTERVAL_MS] * (len(told) - 1) and len(
         told
     ) == 4
--- a/tests/fleet/test_allocator_server.py
+++ b/tests/fleet/test_allocator_server.py
@@ -29,7 +29,7 @@
     fingerprint,
 )
 from springspread.fleet.record import leased_epochs
-from springspread.fleet.use_ledger import EARLY_CALLS
+from springspread.fleet.use_ledger import EARLY_REPORT_CALLS
 from springspread.fleet.wire import LINE_BYTES, Question, encode
 from springspread.rollout.terms import Grant
 from tests.peer import until
@@ -219,10 +219,10 @@
     until(lambda: shares.acquire(LINK), "a first call")
     until(lambda: server.control.reported_calls("g1", SYSTEM.now()) >= 1, "its report")
     shares._wake = wakes = CountedEvent()
-    for _ in range(EARLY_CALLS):
+    for _ in range(EARLY_REPORT_CALLS):
         assert shares.acquire(LINK)
     assert wakes.sets >= 1
-    until(lambda: server.control.reported_calls("g1", SYSTEM.now()) > EARLY_CALLS, "their report")
+    until(lambda: server.control.reported_calls("g1", SYSTEM.now()) > EARLY_REPORT_CALLS, "their report")
     shares.close()
     server.close()
 
--- a/tests/fleet/test_binding.py
+++ b/tests/fleet/test_binding.py
@@ -31,7 +31,7 @@
         made.append((now, calls))
         in_span = sum(count for at, count in made if at > now - SPAN)
         in_two = sum(count for at, count in made if at > now - 2 * SPAN)
-        assert in_span <= estimate.at_most(now) <= in_two
+        assert in_span <= estimate.upper_bound(now) <= in_two
         assert 0.0 <= estimate.recent(now) <= in_two + 1e-6
 
 
@@ -48,7 +48,7 @@
     """Calls at a steady pace until one binds; the cause and the moment."""
     now = begin
     while now < end:
-        cause = binding.used(now, 1)
+        cause = binding.record_calls(now, 1)
         if cause is not None:
             return cause, now
         now += every_ms
@@ -77,7 +77,7 @@
     calls: int, failed: int, failing: bool
 ) -> None:
     health = DestinationHealth(SPAN)
-    assert not health.used(10_000.0, calls, failed, recent_calls=float(calls))
+    assert not health.record(10_000.0, calls, failed, recent_calls=float(calls))
     assert health.failing is failing
 
 
@@ -85,7 +85,7 @@
     """Calls at a steady pace that all fail, until one binds; the cause and the moment."""
     now = begin
     while now < end:
-        cause = binding.used(now, 1, 1)
+        cause = binding.record_calls(now, 1, 1)
         if cause is not None:
             return cause, now
         now += every_ms
@@ -111,7 +111,7 @@
     assert successor.recovered(0.0) is Cause.RETURNED
 
 
-def test_a_destination_that_serves_again_is_bound_even_if_no_sender_says_so() -> None:
+def test_a_destination_that_has_recovered_is_bound_even_if_no_sender_says_so() -> None:
     binding = Binding(adaptive(100))
     fail(binding, 0.0, 20_000.0, SPAN / 10)
     cause, at = drive(binding, 20_000.0, 60_000.0, SPAN / 10)
@@ -122,54 +122,54 @@
     """A report each second; what fails is known, and so reported, one report later."""
     binding = Binding(adaptive(100))
     for second in range(60):
-        binding.used(1_000.0 * second, 4, 4 if second else 0)
+        binding.record_calls(1_000.0 * second, 4, 4 if second else 0)
         assert not binding.bound
 
 
 def test_a_limit_that_falls_binds_and_one_that_rises_does_not() -> None:
     binding = Binding(adaptive(100))
-    assert binding.changed(0.0, adaptive(200)) is None and not binding.bound
-    assert binding.changed(1.0, adaptive(20)) is Cause.LOWERED and binding.bound
-    assert binding.changed(2.0, adaptive(2)) is None and binding.bound  # it was bound already
+    assert binding.change_limit(0.0, adaptive(200)) is None and not binding.bound
+    assert binding.change_limit(1.0, adaptive(20)) is Cause.LOWERED and binding.bound
+    assert binding.change_limit(2.0, adaptive(2)) is None and binding.bound  # it was bound already
 
 
 def test_a_successor_binds_what_is_asked_for() -> None:
     binding = Binding(adaptive(100))
-    assert binding.asked(0.0, learning=False) is None
-    assert binding.asked(0.0, learning=True) is Cause.LEARNING
+    assert binding.record_request(0.0, learning=False) is None
+    assert binding.record_request(0.0, learning=True) is Cause.LEARNING
 
 
 def test_it_lets_go_only_after_a_while_below_a_lower_threshold() -> None:
     binding = Binding(adaptive(100))
     cause, now = drive(binding, 0.0, 60_000.0, 1.0)
     assert cause is not None
-    assert not binding.released(now + HOLD_MS - 1.0)
+    assert not binding.try_release(now + HOLD_MS - 1.0)
     bound_at = now
     while now < bound_at + 30_000.0:  # between the two thresholds: it stays as it is
         now += SPAN / 60
-        binding.used(now, 1)
-    assert not binding.released(now)
+        binding.record_calls(now, 1)
+    assert not binding.try_release(now)
     quiet_from = now
-    while not binding.released(now):
+    while not binding.try_release(now):
         now += SPAN / 30
-        binding.used(now, 1)
+        binding.record_calls(now, 1)
         assert now < quiet_from + 60_000.0
     assert now > quiet_from + SPAN and not binding.bound
 
 
 def test_it_is_held_while_somebody_waits() -> None:
     binding = Binding(adaptive(100))
-    binding.changed(0.0, adaptive(10))
-    binding.contended(HOLD_MS - 1.0)
-    assert not binding.released(HOLD_MS + 1.0) and binding.released(2 * HOLD_MS)
+    binding.change_limit(0.0, adaptive(10))
+    binding.record_contention(HOLD_MS - 1.0)
+    assert not binding.try_release(HOLD_MS + 1.0) and binding.try_release(2 * HOLD_MS)
 
 
 def test_a_limit_that_a_return_bound_lets_go_after_a_while_of_little_demand() -> None:
     binding = Binding(adaptive(100))
     fail(binding, 0.0, 20_000.0, SPAN / 10)
     binding.recovered(20_000.0)
-    assert not binding.released(20_000.0 + HOLD_MS - 1.0)
-    assert binding.released(20_000.0 + HOLD_MS + SPAN) and not binding.bound
+    assert not binding.try_release(20_000.0 + HOLD_MS - 1.0)
+    assert binding.try_release(20_000.0 + HOLD_MS + SPAN) and not binding.bound
 
 
 def test_one_that_fails_while_it_is_bound_lets_go_at_a_lower_demand_and_is_bound_at_its_return() -> None:
@@ -177,12 +177,12 @@
     _, now = drive(binding, 0.0, 60_000.0, 1.0)
     while now < 40_000.0:  # little enough to let go, did it serve
         now += SPAN / 40
-        binding.used(now, 1, 1)
-    assert not binding.released(now)
+        binding.record_calls(now, 1, 1)
+    assert not binding.try_release(now)
     quiet_from = now
-    while not binding.released(now):
+    while not binding.try_release(now):
         now += SPAN / 20
-        binding.used(now, 1, 1)
+        binding.record_calls(now, 1, 1)
         assert now < quiet_from + 60_000.0
     assert not binding.bound
     assert binding.recovered(now) is Cause.RETURNED
--- a/tests/fleet/test_key_health.py
+++ b/tests/fleet/test_key_health.py
@@ -15,7 +15,7 @@
 def half_open() -> KeyHealth:
     health = KeyHealth()
     for _ in range(OPENING_FAILURES):
-        health.failed(KEY)
+        health.record_failure(KEY)
     return health
 
 
@@ -23,40 +23,40 @@
     health = KeyHealth()
     for _ in range(10):
         for _ in range(OPENING_FAILURES - 1):
-            health.failed(KEY)
-        assert not health.limits(KEY) and not health.served(KEY)
+            health.record_failure(KEY)
+        assert not health.limits(KEY) and not health.record_success(KEY)
     assert half_open().limits(KEY) and not half_open().limits("g2")
 
 
 def test_a_key_is_limited_until_the_report_of_its_success_is_acknowledged() -> None:
     health = half_open()
-    assert health.served(KEY) and not health.served(KEY)  # news once
+    assert health.record_success(KEY) and not health.record_success(KEY)  # news once
     assert health.limits(KEY)
     assert health.take_recovered(7) == (KEY,) and not health.unreported
-    health.acknowledged(6, (KEY,))
+    health.acknowledge(6, (KEY,))
     assert health.limits(KEY)
-    health.acknowledged(7, (KEY,))
+    health.acknowledge(7, (KEY,))
     assert not health.limits(KEY)
 
 
 def test_a_failure_after_the_report_of_a_success_keeps_the_key_limited() -> None:
     """The two events cross: the acknowledgement of a success, and a later failure; in either order."""
     health = half_open()
-    health.served(KEY)
+    health.record_success(KEY)
     health.take_recovered(1)
-    health.failed(KEY)
-    health.acknowledged(1, (KEY,))
+    health.record_failure(KEY)
+    health.acknowledge(1, (KEY,))
     assert health.limits(KEY)
-    assert health.served(KEY) and health.take_recovered(2) == (KEY,)
-    health.acknowledged(2, (KEY,))
-    health.failed(KEY)
+    assert health.record_success(KEY) and health.take_recovered(2) == (KEY,)
+    health.acknowledge(2, (KEY,))
+    health.record_failure(KEY)
     assert not health.limits(KEY)  # one failure of a closed key
 
 
 def test_a_failure_before_the_report_of_a_success_takes_it_back() -> None:
     health = half_open()
-    health.served(KEY)
-    health.failed(KEY)
+    health.record_success(KEY)
+    health.record_failure(KEY)
     assert not health.unreported and health.take_recovered(1) == ()
 
 
@@ -64,7 +64,7 @@
     health = KeyHealth()
     for number in range(MAX_KEYS + 10):
         for _ in range(OPENING_FAILURES):
-            health.failed(f"g{number}")
+            health.record_failure(f"g{number}")
     assert not health.limits("g9") and health.limits("g10") and health.limits(f"g{MAX_KEYS + 9}")
 
 
@@ -73,8 +73,8 @@
     keys = [f"r{number}/{'x' * 180}" for number in range(400)]
     for key in keys:
         for _ in range(OPENING_FAILURES):
-            health.failed(key)
-        health.served(key)
+            health.record_failure(key)
+        health.record_success(key)
     for sequence in range(1, 20):
         taken = health.take_recovered(sequence)
         assert sum(len(key) + 2 + COUNT_BYTES for key in taken) <= RECOVERED_BYTES
--- a/tests/fleet/test_lease_cache.py
+++ b/tests/fleet/test_lease_cache.py
@@ -7,7 +7,7 @@
 from springspread.fleet.lease_cache import EARLY_MS, FRESH_MS, IDLE_MS, REPORT_MS, LeaseCache
 from springspread.fleet.limits import Lease
 from springspread.fleet.messages import KeyStatus, KeyStatuses, UseReport, Welcome, fingerprint
-from springspread.fleet.use_ledger import EARLY_CALLS, MAX_IN_FLIGHT, MAX_UNACKNOWLEDGED
+from springspread.fleet.use_ledger import EARLY_REPORT_CALLS, MAX_IN_FLIGHT, MAX_UNACKNOWLEDGED
 
 KEY = "g1"
 PRINT = fingerprint(KEY)
@@ -86,10 +86,10 @@
     reported(cache, 0.0) if cache.take(KEY, 0.0) == 0.0 else pytest.fail("a free call")
     cache.take(KEY, 1.0)
     assert cache.use_report(REPORT_MS - 1.0) is None and cache.use_report_at(1.0) == REPORT_MS
-    for _ in range(EARLY_CALLS):
+    for _ in range(EARLY_REPORT_CALLS):
         cache.take(KEY, 2.0)
     assert cache.use_report_at(2.0) == EARLY_MS
-    assert reported(cache, EARLY_MS).calls == {KEY: EARLY_CALLS + 1}
+    assert reported(cache, EARLY_MS).calls == {KEY: EARLY_REPORT_CALLS + 1}
 
 
 def test_a_sender_that_is_idle_sends_no_heartbeats() -> None:
--- a/tests/fleet/test_limits_regressions.py
+++ b/tests/fleet/test_limits_regressions.py
@@ -36,7 +36,7 @@
     fingerprint,
 )
 from springspread.fleet.record import LeaseRecord
-from springspread.fleet.sender_notifier import GATHER_MS
+from springspread.fleet.sender_notifier import BATCH_DELAY_MS
 from springspread.fleet.sender_session import SenderSession
 from springspread.fleet.wire import Lines, encode
 
@@ -114,7 +114,9 @@
     pair.control.received(7.0, pair.owner, LeaseRequest({}, reports))
     assert pair.control.is_bound("g1")
     pair.control.tick(8.0)
-    told = [one for one in pair.downward(8.0 + GATHER_MS[KeyStatus.BOUND]) if isinstance(one, KeyStatuses)]
+    told = [
+        one for one in pair.downward(8.0 + BATCH_DELAY_MS[KeyStatus.BOUND]) if isinstance(one, KeyStatuses)
+    ]
     assert any(fingerprint("g1") in one.bound for one in told)
     assert pair.control.next_at < 10_000.0  # to let go of it again
 
@@ -164,7 +166,7 @@
     pair.control.set_limit(2.0, other, Limit(10, SPAN))
     pair.control.set_limit(3.0, one, Limit(40, SPAN, ADAPTIVE))
     pair.heard(3.0, pair.downward(3.0))
-    for now in range(3 + int(GATHER_MS[KeyStatus.BOUND]), 20_000, 100):
+    for now in range(3 + int(BATCH_DELAY_MS[KeyStatus.BOUND]), 20_000, 100):
         pair.heard(float(now), pair.downward(float(now)))
         assert pair.cache.take(other, float(now)) > 0.0
     pair.control.unlimited(other)
@@ -173,7 +175,7 @@
     assert not pair.control.is_bound(one) and not pair.control.is_bound(other)
     pair.control.set_limit(20_002.0, one, Limit(30, SPAN, ADAPTIVE))
     pair.control.tick(20_003.0)
-    sent = pair.downward(20_003.0 + GATHER_MS[KeyStatus.BOUND])
+    sent = pair.downward(20_003.0 + BATCH_DELAY_MS[KeyStatus.BOUND])
     told = [item for item in sent if isinstance(item, KeyStatuses)]
     assert any(fingerprint(one) in item.bound for item in told)
 
