--- a/springspread/fleet/lease_cache.py
+++ b/springspread/fleet/lease_cache.py
@@ -1,22 +1,21 @@
-"""A sender's rights to call: the leases that it holds, the statuses of keys, and what it waits for.
+"""A sender's rights to call: its leases, the statuses of keys, and the calls that wait for leases.
 
-Theory of operation. Before each call the sender asks ``take`` for the right to it. What that needs follows
-from the key's status, which the allocator tells (``messages.KeyStatus``):
+Theory of operation. Before each call the sender asks ``take`` for the right to make it. What that requires
+depends on the key's status, which the allocator sends (``messages.KeyStatus``):
 
-    status      right to a call                                                   while the allocator is
-    silent
-    UNLIMITED   always                                                            as before
-    FREE        while the allocator's last acknowledgement is fresh, and fewer    ends after ``FRESH_MS``
+    status      a call may begin                                                  if the allocator is silent
+    UNLIMITED   always                                                            unchanged
+    FREE        while the allocator's last acknowledgement is fresh, and fewer    until ``FRESH_MS`` pass
                 than ``use_ledger.MAX_UNACKNOWLEDGED`` calls are unacknowledged
-                (of a key that failed, ``key_health.HALF_OPEN_CALLS``)
-    BOUND       against a lease that has not ended                                ends with the leases
+                (of a failing key, ``key_health.HALF_OPEN_CALLS``)
+    BOUND       against an unexpired lease                                        until the leases expire
 
-A lease and an acknowledgement are looked at against the clock as the call asks: a sender that was frozen
-finds that both are over. An acknowledgement counts from when the acknowledged report was sent, not from
-when the answer came, so that no answer that was held up extends a right, and no two clocks are compared.
+Leases and freshness are checked against the clock at each call, so that a sender that was frozen finds them
+expired. An acknowledgement is fresh from when its report was sent, not from when the answer came: a delayed
+answer extends nothing, and no two clocks are compared.
 
-It is asked by the threads that write, before each call's first byte, and fed by the thread that talks to the
-allocator. Times are milliseconds.
+``take`` is called by the threads that write, before each call's first byte; updates come from the thread
+that talks to the allocator. Times are milliseconds.
 """
 
 from __future__ import annotations
@@ -39,79 +38,84 @@
 )
 from springspread.fleet.use_ledger import UseLedger
 
-FRESH_MS = 2_000.0  # the longest exposure after a limit becomes bound: a silent allocator may have bound it
-REPORT_MS = 1_000.0  # the interval of use reports; with the way there and back well below FRESH_MS
-IDLE_MS = 10_000.0  # without a free call for so long, no heartbeats are sent
-EARLY_MS = 50.0  # the least between two reports
+FRESH_MS = (
+    2_000.0  # the longest exposure after a limit becomes bound, as a silent allocator may have bound it
+)
+REPORT_MS = 1_000.0  # the interval of use reports; with a round trip well below FRESH_MS
+IDLE_MS = 10_000.0  # heartbeats stop after so long without a free call
+MIN_REPORT_INTERVAL_MS = 50.0
 
 
 @dataclass(slots=True)
-class HeldLease:
-    """A lease and what was done with it."""
+class CachedLease:
+    """A lease and the calls made against it."""
 
     lease: Lease
-    since: float
+    received_at: float
     made: int = 0
     last_at: float = 0.0
 
 
 class LeaseCache:
-    """Leases and statuses by key. Until it is welcomed, every call needs a lease."""
+    """Leases and statuses by key. Before the first welcome every call needs a lease."""
 
-    def __init__(self, retry_ms: float = 25.0, want_ms: float = 60.0, keep_ms: float = 60.0) -> None:
-        """``retry_ms``: after how long a call that got nothing may ask again.
+    def __init__(
+        self, retry_ms: float = 25.0, waiter_ttl_ms: float = 60.0, idle_lease_ms: float = 60.0
+    ) -> None:
+        """``retry_ms``: when a call that got no right may ask again.
 
-        It counts as waiting for ``want_ms``, and a lease that nobody uses goes back after ``keep_ms``: with
-        less, leases come too late for the call that wanted them; with more, others wait for what lies idle.
+        ``waiter_ttl_ms``: how long it counts as waiting.
+        ``idle_lease_ms``: after so long an unused lease is returned. If it is too short, leases expire before
+        the call that waits for them asks again; if too long, they are idle while other senders wait.
         """
-        self._retry_ms, self._want_ms, self._keep_ms = retry_ms, want_ms, keep_ms
+        self._retry_ms, self._waiter_ttl_ms, self._idle_lease_ms = retry_ms, waiter_ttl_ms, idle_lease_ms
         self._lock = threading.Lock()
-        self._held: dict[str, deque[HeldLease]] = {}
+        self._leases: dict[str, deque[CachedLease]] = {}
         self._default = KeyStatus.BOUND
         self._statuses: dict[Fingerprint, KeyStatus] = {}
-        self._wants: dict[str, deque[float]] = {}
-        self._known: set[int] = set()  # serials of leases that are not over yet
-        self._known_ends: deque[tuple[float, int]] = deque()
+        self._waiters: dict[str, deque[float]] = {}
+        self._seen_serials: set[int] = set()  # of unexpired leases
+        self._seen_expiries: deque[tuple[float, int]] = deque()
         self._ledger = UseLedger()
         self._fresh_until = -inf
         self._reported_at = -inf
-        self._free_used_at = -inf  # when a free call was last made, or asked for in vain
+        self._free_call_at = -inf  # when a free call was last made or refused
 
-    def welcomed(self, message: Welcome, sent_at: float, statuses: Sequence[KeyStatuses] = ()) -> None:
-        """The allocator answers a ``Register`` that was sent then; ``statuses`` belong to the answer."""
+    def apply_welcome(self, message: Welcome, sent_at: float, statuses: Sequence[KeyStatuses] = ()) -> None:
+        """Apply the answer to a ``Register`` sent at ``sent_at``, with the statuses that follow it."""
         with self._lock:
             if message.complete or message.default is KeyStatus.BOUND or message.default is not self._default:
-                self._statuses.clear()  # those of another default say nothing of this one
+                self._statuses.clear()  # statuses are exceptions from their own default only
             self._default = message.default
             self._fresh_until = max(self._fresh_until, sent_at + FRESH_MS)
-            for one in statuses:
-                self._change(one)
+            for update in statuses:
+                self._apply(update)
 
-    def statuses_changed(self, message: KeyStatuses) -> None:
-        """Statuses change, and reports are acknowledged."""
+    def apply_statuses(self, message: KeyStatuses) -> None:
+        """Apply changes of statuses and the acknowledgement of reports."""
         with self._lock:
-            self._change(message)
+            self._apply(message)
 
-    def _change(self, message: KeyStatuses) -> None:
-        self._set(message.bound, KeyStatus.BOUND)
-        self._set(message.free, KeyStatus.FREE)
-        self._set(message.unlimited, KeyStatus.UNLIMITED)
+    def _apply(self, message: KeyStatuses) -> None:
+        self._set_statuses(message.bound, KeyStatus.BOUND)
+        self._set_statuses(message.free, KeyStatus.FREE)
+        self._set_statuses(message.unlimited, KeyStatus.UNLIMITED)
         sent_at = self._ledger.acknowledge(message.acknowledged)
         if sent_at is not None:
             self._fresh_until = max(self._fresh_until, sent_at + FRESH_MS)
 
-    def _set(self, fingerprints: Sequence[Fingerprint], status: KeyStatus) -> None:
-        for one in fingerprints:
+    def _set_statuses(self, fingerprints: Sequence[Fingerprint], status: KeyStatus) -> None:
+        for digest in fingerprints:
             if status is self._default:
-                self._statuses.pop(one, None)
+                self._statuses.pop(digest, None)
             else:
-                self._statuses[one] = status
+                self._statuses[digest] = status
 
     def _status(self, key: str) -> KeyStatus:
         return self._statuses.get(fingerprint(key), self._default)
 
     def is_limited(self, key: str) -> bool:
-        """Whether calls to a key need a right."""
+        """Whether calls to a key are subject to a limit."""
         with self._lock:
             return self._status(key) is not KeyStatus.UNLIMITED
 
@@ -121,9 +125,9 @@
             return self._status(key) is KeyStatus.BOUND
 
     def take(self, key: str, now: float, waiting: bool = False) -> float:
-        """Take the right to one call, at once; else the milliseconds after which to ask again.
+        """Take the right to one call: 0 if granted, else the milliseconds after which to ask again.
 
-        ``waiting``: the call has asked before, and counts once among those that wait.
+        ``waiting``: the call has asked before, and must not be counted twice among the waiting ones.
         """
         with self._lock:
             match self._status(key):
@@ -135,7 +139,7 @@
                     return self._take_leased(key, now, waiting)
 
     def _take_free(self, key: str, now: float) -> float:
-        self._free_used_at = now
+        self._free_call_at = now
         if now >= self._fresh_until or not self._ledger.allows(key):
             self._ledger.report_early = True
             return self._retry_ms
@@ -143,77 +147,80 @@
         return 0.0
 
     def _take_leased(self, key: str, now: float, waiting: bool) -> float:
-        for held in self._held.get(key, ()):
-            if now < held.lease.until and held.made < held.lease.calls:
-                held.made += 1
-                held.last_at = now
+        for cached in self._leases.get(key, ()):
+            if now < cached.lease.until and cached.made < cached.lease.calls:
+                cached.made += 1
+                cached.last_at = now
                 return 0.0
-        times = self._wants.setdefault(key, deque())
-        while times and times[0] + self._want_ms <= now:
-            times.popleft()  # guards memory while nobody asks for them, as the allocator is away
+        times = self._waiters.setdefault(key, deque())
+        while times and times[0] + self._waiter_ttl_ms <= now:
+            times.popleft()  # bounds memory while the allocator is away and ``demands`` is not called
         if waiting and times:
-            times.popleft()  # its own entry, or one like it
+            times.popleft()  # its own entry, or an equivalent one
         times.append(now)
         return self._retry_ms
 
     def failed(self, key: str) -> None:
-        """A call to a key failed: its destination may be down."""
+        """Record a failed call to a key."""
         with self._lock:
             if self._status(key) is not KeyStatus.UNLIMITED:
                 self._ledger.add_failure(key)
 
     def served(self, key: str) -> bool:
-        """A call to a key succeeded; whether that is news for the allocator, as earlier ones failed."""
+        """Record a successful call to a key; whether it recovered, which the allocator has to learn."""
         with self._lock:
             return self._ledger.add_success(key)
 
-    def received(self, lease: Lease, now: float) -> None:
-        """A lease came in: so many calls wait no longer. One that comes again gives nothing more."""
+    def add_lease(self, lease: Lease, now: float) -> None:
+        """Add a granted lease, which serves as many waiting calls; duplicates are ignored."""
         with self._lock:
-            while self._known_ends and self._known_ends[0][0] <= now:
-                self._known.discard(self._known_ends.popleft()[1])
-            if lease.until <= now or lease.serial in self._known:
+            while self._seen_expiries and self._seen_expiries[0][0] <= now:
+                self._seen_serials.discard(self._seen_expiries.popleft()[1])
+            if lease.until <= now or lease.serial in self._seen_serials:
                 return
-            self._known.add(lease.serial)
-            self._known_ends.append((lease.until, lease.serial))
-            self._held.setdefault(lease.key, deque()).append(HeldLease(lease, now))
-            times = self._wants.get(lease.key, deque())
+            self._seen_serials.add(lease.serial)
+            self._seen_expiries.append((lease.until, lease.serial))
+            self._leases.setdefault(lease.key, deque()).append(CachedLease(lease, now))
+            times = self._waiters.get(lease.key, deque())
             for _ in range(min(lease.calls, len(times))):
                 times.popleft()
 
-    def wants(self, now: float) -> Mapping[str, int]:
-        """How many calls wait, by key: each that got nothing lately and has no lease yet."""
+    def demands(self, now: float) -> Mapping[str, int]:
+        """How many calls wait for a lease, by key."""
         with self._lock:
-            found = {}
-            for key, times in list(self._wants.items()):
-                while times and times[0] + self._want_ms <= now:
+            demands = {}
+            for key, times in list(self._waiters.items()):
+                while times and times[0] + self._waiter_ttl_ms <= now:
                     times.popleft()
                 if not times or self._status(key) is not KeyStatus.BOUND:
-                    del self._wants[key]
+                    del self._waiters[key]
                     continue
-                found[key] = len(times)
-            return found
+                demands[key] = len(times)
+            return demands
 
-    def done(self, now: float) -> list[LeaseReport]:
-        """Leases that are used up, over or idle: they are reported to the allocator, once, and forgotten."""
+    def take_finished(self, now: float) -> list[LeaseReport]:
+        """Remove leases that are used up, expired or idle; their reports for the allocator."""
         with self._lock:
             reports = []
-            for key, line in list(self._held.items()):
-                kept: deque[HeldLease] = deque()
-                for held in line:
-                    used_up, idle = held.made >= held.lease.calls, now >= held.since + self._keep_ms
-                    if now < held.lease.until and not used_up and not idle:
-                        kept.append(held)
+            for key, leases in list(self._leases.items()):
+                kept: deque[CachedLease] = deque()
+                for cached in leases:
+                    used_up, idle = (
+                        cached.made >= cached.lease.calls,
+                        now >= cached.received_at + self._idle_lease_ms,
+                    )
+                    if now < cached.lease.until and not used_up and not idle:
+                        kept.append(cached)
                         continue
-                    reports.append(LeaseReport(key, held.lease.serial, held.made, held.last_at))
+                    reports.append(LeaseReport(key, cached.lease.serial, cached.made, cached.last_at))
                 if kept:
-                    self._held[key] = kept
+                    self._leases[key] = kept
                 else:
-                    del self._held[key]
+                    del self._leases[key]
             return reports
 
     def use_report(self, now: float) -> UseReport | None:
-        """The report of free calls that is due now: after an interval, or early where much is unreported."""
+        """The report of free calls that is due now, if any."""
         with self._lock:
             if now < self._use_report_at(now):
                 return None
@@ -222,28 +229,28 @@
 
     @property
     def reports_early(self) -> bool:
-        """Whether so many calls are unreported that a report should not wait for its interval."""
+        """Whether a use report should be sent before its interval is over."""
         return self._ledger.report_early
 
     def use_report_at(self, now: float) -> float:
-        """When the next report is due; inf: there is nothing to report."""
+        """When the next use report is due; inf: there is nothing to report."""
         with self._lock:
             return self._use_report_at(now)
 
     def _use_report_at(self, now: float) -> float:
         if self._ledger.report_early:
-            return self._reported_at + EARLY_MS
-        if self._ledger.unreported or now < self._free_used_at + IDLE_MS:
+            return self._reported_at + MIN_REPORT_INTERVAL_MS
+        if self._ledger.unreported or now < self._free_call_at + IDLE_MS:
             return self._reported_at + REPORT_MS
         return inf
 
     def resend(self, now: float) -> list[UseReport]:
-        """Reports that a connection which broke may have lost."""
+        """Unacknowledged reports, which a broken connection may have lost."""
         with self._lock:
             return self._ledger.resend(now)
 
     @property
-    def holding(self) -> bool:
-        """Whether it holds any lease."""
+    def has_leases(self) -> bool:
+        """Whether there are any leases."""
         with self._lock:
-            return bool(self._held)
+            return bool(self._leases)
--- a/springspread/fleet/sender_session.py
+++ b/springspread/fleet/sender_session.py
@@ -90,7 +90,7 @@
     def due(self, now: float) -> list[LimitMessage]:
         """What is to be written now."""
         made: list[LimitMessage] = []
-        wants, reports = self._cache.wants(now), self._cache.done(now)
+        wants, reports = self._cache.demands(now), self._cache.take_finished(now)
         rates: dict[str, float] = {}
         while self._new_rates and len(rates) < MAX_KEYS:
             key, per_s = self._new_rates.popitem()  # in one step: another thread may tell the key anew
@@ -108,7 +108,7 @@
 
     def wait_ms(self, now: float) -> float:
         """How long until ``due`` may have something new, unless a call begins to wait meanwhile."""
-        busy = bool(self._requested or self._new_rates or self._new_listed) or self._cache.holding
+        busy = bool(self._requested or self._new_rates or self._new_listed) or self._cache.has_leases
         wait_ms = POLL_MS if busy else IDLE_MS
         return max(min(wait_ms, self._cache.use_report_at(now) - now), 0.0)
 
@@ -120,20 +120,20 @@
                 self._take_welcome(message)
             case KeyStatuses():
                 if self._welcome is None:
-                    self._cache.statuses_changed(message)
+                    self._cache.apply_statuses(message)
                 else:
                     self._welcome_statuses.append(message)
                     self._take_welcome(self._welcome)
             case LeaseGrants():
                 for one in message.leases:
                     self.rates[one.key] = one.per_s
-                    self._cache.received(Lease(one.serial, self._owner, one.key, one.calls, one.until), now)
+                    self._cache.add_lease(Lease(one.serial, self._owner, one.key, one.calls, one.until), now)
 
     def _take_welcome(self, message: Welcome) -> None:
         """Take a welcome in once all of its statuses are there."""
         if len(self._welcome_statuses) < message.following:
             return
-        self._cache.welcomed(message, self._registered_at, self._welcome_statuses)
+        self._cache.apply_welcome(message, self._registered_at, self._welcome_statuses)
         self._welcome, self._welcome_statuses = None, []
         self._asks_ahead = message.default is KeyStatus.BOUND
         self._new_listed = dict(self._listed) if self._asks_ahead else {}
--- a/tests/fleet/test_allocator.py
+++ b/tests/fleet/test_allocator.py
@@ -92,7 +92,7 @@
         while self.mail:
             instance, lease = self.mail.pop()
             if not instance.frozen:
-                instance.lease_cache.received(lease, self.now)
+                instance.lease_cache.add_lease(lease, self.now)
         self.calls_out(name, calls)
 
     @precondition(lambda self: self.mail)
@@ -100,7 +100,7 @@
     def a_lease_arrives_or_is_lost(self, data: st.DataObject, lost: bool) -> None:
         instance, lease = self.mail.pop(data.draw(st.integers(0, len(self.mail) - 1)))
         if not lost and not instance.frozen:
-            instance.lease_cache.received(lease, self.now)
+            instance.lease_cache.add_lease(lease, self.now)
 
     @rule(name=st.sampled_from("abc"), times=st.integers(1, 6))
     def calls_out(self, name: str, times: int) -> None:
@@ -116,7 +116,7 @@
         instance = self.alive.get(name)
         if instance is None or instance.frozen:
             return
-        for report in instance.lease_cache.done(self.now):
+        for report in instance.lease_cache.take_finished(self.now):
             if not lost:
                 last_at = report.last_at - (SPAN if self.frees_early else 0.0)
                 told = (report.key, report.serial, report.made, last_at)
@@ -206,9 +206,9 @@
             for _ in range(demand.get(owner, 0)):
                 if lease_cache.take(KEY, self.now) == 0.0:
                     self.made.append((self.now, owner))
-            for report in lease_cache.done(self.now):
+            for report in lease_cache.take_finished(self.now):
                 self.allocator.report(self.now, owner, report.key, report.serial, report.made, report.last_at)
-            self.allocator.set_demand(self.now, owner, KEY, lease_cache.wants(self.now).get(KEY, 0))
+            self.allocator.set_demand(self.now, owner, KEY, lease_cache.demands(self.now).get(KEY, 0))
         for lease in self.allocator.allocate(self.now):
             self.lease_caches[lease.owner].received(lease, self.now)
 
@@ -268,11 +268,11 @@
 
 def test_a_lease_ends_by_the_clock_of_the_one_that_holds_it() -> None:
     lease_cache = LeaseCache()
-    lease_cache.received(Lease(1, ("n0", 1), KEY, 2, 100.0), 0.0)
+    lease_cache.add_lease(Lease(1, ("n0", 1), KEY, 2, 100.0), 0.0)
     assert lease_cache.take(KEY, 99.0) == 0.0
     assert lease_cache.take(KEY, 100.0) > 0.0  # it was frozen meanwhile
-    (report,) = lease_cache.done(100.0)
-    assert (report.made, report.last_at) == (1, 99.0) and lease_cache.done(100.0) == []
+    (report,) = lease_cache.take_finished(100.0)
+    assert (report.made, report.last_at) == (1, 99.0) and lease_cache.take_finished(100.0) == []
 
 
 def test_nobody_frees_another_s_lease() -> None:
@@ -309,12 +309,12 @@
     lease_cache = LeaseCache()
     lease = Lease(7, ("n00", 1), "g1", 2, 1_200.0)
     for now in (1_000.0, 1_001.0, 1_030.0):
-        lease_cache.received(lease, now)
+        lease_cache.add_lease(lease, now)
         assert lease_cache.take("g1", now) == 0.0 if now < 1_030.0 else lease_cache.take("g1", now) > 0.0
-    assert [report.made for report in lease_cache.done(1_031.0)] == [2]
-    lease_cache.received(lease, 1_032.0)  # after it is reported, too
+    assert [report.made for report in lease_cache.take_finished(1_031.0)] == [2]
+    lease_cache.add_lease(lease, 1_032.0)  # after it is reported, too
     assert lease_cache.take("g1", 1_032.0) > 0.0
-    lease_cache.received(Lease(8, ("n00", 1), "g1", 1, 1_300.0), 1_201.0)
+    lease_cache.add_lease(Lease(8, ("n00", 1), "g1", 1, 1_300.0), 1_201.0)
     assert lease_cache.take("g1", 1_202.0) == 0.0
 
 
--- a/tests/fleet/test_key_health.py
+++ b/tests/fleet/test_key_health.py
@@ -4,7 +4,7 @@
 
 from springspread.fleet.chunking import COUNT_BYTES
 from springspread.fleet.key_health import OPENING_FAILURES, RECOVERED_BYTES, KeyHealth
-from springspread.fleet.lease_cache import EARLY_MS, REPORT_MS, LeaseCache
+from springspread.fleet.lease_cache import MIN_REPORT_INTERVAL_MS, REPORT_MS, LeaseCache
 from springspread.fleet.messages import LINE_BYTES, MAX_KEYS, KeyStatus, KeyStatuses, UseReport, Welcome
 from springspread.fleet.use_ledger import MAX_UNACKNOWLEDGED
 from springspread.fleet.wire import Lines, encode
@@ -84,7 +84,7 @@
 
 def cache_of_a_failing_key() -> LeaseCache:
     cache = LeaseCache()
-    cache.welcomed(Welcome(KeyStatus.FREE, True), 0.0)
+    cache.apply_welcome(Welcome(KeyStatus.FREE, True), 0.0)
     for _ in range(OPENING_FAILURES):
         assert cache.take(KEY, 1.0) == 0.0
         cache.failed(KEY)
@@ -95,7 +95,7 @@
 def acknowledge(cache: LeaseCache, now: float) -> UseReport:
     report = cache.use_report(now)
     assert report is not None
-    cache.statuses_changed(KeyStatuses(report.sequence))
+    cache.apply_statuses(KeyStatuses(report.sequence))
     return report
 
 
@@ -104,8 +104,8 @@
     assert cache.take(KEY, 2.0) == 0.0 and cache.take(KEY, 2.0) > 0.0
     assert cache.served(KEY)
     assert cache.take(KEY, 3.0) > 0.0
-    assert cache.use_report_at(3.0) == 1.0 + EARLY_MS  # it does not wait for its interval
-    assert acknowledge(cache, 1.0 + EARLY_MS).recovered == (KEY,)
+    assert cache.use_report_at(3.0) == 1.0 + MIN_REPORT_INTERVAL_MS  # it does not wait for its interval
+    assert acknowledge(cache, 1.0 + MIN_REPORT_INTERVAL_MS).recovered == (KEY,)
     made = sum(cache.take(KEY, 60.0) == 0.0 for _ in range(2 * MAX_UNACKNOWLEDGED))
     assert made == MAX_UNACKNOWLEDGED
 
@@ -130,7 +130,7 @@
 
 def test_the_largest_report_fits_a_line() -> None:
     cache = LeaseCache()
-    cache.welcomed(Welcome(KeyStatus.FREE, True), 0.0)
+    cache.apply_welcome(Welcome(KeyStatus.FREE, True), 0.0)
     keys = [f"r{number:04}/{'é' * 90}" for number in range(MAX_KEYS)]
     for key in keys:
         cache.take(key, 1.0)
--- a/tests/fleet/test_limits_regressions.py
+++ b/tests/fleet/test_limits_regressions.py
@@ -241,10 +241,10 @@
 
 def test_a_sender_forgets_statuses_of_another_default() -> None:
     cache = LeaseCache()
-    cache.welcomed(Welcome(KeyStatus.BOUND, True), 0.0)
-    cache.statuses_changed(KeyStatuses(0, unlimited=(fingerprint("g1"),)))
+    cache.apply_welcome(Welcome(KeyStatus.BOUND, True), 0.0)
+    cache.apply_statuses(KeyStatuses(0, unlimited=(fingerprint("g1"),)))
     # A successor of the allocator, which learns, under another policy that has an adaptive limit for it.
-    cache.welcomed(Welcome(KeyStatus.FREE, False), 10.0)
+    cache.apply_welcome(Welcome(KeyStatus.FREE, False), 10.0)
     assert cache.take("g1", 11.0) == 0.0
     report = cache.use_report(2_000.0)
     assert report is not None and report.calls == {"g1": 1}  # else nobody would ever know
@@ -353,8 +353,8 @@
     before.set_limit("g1", limit)
     before.set_demand(died, ("n0", 1), "g1", 5)
     (lease,) = before.allocate(died)
-    cache = LeaseCache(keep_ms=1_000.0)
-    cache.received(lease, died)
+    cache = LeaseCache(idle_lease_ms=1_000.0)
+    cache.add_lease(lease, died)
     successor = Allocator(lease_ms=200.0)
     successor.set_limit("g1", limit)
     successor.assume_exhausted(died)
@@ -387,7 +387,7 @@
 
         def take_in() -> None:
             for number in range(count):
-                cache.received(Lease(number, ("n0", 1), f"g{number}", 1, 200.0), 0.0)
+                cache.add_lease(Lease(number, ("n0", 1), f"g{number}", 1, 200.0), 0.0)
 
         return operations(take_in)
 
