--- a/springspread/fleet/allocator_control.py
+++ b/springspread/fleet/allocator_control.py
@@ -1,18 +1,17 @@
-"""An allocator's whole decision: who is registered, what each sender is told, which limits are bound. No I/O.
+"""The allocator's logic: registered senders, limits and which of them are bound, notifications. No I/O.
 
-Theory of operation. It takes messages and moments and gives leases and messages. Exact limits are always
-bound. Adaptive ones are bound by ``binding``; while they are free their calls come as use reports. Which
-keys a sender needs leases for follows from the fleet's default; ``sender_notifier`` has who is told what.
-Nothing is sent because a limit exists: the cost goes with requests, reports and changes of status.
+Theory of operation. Messages and the time go in, leases and messages come out. Exact limits are always
+bound. ``binding`` decides on adaptive ones; while they are free, their calls come as use reports. Which keys
+a sender needs leases for depends on the fleet's default mode; ``sender_notifier`` decides who is notified of
+what. The cost grows with requests, reports and changes of status, not with the number of limits.
 
-A successor learns for ``learning_ms``: senders keep the statuses that they know, and a limit that anybody
-still asks for is bound again. What was given out before it began counts as its record says, or, for limits
-that it binds while it learns, as all used up.
+A successor learns for ``LEARNING_MS``: senders keep the statuses that they know, and a limit for which a
+lease is requested is bound again. Its predecessor's leases count as recorded; a limit that it binds while
+learning counts as used up.
 
-Two events that can cross: a sender calls a free limit while the status "bound" is on its way. The call is
-reported and counts from then on; the exposure is bounded by the report's interval (``binding``). A report
-of an earlier process of a name, or one that comes twice, counts for nothing: sequences only grow, epochs
-too.
+Race: a sender may call a free limit while the status "bound" is on its way. The call is reported and counts
+from then on; the exposure is bounded by the report interval (``binding``). Duplicate reports and those of an
+earlier process are ignored, as sequences and epochs only grow.
 """
 
 from __future__ import annotations
@@ -39,23 +38,23 @@
 )
 from springspread.fleet.sender_notifier import SenderNotifier
 
-CHECK_MS = 1_000.0  # how often a bound limit is looked at
-LEARNING_MS = FRESH_MS + REPORT_MS  # by then every sender that lives has reported or asked
-# For a key that has none, and needs leases as another key with a limit has its fingerprint.
-NO_LIMIT = Limit(1_000_000, PARTNER_SPAN_MS, LimitMode.ADAPTIVE)
+CHECK_MS = 1_000.0  # how often a bound limit is checked for release
+LEARNING_MS = FRESH_MS + REPORT_MS  # every live sender has sent a report or a request by then
+# For a key without a limit that needs leases because it shares its fingerprint with a limited key.
+PLACEHOLDER_LIMIT = Limit(1_000_000, PARTNER_SPAN_MS, LimitMode.ADAPTIVE)
 
 
 def default_status(mode: LimitMode) -> KeyStatus:
-    """The status of keys that a sender is told nothing of."""
+    """The status of keys that a sender does not know."""
     return KeyStatus.BOUND if mode is LimitMode.EXACT else KeyStatus.FREE
 
 
 class RegisterRefused(Exception):
-    """A sender that may not join; the text says why."""
+    """Raised for a sender that may not register, with the reason."""
 
 
 class AllocatorControl:
-    """One allocator. Feed it what comes in, call ``tick`` often while ``busy``."""
+    """One allocator. Pass it all messages, and call ``tick`` often while ``busy``."""
 
     def __init__(
         self,
@@ -67,107 +66,107 @@
         learning: bool = False,
     ) -> None:
         """``limits``: the operators'.
-        ``learning``: there was an allocator before; what it bound is not known.
+        ``learning``: there was an allocator before, whose bound limits are unknown.
         """
         self._fleet = fleet
         self._allocator = allocator
         self._default_mode = default_mode
-        self._next_default = default_mode
+        self._announced_default = default_mode
         self._learning_until = now + LEARNING_MS if learning else now
-        self._began_at = now
-        self._bindings: dict[str, Binding] = {}  # adaptive limits that were used or asked for
+        self._started_at = now
+        self._bindings: dict[str, Binding] = {}  # of adaptive limits that were used or requested
         self._limited_keys: dict[Fingerprint, tuple[str, ...]] = {}  # keys that have a limit
-        self._checks: deque[tuple[float, str]] = deque()  # bound adaptive limits, and when to look at them
-        self._checked: set[str] = set()  # their keys
-        self._news = SenderNotifier(default_status(default_mode))
+        self._checks: deque[tuple[float, str]] = deque()  # when to check bound adaptive limits
+        self._check_keys: set[str] = set()  # keys in the queue of checks
+        self._notifier = SenderNotifier(default_status(default_mode))
         self._sequences: dict[str, tuple[int, int]] = {}  # epoch and sequence of the last report, by name
         self._sources = LimitSources(limits)
-        self.causes: dict[Cause, int] = dict.fromkeys(Cause, 0)  # how often limits were bound, and why
+        self.causes: dict[Cause, int] = dict.fromkeys(Cause, 0)  # how often limits were bound, by cause
         for key, limit in limits.items():
             self.set_limit(now, key, limit)
 
     # Limits
 
     def set_limit(self, now: float, key: str, limit: Limit) -> None:
-        """A limit holds from now on, in place of the one that the key had, if any."""
+        """Set the limit of a key, in place of the one that it had, if any."""
         before, known = self._status(key), self._allocator.limit(key)
         if known == limit:
             return
-        if known is None:  # calls that nobody counted may have been made
-            self._count_as_used(now, key, limit)
-            one = fingerprint(key)
-            self._limited_keys[one] = (*self._limited_keys.get(one, ()), key)
+        if known is None:  # earlier calls were not counted
+            self._count_as_exhausted(now, key, limit)
+            digest = fingerprint(key)
+            self._limited_keys[digest] = (*self._limited_keys.get(digest, ()), key)
         self._allocator.set_limit(key, limit)
         if limit.mode is LimitMode.EXACT:
             self._bindings.pop(key, None)
         elif known is not None and known.mode is LimitMode.ADAPTIVE:
-            self._note(now, key, self._binding(key, known).change_limit(now, limit))
+            self._handle_binding(now, key, self._binding(key, known).change_limit(now, limit))
         self._status_changed(key, before)
 
-    def _count_as_used(self, now: float, key: str, limit: Limit) -> None:
-        """A key that had no limit: senders that know it as unlimited have called it uncounted."""
-        if self._news.anybody_knows(fingerprint(key)):
+    def _count_as_exhausted(self, now: float, key: str, limit: Limit) -> None:
+        """Count a new limit as used up if senders may have made uncounted calls."""
+        if self._notifier.anybody_knows(fingerprint(key)):
             self._allocator.set_limit(key, limit)
             self._allocator.count_unleased(now, key, limit.calls, now)
 
-    def unlimited(self, key: str) -> None:
-        """A key has no limit any more."""
+    def remove_limit(self, key: str) -> None:
+        """Remove the limit of a key."""
         if self._allocator.limit(key) is None:
             return
-        before, one = self._status(key), fingerprint(key)
-        self._limited_keys[one] = tuple(other for other in self._limited_keys[one] if other != key)
-        if not self._limited_keys[one]:
-            del self._limited_keys[one]
+        before, digest = self._status(key), fingerprint(key)
+        self._limited_keys[digest] = tuple(other for other in self._limited_keys[digest] if other != key)
+        if not self._limited_keys[digest]:
+            del self._limited_keys[digest]
         self._allocator.remove_limit(key)
         self._bindings.pop(key, None)
         self._status_changed(key, before)
 
     def limit(self, key: str) -> Limit | None:
-        """The limit of a key, where one is known."""
+        """The limit of a key, if it has one."""
         return self._allocator.limit(key)
 
     def schedule_limits(
         self, now: float, limits: Mapping[str, Limit], since: float, default_mode: LimitMode | None = None
     ) -> None:
-        """Other limits of the operators hold from a moment on; until then the stricter ones."""
+        """Set the operators' limits that apply from ``since`` on; until then the stricter ones apply."""
         for key, limit in self._sources.announce(limits, since).items():
             self.set_limit(now, key, limit)
-        self._news.send_gathered(now)
-        self._next_default = default_mode or self._default_mode
-        if self._next_default is LimitMode.EXACT:
+        self._notifier.flush(now)
+        self._announced_default = default_mode or self._default_mode
+        if self._announced_default is LimitMode.EXACT:
             self._set_default(now, LimitMode.EXACT)
 
-    def _limits_due(self, now: float) -> None:
+    def _apply_due_limits(self, now: float) -> None:
         if now < self._sources.next_at:
             return
-        for key, limit in self._sources.due(now).items():
+        for key, limit in self._sources.apply_due(now).items():
             if limit is None:
-                self.unlimited(key)
+                self.remove_limit(key)
             else:
                 self.set_limit(now, key, limit)
-        self._set_default(now, self._next_default)
+        self._set_default(now, self._announced_default)
 
     def _set_default(self, now: float, mode: LimitMode) -> None:
         if mode is self._default_mode:
             return
         self._default_mode = mode
-        self._news.forget(default_status(mode))
-        for key, limit in self._sources.partner_mode(mode).items():
+        self._notifier.reset(default_status(mode))
+        for key, limit in self._sources.set_partner_mode(mode).items():
             self.set_limit(now, key, limit)
         bound = self._allocator.keys if mode is LimitMode.ADAPTIVE else ()
-        self._news.welcome_all(fingerprint(key) for key in bound if self.is_bound(key))
+        self._notifier.welcome_all(fingerprint(key) for key in bound if self.is_bound(key))
 
-    def given_out(self, key: str, now: float) -> int:
+    def committed_calls(self, key: str, now: float) -> int:
         """How many calls of a key count against its limit now."""
         return self._allocator.committed(now, key)
 
     def reported_calls(self, key: str, now: float) -> int:
-        """Calls of an adaptive limit that were reported for the span that ends now, and no fewer."""
+        """An upper bound of the calls to an adaptive limit reported for the span that ends now."""
         binding = self._bindings.get(key)
         return binding.recent_calls(now) if binding is not None else 0
 
     def bound_limits(self, most: int) -> dict[str, Cause]:
-        """Adaptive limits that are bound, and why; at most so many of them."""
+        """Bound adaptive limits and their causes, at most ``most``."""
         bound: dict[str, Cause] = {}
         for _, key in self._checks:
             binding = self._bindings.get(key)
@@ -190,7 +189,7 @@
         return self._status(key) is KeyStatus.BOUND
 
     def _status(self, key: str) -> KeyStatus:
-        """The strictest of the keys that share its fingerprint: senders can't tell them apart."""
+        """The strictest status of the keys with its fingerprint, as senders can't tell them apart."""
         status = self._own_status(key)
         for other in self._limited_keys.get(fingerprint(key), ()):
             if other != key:
@@ -207,75 +206,75 @@
         return KeyStatus.BOUND if binding is not None and binding.bound else KeyStatus.FREE
 
     def _status_changed(self, key: str, before: KeyStatus) -> None:
-        self._news.status_changed(fingerprint(key), before, self._status(key))
+        self._notifier.status_changed(fingerprint(key), before, self._status(key))
 
     # Senders
 
     def register(self, now: float, message: Register) -> Owner:
-        """A sender begins, or begins again after a connection broke; raises ``RegisterRefused``."""
+        """Register a sender that has connected; raises ``RegisterRefused``."""
         if message.version != PROTOCOL_VERSION:
-            raise RegisterRefused(f"it speaks protocol version {message.version}, this is {PROTOCOL_VERSION}")
+            raise RegisterRefused(f"protocol version {message.version}, expected {PROTOCOL_VERSION}")
         if message.fleet != self._fleet:
-            raise RegisterRefused(f"it belongs to another fleet: {message.fleet or 'none'}")
+            raise RegisterRefused(f"member of another fleet: {message.fleet or 'none'}")
         owner = (message.name, message.epoch)
         if not self._allocator.register(owner):
-            raise RegisterRefused(f"{message.name}: a later start of it is known than {message.epoch}")
-        self._news.join(owner, complete=now >= self._learning_until)
+            raise RegisterRefused(f"{message.name}: epoch {message.epoch} was replaced by a later one")
+        self._notifier.join(owner, complete=now >= self._learning_until)
         return owner
 
     def unregister(self, owner: Owner) -> None:
-        """Its connection is over; its leases are not."""
-        self._news.leave(owner)
+        """Remove a sender whose connection has closed; its leases stay valid."""
+        self._notifier.leave(owner)
 
     def received(self, now: float, owner: Owner, message: LeaseRequest | UseReport) -> None:
-        """A registered sender says something; raises ``RegisterRefused`` where a later start replaced it."""
-        if not self._news.registered(owner):
-            raise RegisterRefused(f"{owner[0]}: start {owner[1]} is not registered any more")
+        """Handle a sender's message; raises ``RegisterRefused`` if a later start has replaced it."""
+        if not self._notifier.registered(owner):
+            raise RegisterRefused(f"{owner[0]}: epoch {owner[1]} is no longer registered")
         if isinstance(message, UseReport):
-            self._use(now, owner, message)
+            self._handle_use_report(now, owner, message)
         else:
-            self._request(now, owner, message)
+            self._handle_request(now, owner, message)
 
-    def _request(self, now: float, owner: Owner, message: LeaseRequest) -> None:
+    def _handle_request(self, now: float, owner: Owner, message: LeaseRequest) -> None:
         for report in message.reports:
             self._allocator.report(now, owner, report.key, report.serial, report.made, report.last_at)
             binding = self._bindings.get(report.key)
             if binding is not None and report.made:
-                self._note(now, report.key, binding.record_calls(now, report.made))
+                self._handle_binding(now, report.key, binding.record_calls(now, report.made))
         for key, per_s in message.partner_rates.items():
             if per_s > 0:
                 limit = Limit.of_rate(per_s, PARTNER_SPAN_MS, self._default_mode)
-                if self._sources.partner_told(key, limit):
+                if self._sources.set_partner_limit(key, limit):
                     self.set_limit(now, key, limit)
         for key, calls in message.demands.items():
-            self._ask(now, owner, key, calls)
+            self._handle_demand(now, owner, key, calls)
 
-    def _ask(self, now: float, owner: Owner, key: str, calls: int) -> None:
+    def _handle_demand(self, now: float, owner: Owner, key: str, calls: int) -> None:
         limit = self._allocator.limit(key)
         if calls and limit is not None and limit.mode is LimitMode.ADAPTIVE and now < self._learning_until:
-            self._note(now, key, self._binding(key, limit).asked(now, learning=True))
+            self._handle_binding(now, key, self._binding(key, limit).record_request(now, learning=True))
         status = self._status(key)
         if status is not KeyStatus.BOUND:
-            self._news.answer(owner, fingerprint(key), status, waits=calls > 0)
+            self._notifier.answer(owner, fingerprint(key), status, waits=calls > 0)
             return
         if calls and limit is None:
-            self.set_limit(now, key, NO_LIMIT)
+            self.set_limit(now, key, PLACEHOLDER_LIMIT)
         self._allocator.set_demand(now, owner, key, calls)
 
-    def _use(self, now: float, owner: Owner, message: UseReport) -> None:
+    def _handle_use_report(self, now: float, owner: Owner, message: UseReport) -> None:
         name, epoch = owner
         if (epoch, message.sequence) > self._sequences.get(name, (-1, -1)):
             self._sequences[name] = (epoch, message.sequence)
             made_at = now - message.age_ms
             for key, calls in message.calls.items():
-                self._count_use(now, made_at, key, calls, message.failed.get(key, 0))
+                self._count_calls(now, made_at, key, calls, message.failed.get(key, 0))
             for key in message.failed.keys() - message.calls.keys():
-                self._count_use(now, made_at, key, 0, message.failed[key])
+                self._count_calls(now, made_at, key, 0, message.failed[key])
             for key in message.recovered:
-                self._recovered(now, key)
-        self._news.acknowledge(owner, message.sequence)
+                self._handle_recovery(now, key)
+        self._notifier.acknowledge(owner, message.sequence)
 
-    def _count_use(self, now: float, made_at: float, key: str, calls: int, failed: int) -> None:
+    def _count_calls(self, now: float, made_at: float, key: str, calls: int, failed: int) -> None:
         limit = self._allocator.limit(key)
         if limit is None:
             return
@@ -287,12 +286,12 @@
             binding = self._binding(key, limit)
         if binding.bound:
             self._allocator.count_unleased(now, key, calls, made_at)
-        self._note(now, key, binding.record_calls(now, calls, failed))
+        self._handle_binding(now, key, binding.record_calls(now, calls, failed))
 
-    def _recovered(self, now: float, key: str) -> None:
+    def _handle_recovery(self, now: float, key: str) -> None:
         limit = self._allocator.limit(key)
         if limit is not None and limit.mode is LimitMode.ADAPTIVE:
-            self._note(now, key, self._binding(key, limit).recovered(now))
+            self._handle_binding(now, key, self._binding(key, limit).recovered(now))
 
     def _binding(self, key: str, limit: Limit) -> Binding:
         binding = self._bindings.get(key)
@@ -300,38 +299,38 @@
             binding = self._bindings[key] = Binding(limit)
         return binding
 
-    def _note(self, now: float, key: str, cause: Cause | None) -> None:
-        """A limit was bound, if there is a cause: what it has had lately counts against its leases."""
+    def _handle_binding(self, now: float, key: str, cause: Cause | None) -> None:
+        """If a limit was bound, count its recent calls against it and notify senders."""
         if cause is None:
             return
         self.causes[cause] += 1
         binding = self._bindings[key]
         used, made_at = binding.recent_calls(now), now
         if cause is Cause.LEARNING:
-            used, made_at = binding.limit.calls, self._began_at
+            used, made_at = binding.limit.calls, self._started_at
         self._allocator.count_unleased(now, key, used, made_at)
-        self._check_later(now, key)
+        self._schedule_check(now, key)
         self._status_changed(key, KeyStatus.FREE)
 
-    def _check_later(self, now: float, key: str) -> None:
-        if key not in self._checked:
-            self._checked.add(key)
+    def _schedule_check(self, now: float, key: str) -> None:
+        if key not in self._check_keys:
+            self._check_keys.add(key)
             self._checks.append((now + CHECK_MS, key))
 
     # Time
 
     def tick(self, now: float) -> list[Lease]:
-        """Time goes on: leases to put on record, and then to ``grant``."""
-        self._limits_due(now)
-        self._news.tick(now)
+        """Do what is due; returns the leases to record and then to ``grant``."""
+        self._apply_due_limits(now)
+        self._notifier.tick(now)
         leases = self._allocator.allocate(now)
         while self._checks and self._checks[0][0] <= now:
             _, key = self._checks.popleft()
-            self._checked.discard(key)
-            self._check(now, key)
+            self._check_keys.discard(key)
+            self._check_release(now, key)
         return leases
 
-    def _check(self, now: float, key: str) -> None:
+    def _check_release(self, now: float, key: str) -> None:
         binding = self._bindings.get(key)
         if binding is None or not binding.bound:
             return
@@ -340,26 +339,26 @@
         if binding.try_release(now):
             self._status_changed(key, KeyStatus.BOUND)
         else:
-            self._check_later(now, key)
+            self._schedule_check(now, key)
 
     def grant(self, now: float, leases: list[Lease]) -> None:
-        """Leases that are on record are told to their owners."""
+        """Send recorded leases to their owners."""
         for lease in leases:
             per_s = round(self._allocator.rate(now, lease.key, lease.owner), 3)
             granted = GrantedLease(lease.key, lease.serial, lease.calls, lease.until, per_s)
-            self._news.grant(lease.owner, granted)
+            self._notifier.grant(lease.owner, granted)
 
     def take_messages(self) -> dict[Owner, list[LimitMessage]]:
-        """What is to be written now, by owner; each owner's in one write."""
-        return self._news.take_messages()
+        """The messages to write now, by owner; those of one owner go into one write."""
+        return self._notifier.take_messages()
 
     @property
     def busy(self) -> bool:
-        """Whether ``tick`` has to be called soon: somebody waits for a lease."""
+        """Whether somebody waits for a lease, so that ``tick`` has to be called soon."""
         return self._allocator.waiting
 
     @property
     def next_at(self) -> float:
-        """When ``tick`` has to be called even if nobody waits; inf: not at all."""
+        """When ``tick`` has to be called next if nobody waits for a lease; inf: not at all."""
         check_at = self._checks[0][0] if self._checks else inf
-        return min(check_at, self._sources.next_at, self._news.next_at)
+        return min(check_at, self._sources.next_at, self._notifier.next_at)
--- a/springspread/fleet/chunking.py
+++ b/springspread/fleet/chunking.py
@@ -1,4 +1,4 @@
-"""Splits what names keys into parts that each fit one message and one line. No I/O."""
+"""Splits entries with keys into chunks that each fit one message and one line. No I/O."""
 
 from __future__ import annotations
 
@@ -9,29 +9,29 @@
 
 from springspread.fleet.messages import LINE_BYTES, MAX_KEYS
 
-COUNT_BYTES = 22  # a count, and the signs between a key and the next one
+COUNT_BYTES = 22  # a count and the punctuation up to the next key
 ENTRY_BYTES = 128  # an array of a key and at most four numbers, without the key
-PART_BYTES = LINE_BYTES // 4  # a message has at most three lists of keys
+CHUNK_BYTES = LINE_BYTES // 4  # a message has at most three lists of keys
 
 Entry = TypeVar("Entry")
 
 
 def key_bytes(key: str) -> int:
-    """The bytes of a key as it is written."""
+    """The encoded size of a key."""
     return len(msgspec.json.encode(key))
 
 
-def parts(
+def chunked(
     entries: Iterable[Entry], key_of: Callable[[Entry], str], entry_bytes: int = ENTRY_BYTES
 ) -> list[list[Entry]]:
-    """Lists of at most ``MAX_KEYS`` entries and ``PART_BYTES`` bytes; each entry adds ``entry_bytes``."""
-    made: list[list[Entry]] = []
+    """Chunks of at most ``MAX_KEYS`` entries and ``CHUNK_BYTES``, adding ``entry_bytes`` to each key."""
+    chunks: list[list[Entry]] = []
     size = 0
     for entry in entries:
-        more = key_bytes(key_of(entry)) + entry_bytes
-        if not made or len(made[-1]) >= MAX_KEYS or size + more > PART_BYTES:
-            made.append([])
+        entry_size = key_bytes(key_of(entry)) + entry_bytes
+        if not chunks or len(chunks[-1]) >= MAX_KEYS or size + entry_size > CHUNK_BYTES:
+            chunks.append([])
             size = 0
-        made[-1].append(entry)
-        size += more
-    return made
+        chunks[-1].append(entry)
+        size += entry_size
+    return chunks
--- a/springspread/fleet/limit_sources.py
+++ b/springspread/fleet/limit_sources.py
@@ -1,6 +1,7 @@
-"""Which limit of a key holds: the operators', before what its partner tells, and at a change both.
+"""Which limit of a key applies: the operators' takes precedence over the partner's.
 
-No I/O, time handed in. Times are milliseconds.
+Until announced limits take effect, the stricter of the old and the new ones applies. No I/O; the time is an
+argument. Times are milliseconds.
 """
 
 from __future__ import annotations
@@ -13,53 +14,57 @@
 
 
 class LimitSources:
-    """The operators' limits, those of a change that is to come, and what partners told last."""
+    """The operators' limits, the announced ones, and the latest ones of partners."""
 
     def __init__(self, operator: Mapping[str, Limit]) -> None:
         self._operator = dict(operator)
         self._partner: dict[str, Limit] = {}
-        self._next: tuple[float, Mapping[str, Limit]] | None = None
-        self._until_then: dict[str, Limit] = {}  # stricter limits that hold until the announced ones do
+        self._announced: tuple[float, Mapping[str, Limit]] | None = None
+        self._interim: dict[str, Limit] = {}  # stricter limits until the announced ones take effect
 
-    def partner_told(self, key: str, limit: Limit) -> bool:
-        """A partner tells its limit; whether that is the one that holds."""
+    def set_partner_limit(self, key: str, limit: Limit) -> bool:
+        """Record a partner's limit; whether it applies, as the operators set none."""
         self._partner[key] = limit
-        coming = self._next[1] if self._next is not None else {}
-        return key not in self._operator and key not in coming
+        announced = self._announced[1] if self._announced is not None else {}
+        return key not in self._operator and key not in announced
 
-    def partner_mode(self, mode: LimitMode) -> dict[str, Limit]:
-        """Limits that partners tell have another mode from now on; those that hold and so change."""
-        told = {key: replace(limit, mode=mode) for key, limit in self._partner.items() if limit.mode != mode}
-        self._partner |= told
-        coming = self._next[1] if self._next is not None else {}
-        return {key: limit for key, limit in told.items() if key not in self._operator and key not in coming}
+    def set_partner_mode(self, mode: LimitMode) -> dict[str, Limit]:
+        """Change the mode of all partners' limits; those that apply and so change."""
+        updated = {
+            key: replace(limit, mode=mode) for key, limit in self._partner.items() if limit.mode != mode
+        }
+        self._partner |= updated
+        announced = self._announced[1] if self._announced is not None else {}
+        return {
+            key: limit for key, limit in updated.items() if key not in self._operator and key not in announced
+        }
 
     def announce(self, limits: Mapping[str, Limit], since: float) -> dict[str, Limit]:
-        """Other operators' limits hold from a moment on; those to put in force at once, until then.
+        """Announce the operators' limits from ``since`` on; the stricter limits to apply at once until then.
 
-        Until that moment each key keeps both. What an earlier announcement made stricter stays so until then.
+        What an earlier announcement made stricter stays so until then.
         """
-        self._next = (since, limits)
+        self._announced = (since, limits)
         changed = {}
         for key, limit in limits.items():
-            held = self._until_then.get(key) or self._operator.get(key) or self._partner.get(key)
-            strict = limit if held is None else stricter(held, limit)
-            if strict != held:
+            current = self._interim.get(key) or self._operator.get(key) or self._partner.get(key)
+            strict = limit if current is None else stricter(current, limit)
+            if strict != current:
                 changed[key] = strict
-        self._until_then |= changed
+        self._interim |= changed
         return changed
 
     @property
     def next_at(self) -> float:
-        """When the announced limits hold; inf: none are announced."""
-        return inf if self._next is None else self._next[0]
+        """When the announced limits take effect; inf: none are announced."""
+        return inf if self._announced is None else self._announced[0]
 
-    def due(self, now: float) -> dict[str, Limit | None]:
-        """The limits that change because the announced ones hold now; ``None``: the key has none any more."""
-        if self._next is None or now < self._next[0]:
+    def apply_due(self, now: float) -> dict[str, Limit | None]:
+        """Apply announced limits that are due; the changed limits, ``None`` for keys that now have none."""
+        if self._announced is None or now < self._announced[0]:
             return {}
-        before, (_, limits) = self._operator | self._until_then, self._next
-        self._next, self._operator, self._until_then = None, dict(limits), {}
+        before, (_, limits) = self._operator | self._interim, self._announced
+        self._announced, self._operator, self._interim = None, dict(limits), {}
         changed: dict[str, Limit | None] = {
             key: limit for key, limit in limits.items() if before.get(key) != limit
         }
@@ -69,16 +74,16 @@
 
 
 def stricter(one: Limit, other: Limit) -> Limit:
-    """The least strict limit of its kind that keeps both, exact where either is.
+    """A limit that satisfies both, exact if either is.
 
-    It has the fewer calls, and a span so long that the longer span holds no more of them than it may: at
-    least half the rate of the lower one. Where one limit keeps the other one, it is that one.
+    It allows the fewer calls, over a span long enough that the longer span holds no more of them than its
+    limit. Its rate is at least half of the lower one. If one limit implies the other, it is that one.
     """
     short, long = sorted((one, other), key=lambda limit: limit.span_ms)
     calls = min(short.calls, long.calls)
-    fit = long.calls // calls  # so many times the calls fit the longer span
-    span_ms = max(short.span_ms, long.span_ms / fit)
-    if ceil(long.span_ms / span_ms) > fit:  # by a rounding
+    multiple = long.calls // calls  # how often the longer limit allows as many calls
+    span_ms = max(short.span_ms, long.span_ms / multiple)
+    if ceil(long.span_ms / span_ms) > multiple:  # due to rounding
         span_ms *= 1.0 + 1e-9
     exact = LimitMode.EXACT in (one.mode, other.mode)
     return Limit(calls, span_ms, LimitMode.EXACT if exact else LimitMode.ADAPTIVE)
--- a/springspread/fleet/outbox.py
+++ b/springspread/fleet/outbox.py
@@ -1,4 +1,4 @@
-"""What one sender is to be told, gathered until it is written. No I/O."""
+"""Collects the messages to one sender until they are written. No I/O."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 from msgspec.structs import replace
 
-from springspread.fleet.chunking import parts
+from springspread.fleet.chunking import chunked
 from springspread.fleet.messages import (
     MAX_KEYS,
     Fingerprint,
@@ -21,7 +21,7 @@
 
 @dataclass(slots=True)
 class Outbox:
-    """What one sender is to be told."""
+    """The pending messages to one sender."""
 
     welcome: Welcome | None = None
     acknowledged: int = 0
@@ -29,31 +29,31 @@
     leases: list[GrantedLease] = field(default_factory=list)
 
     def messages(self) -> list[LimitMessage]:
-        """In the order in which they are to be read."""
+        """The messages, in the order in which they have to be read."""
         statuses = self._status_messages()
-        made: list[LimitMessage] = []
+        messages: list[LimitMessage] = []
         if self.welcome is not None:
-            made.append(replace(self.welcome, following=len(statuses)))
-        made += statuses
-        made += [LeaseGrants(tuple(leases)) for leases in parts(self.leases, lambda lease: lease.key)]
-        return made
+            messages.append(replace(self.welcome, following=len(statuses)))
+        messages += statuses
+        messages += [LeaseGrants(tuple(leases)) for leases in chunked(self.leases, lambda lease: lease.key)]
+        return messages
 
     def _status_messages(self) -> list[KeyStatuses]:
         by_status: dict[KeyStatus, list[Fingerprint]] = {status: [] for status in KeyStatus}
-        for one, status in self.statuses.items():
-            by_status[status].append(one)
+        for digest, status in self.statuses.items():
+            by_status[status].append(digest)
         count = max(max(map(len, by_status.values())), 1 if self.acknowledged else 0)
-        made = []
+        messages = []
         for start in range(0, count, MAX_KEYS):
-            part = {status: tuple(ones[start : start + MAX_KEYS]) for status, ones in by_status.items()}
+            part = {status: tuple(group[start : start + MAX_KEYS]) for status, group in by_status.items()}
             last = start + MAX_KEYS >= count
-            made.append(
+            messages.append(
                 KeyStatuses(
-                    # Behind all statuses: it extends the right to free calls.
+                    # With the last statuses only, as it extends the right to make free calls.
                     self.acknowledged if last else 0,
                     part[KeyStatus.BOUND],
                     part[KeyStatus.FREE],
                     part[KeyStatus.UNLIMITED],
                 )
             )
-        return made
+        return messages
--- a/springspread/fleet/sender_notifier.py
+++ b/springspread/fleet/sender_notifier.py
@@ -1,18 +1,19 @@
-"""What registered senders are told, gathered by owner until it is written. No I/O, time handed in.
+"""Decides what registered senders are notified of, and collects it by owner. No I/O; the time is an argument.
 
-Theory of operation. Who is told of a change of status follows from the fleet's default:
+Theory of operation. Who is notified of a change of status depends on the fleet's default:
 
-    default    a key that a sender knows nothing of   who is told of a change
-    BOUND      needs a lease; the answer to a request  senders that were told another status before
-               for one that does not is its status
-    FREE       is free                                 every sender, by a 32-bit fingerprint, as with one call
-                                                       a sender and destination in minutes nobody would know
+    default    a key unknown to a sender               who is notified of a change
+    BOUND      needs a lease; a request for a key      senders that were sent another status before
+               that needs none is answered with
+               its status
+    FREE       is free                                 every sender, by a 32-bit fingerprint, as a sender that
+                                                       calls a destination once in minutes would not learn it
                                                        in time otherwise (docs/design/limits-at-scale.md)
 
-A sender's news go out in one write with whatever it is told next. News for every sender wait for more of
-them (``BATCH_DELAY_MS``), as each write costs more than what it says, and follow the ones before after
-``BROADCAST_INTERVAL_MS``: a binding that comes alone is told soon, and of many at once each sender gets
-a few writes a second.
+Notifications for one sender are written together. Broadcasts to all senders are batched for
+``BATCH_DELAY_MS``, as a write costs more than its content, and follow each other after
+``BROADCAST_INTERVAL_MS`` at the earliest: a single binding is sent soon, and many cause only a few writes a
+second to each sender.
 """
 
 from __future__ import annotations
@@ -25,37 +26,37 @@
 from springspread.fleet.outbox import Outbox
 
 BATCH_DELAY_MS = {KeyStatus.BOUND: 50.0, KeyStatus.FREE: 1_000.0}
-"""So long news for every sender wait for more of them, where nothing else goes out to it before."""
-BROADCAST_INTERVAL_MS = 250.0  # the least between two of these writes
+"""How long a broadcast of a status waits for others, unless something else is written to a sender before."""
+BROADCAST_INTERVAL_MS = 250.0  # the shortest time between two broadcasts
 
 
 class SenderNotifier:
-    """The senders that are registered, what each knows, and what each is to be told."""
+    """The registered senders, the statuses that each knows, and its pending messages."""
 
     def __init__(self, default: KeyStatus) -> None:
-        """``default``: the status of keys that a sender is told nothing of."""
+        """``default``: the status of keys that a sender does not know."""
         self.default = default
         self._outboxes: dict[Owner, Outbox] = {}  # of registered owners
-        self._ready: dict[Owner, None] = {}  # those whose news go out at the next chance
-        self._bound: dict[Fingerprint, None] = {}  # limits that need leases, where that is not the default
-        self._informed: dict[Owner, set[Fingerprint]] = {}  # of which it knows a status but the default
-        self._gather_ms = inf  # how long the news for every sender wait; inf: there are none
-        self._gather_since = inf
-        self._sent_at = -inf  # when news for every sender last went out
+        self._ready: dict[Owner, None] = {}  # owners with messages to write now
+        self._bound: dict[Fingerprint, None] = {}  # keys that need leases, if that is not the default
+        self._informed: dict[Owner, set[Fingerprint]] = {}  # keys whose status it knows
+        self._batch_delay_ms = inf  # how long the broadcast waits; inf: there is none
+        self._batch_since = inf
+        self._flushed_at = -inf  # when there was last a broadcast
 
     def registered(self, owner: Owner) -> bool:
         """Whether this start of a sender is registered."""
         return owner in self._outboxes
 
     def join(self, owner: Owner, *, complete: bool) -> None:
-        """A sender registers, in place of earlier starts of it; ``complete``: as in ``Welcome``."""
+        """Register a sender in place of its earlier starts; ``complete``: as in ``Welcome``."""
         for other in [other for other in self._outboxes if other[0] == owner[0] and other != owner]:
             self.leave(other)
         self._outboxes[owner] = Outbox()
         self._welcome(owner, complete=complete)
 
     def leave(self, owner: Owner) -> None:
-        """Its connection is over."""
+        """Remove a sender whose connection has closed."""
         self._outboxes.pop(owner, None)
         self._informed.pop(owner, None)
         self._ready.pop(owner, None)
@@ -67,101 +68,101 @@
         outbox.statuses = dict.fromkeys(self._bound, KeyStatus.BOUND)
         self._ready[owner] = None
 
-    def forget(self, default: KeyStatus) -> None:
-        """Another default holds: what senders know says nothing any more. ``welcome_all`` follows."""
+    def reset(self, default: KeyStatus) -> None:
+        """Change the default, which invalidates what senders know; call ``welcome_all`` next."""
         self.default = default
         self._bound, self._informed = {}, {}
 
     def welcome_all(self, bound: Iterable[Fingerprint]) -> None:
-        """Begin anew with every sender, under the default that holds now."""
+        """Send every sender a new welcome and the keys that need leases."""
         self._bound = dict.fromkeys(bound)
         for owner in self._outboxes:
             self._welcome(owner, complete=True)
 
-    def anybody_knows(self, one: Fingerprint) -> bool:
-        """Whether any sender was told a status of these keys that is not the default."""
-        return any(one in known for known in self._informed.values())
+    def anybody_knows(self, digest: Fingerprint) -> bool:
+        """Whether any sender knows a status of this fingerprint other than the default."""
+        return any(digest in known for known in self._informed.values())
 
-    def status_changed(self, one: Fingerprint, before: KeyStatus, status: KeyStatus) -> None:
-        """Keys with this fingerprint have another status, or may have: only changes are told."""
-        if status is before and (status is not KeyStatus.BOUND or one in self._bound):
+    def status_changed(self, digest: Fingerprint, before: KeyStatus, status: KeyStatus) -> None:
+        """Notify senders of the status of a fingerprint if it has changed."""
+        if status is before and (status is not KeyStatus.BOUND or digest in self._bound):
             return
         if self.default is KeyStatus.FREE:
-            self._broadcast(one, status)
+            self._broadcast(digest, status)
             return
         for owner, known in self._informed.items():
-            if one in known:
-                self._tell(owner, one, status)
+            if digest in known:
+                self._notify(owner, digest, status)
                 if status is KeyStatus.BOUND:
-                    known.discard(one)
+                    known.discard(digest)
 
-    def _broadcast(self, one: Fingerprint, status: KeyStatus) -> None:
-        known = one in self._bound
+    def _broadcast(self, digest: Fingerprint, status: KeyStatus) -> None:
+        was_bound = digest in self._bound
         if status is KeyStatus.BOUND:
-            self._bound[one] = None
+            self._bound[digest] = None
         else:
-            self._bound.pop(one, None)
-        if known is not (status is KeyStatus.BOUND):
+            self._bound.pop(digest, None)
+        if was_bound is not (status is KeyStatus.BOUND):
             for outbox in self._outboxes.values():
-                outbox.statuses[one] = status
-            self._gather_ms = min(self._gather_ms, BATCH_DELAY_MS[status])
+                outbox.statuses[digest] = status
+            self._batch_delay_ms = min(self._batch_delay_ms, BATCH_DELAY_MS[status])
 
-    def _tell(self, owner: Owner, one: Fingerprint, status: KeyStatus) -> None:
+    def _notify(self, owner: Owner, digest: Fingerprint, status: KeyStatus) -> None:
         if (outbox := self._outboxes.get(owner)) is not None:
-            outbox.statuses[one] = status
+            outbox.statuses[digest] = status
             self._ready[owner] = None
 
-    def answer(self, owner: Owner, one: Fingerprint, status: KeyStatus, *, waits: bool) -> None:
-        """A sender asked for a key that needs no lease; ``waits``: for a call, not ahead of any."""
+    def answer(self, owner: Owner, digest: Fingerprint, status: KeyStatus, *, waits: bool) -> None:
+        """Answer a request for a key that needs no lease; ``waits``: a call waits for the answer."""
         if self.default is KeyStatus.BOUND:
-            if waits or one not in self._informed[owner]:
-                self._informed[owner].add(one)
-                self._tell(owner, one, status)
+            if waits or digest not in self._informed[owner]:
+                self._informed[owner].add(digest)
+                self._notify(owner, digest, status)
         elif waits:
-            self._tell(owner, one, status)
+            self._notify(owner, digest, status)
 
     def acknowledge(self, owner: Owner, sequence: int) -> None:
-        """Use reports of a sender count, up to this one."""
+        """Acknowledge the use reports of a sender up to a sequence."""
         outbox = self._outboxes[owner]
         outbox.acknowledged = max(outbox.acknowledged, sequence)
         self._ready[owner] = None
 
     def grant(self, owner: Owner, lease: GrantedLease) -> None:
-        """A lease is on record."""
+        """Send a recorded lease to its owner."""
         if (outbox := self._outboxes.get(owner)) is not None:
             outbox.leases.append(lease)
             self._ready[owner] = None
 
     def tick(self, now: float) -> None:
-        """Time goes on: what was gathered for long enough goes out."""
-        if self._gather_ms < inf:
-            self._gather_since = min(self._gather_since, now)
-        if now >= self._gathered_until:
-            self.send_gathered(now)
+        """Start or flush the batch of broadcasts as due."""
+        if self._batch_delay_ms < inf:
+            self._batch_since = min(self._batch_since, now)
+        if now >= self._flush_at:
+            self.flush(now)
 
     @property
-    def _gathered_until(self) -> float:
-        return max(self._gather_since + self._gather_ms, self._sent_at + BROADCAST_INTERVAL_MS)
+    def _flush_at(self) -> float:
+        return max(self._batch_since + self._batch_delay_ms, self._flushed_at + BROADCAST_INTERVAL_MS)
 
-    def send_gathered(self, now: float) -> None:
-        """Gather no longer."""
-        self._sent_at = now
-        self._gather_ms = self._gather_since = inf
+    def flush(self, now: float) -> None:
+        """Send all batched broadcasts."""
+        self._flushed_at = now
+        self._batch_delay_ms = self._batch_since = inf
         for owner, outbox in self._outboxes.items():
             if outbox.statuses:
                 self._ready[owner] = None
 
     def take_messages(self) -> dict[Owner, list[LimitMessage]]:
-        """What is to be written now, by owner; each owner's in one write."""
-        made = {}
+        """The messages to write now, by owner; those of one owner go into one write."""
+        messages = {}
         for owner in self._ready:
-            made[owner] = self._outboxes[owner].messages()
+            messages[owner] = self._outboxes[owner].messages()
             self._outboxes[owner] = Outbox()
         self._ready = {}
-        return made
+        return messages
 
     @property
     def next_at(self) -> float:
-        """When ``tick`` has to be called; inf: not at all."""
-        untimed = self._gather_ms < inf and self._gather_since == inf
-        return -inf if untimed else self._gathered_until
+        """When ``tick`` has to be called next; inf: not at all."""
+        batch_not_started = self._batch_delay_ms < inf and self._batch_since == inf
+        return -inf if batch_not_started else self._flush_at
--- a/springspread/fleet/sender_session.py
+++ b/springspread/fleet/sender_session.py
@@ -10,7 +10,7 @@
 from collections.abc import Iterable, Mapping
 from itertools import islice, zip_longest
 
-from springspread.fleet.chunking import COUNT_BYTES, parts
+from springspread.fleet.chunking import COUNT_BYTES, chunked
 from springspread.fleet.lease_cache import LeaseCache
 from springspread.fleet.limits import Lease
 from springspread.fleet.messages import (
@@ -144,9 +144,9 @@
 ) -> list[LimitMessage]:
     """One request where all of it fits one, which is usual."""
     split = zip_longest(
-        parts(demands.items(), lambda entry: entry[0], COUNT_BYTES),
-        parts(reports, lambda report: report.key),
-        parts(rates.items(), lambda entry: entry[0]),
+        chunked(demands.items(), lambda entry: entry[0], COUNT_BYTES),
+        chunked(reports, lambda report: report.key),
+        chunked(rates.items(), lambda entry: entry[0]),
         fillvalue=(),
     )
     return [LeaseRequest(dict(some), tuple(done), dict(told)) for some, done, told in split]
--- a/tests/fleet/test_allocator_control.py
+++ b/tests/fleet/test_allocator_control.py
@@ -243,9 +243,9 @@
     assert not frozen.call("g1", fleet.now)  # before it hears anything
     report = frozen.session.due(fleet.now)
     assert [type(one) for one in report] == [UseReport]
-    before = fleet.control.given_out("g1", fleet.now)
+    before = fleet.control.committed_calls("g1", fleet.now)
     fleet.deliver(frozen, report[0])
-    assert fleet.control.given_out("g1", fleet.now) == before  # its calls are out of every span
+    assert fleet.control.committed_calls("g1", fleet.now) == before  # its calls are out of every span
     frozen.frozen = False
     resumed = fleet.now
     fleet.run(resumed + 6_000.0, {"g1": 1})
@@ -270,7 +270,7 @@
     assert counted(13.0, old, UseReport(3, SPAN + 1.0, {"g1": 5})) == 0  # too late to matter
     control.register(14.0, Register(PROTOCOL_VERSION, "fleet", *new))
     assert counted(15.0, new, UseReport(1, 0.0, {"g1": 5})) == 5  # a new start counts anew
-    with pytest.raises(RegisterRefused, match="n0: start 1 is not registered any more"):
+    with pytest.raises(RegisterRefused, match="n0: epoch 1 is no longer registered"):
         counted(16.0, old, UseReport(9, 0.0, {"g1": 5}))  # of the start before
     assert binding.recent_calls(16.0) == 10
     (first, *_) = control.take_messages()[new]
@@ -355,7 +355,7 @@
     given = fleet.now
     fleet.run(given + 8_000.0, {"g1": 1})
     assert fleet.most("g1", begin=given + (0.1 if mode is EXACT else FRESH_MS + SPAN)) <= 20
-    fleet.control.unlimited("g1")
+    fleet.control.remove_limit("g1")
     taken = fleet.now
     fleet.run(taken + 1_000.0, {"g1": 1})
     assert sum(at > taken for at, _ in fleet.senders[0].made) >= 90
@@ -365,9 +365,9 @@
     control = AllocatorControl("fleet", EXACT, {}, Allocator(), 0.0)
     control.register(0.0, Register(PROTOCOL_VERSION, "fleet", "n0", 3))
     for register, fault in [
-        (Register(PROTOCOL_VERSION, "other", "n0", 4), "another fleet: other"),
-        (Register(PROTOCOL_VERSION, "fleet", "n0", 2), "n0: a later start of it is known than 2"),
-        (Register(9, "fleet", "n0", 4), "protocol version 9, this is 2"),
+        (Register(PROTOCOL_VERSION, "other", "n0", 4), "member of another fleet: other"),
+        (Register(PROTOCOL_VERSION, "fleet", "n0", 2), "n0: epoch 2 was replaced by a later one"),
+        (Register(9, "fleet", "n0", 4), "protocol version 9, expected 2"),
     ]:
         with pytest.raises(RegisterRefused, match=fault):
             control.register(1.0, register)
@@ -383,7 +383,7 @@
     assert sum(lease.calls for lease in leases) == 10
     for lease in leases:
         control.received(3.0, other, LeaseRequest({"g1": 0}, (LeaseReport("g1", lease.serial, 0, 0.0),)))
-    assert control.given_out("g1", 3.0) == 10
+    assert control.committed_calls("g1", 3.0) == 10
 
 
 def test_a_fleet_that_changes_its_default_tells_each_sender_and_keeps_the_stricter_one_until_then() -> None:
--- a/tests/fleet/test_allocator_server.py
+++ b/tests/fleet/test_allocator_server.py
@@ -153,10 +153,13 @@
 BAD_PEERS = {
     "a line that is too long": (b"[" + b"1" * (LINE_BYTES + 10), "a line of more than"),
     "a line that is torn": (encode(Register(PROTOCOL_VERSION, "", "n1", 1))[:-9] + b"\n", "not a message"),
-    "an unknown version": (encode(Register(9, "", "n1", 1)), "protocol version 9, this is 2"),
+    "an unknown version": (encode(Register(9, "", "n1", 1)), "protocol version 9, expected 2"),
     "the version before": (b'{"kind":"hello","name":"n1","epoch":1}\n', "of protocol version 1"),
-    "another fleet": (encode(Register(PROTOCOL_VERSION, "other", "n1", 1)), "another fleet: other"),
-    "an older start": (encode(Register(PROTOCOL_VERSION, "", "n0", 0)), "n0: a later start of it is known"),
+    "another fleet": (encode(Register(PROTOCOL_VERSION, "other", "n1", 1)), "member of another fleet: other"),
+    "an older start": (
+        encode(Register(PROTOCOL_VERSION, "", "n0", 0)),
+        "n0: epoch 0 was replaced by a later",
+    ),
     "a request before it registers": (encode(LeaseRequest({"g1": 1})), "not expected before it registers"),
     "what only an allocator says": (
         encode(Register(PROTOCOL_VERSION, "", "n1", 1)) + encode(Welcome(KeyStatus.FREE, True)),
@@ -173,7 +176,7 @@
     server = AllocatorServer(tmp_path / "allot", tmp_path, {"g1": Limit(100, 60_000.0)}, log)
     good = FleetShares(tmp_path / "allot", "n0", 1, NullLog())
     until(lambda: good.acquire(LINK), "a call of a good one")
-    given_out = server.control.given_out("g1", SYSTEM.now())
+    given_out = server.control.committed_calls("g1", SYSTEM.now())
     with socket.socket(socket.AF_UNIX) as peer:
         peer.connect(str(server.path))
         peer.settimeout(5.0)
@@ -182,7 +185,7 @@
             pass  # a welcome may have come before the end
     until(lambda: log.warnings, "its log line")
     assert len(log.warnings) == 1 and fault in log.warnings[0]
-    assert server.control.given_out("g1", SYSTEM.now()) >= min(given_out, 1)
+    assert server.control.committed_calls("g1", SYSTEM.now()) >= min(given_out, 1)
     until(lambda: good.acquire(LINK), "the good one goes on")
     good.close()
     server.close()
@@ -194,12 +197,12 @@
     with socket.socket(socket.AF_UNIX) as peer:
         peer.connect(str(place.path))
         peer.sendall(encode(Register(PROTOCOL_VERSION, "", "n1", 1)))
-        before = place.server.control.given_out("g1", SYSTEM.now())
+        before = place.server.control.committed_calls("g1", SYSTEM.now())
         reports = tuple(LeaseReport("g1", serial, 0, 0.0) for serial in range(1, 50))
         peer.sendall(encode(LeaseRequest({}, reports)))
         peer.sendall(encode(LeaseRequest({"g1": 1})))
         until(lambda: b'[6,[["g1"' in peer.recv(65536), "the answer to what came after")
-    assert place.server.control.given_out("g1", SYSTEM.now()) >= before
+    assert place.server.control.committed_calls("g1", SYSTEM.now()) >= before
 
 
 class CountedEvent(threading.Event):
@@ -395,7 +398,7 @@
                 _flipped(path)
     for _ in range(3):  # a daemon that dies soon after its start
         server = AllocatorServer(tmp_path / "allot", tmp_path, limits, NullLog(), had_predecessor=True)
-        assert server.control.given_out("g1", SYSTEM.now()) >= 8
+        assert server.control.committed_calls("g1", SYSTEM.now()) >= 8
         server.close()
     assert [name for name, _ in leased_epochs(tmp_path)] == []
 
--- a/tests/fleet/test_allocator_stateful.py
+++ b/tests/fleet/test_allocator_stateful.py
@@ -285,7 +285,7 @@
     run_state_machine_as_test(machine, settings=SEARCH)
 
 
-def test_the_search_finds_a_successor_that_forgets_what_was_given_out() -> None:
+def test_the_search_finds_a_successor_that_forgets_what_was_committed_calls() -> None:
     with pytest.raises(AssertionError):
         run_state_machine_as_test(
             Forgetful, settings=settings(SEARCH, max_examples=500, phases=[Phase.generate])
--- a/tests/fleet/test_limits_regressions.py
+++ b/tests/fleet/test_limits_regressions.py
@@ -169,7 +169,7 @@
     for now in range(3 + int(BATCH_DELAY_MS[KeyStatus.BOUND]), 20_000, 100):
         pair.heard(float(now), pair.downward(float(now)))
         assert pair.cache.take(other, float(now)) > 0.0
-    pair.control.unlimited(other)
+    pair.control.remove_limit(other)
     pair.heard(20_000.0, pair.downward(20_000.0))
     pair.exchange(20_001.0)
     assert not pair.control.is_bound(one) and not pair.control.is_bound(other)
@@ -441,7 +441,7 @@
         control.set_limit(float(n), "g1", Limit(20, SPAN, ADAPTIVE))
         control.set_limit(float(n), "g1", Limit(10, SPAN, ADAPTIVE))  # it falls: it is bound
         if n < 99:
-            control.unlimited("g1")
+            control.remove_limit("g1")
     once = AllocatorControl("fleet", ADAPTIVE, {"g1": Limit(20, SPAN, ADAPTIVE)}, Allocator(), 0.0)
     once.set_limit(0.0, "g1", Limit(10, SPAN, ADAPTIVE))
     moments = [float(now) for now in range(1_000, 8_000, 500)]
