--- a/springspread/fleet/allocator_server.py
+++ b/springspread/fleet/allocator_server.py
@@ -1,7 +1,7 @@
-"""The allocator's driver: a Unix socket that instances connect to, a record on disk, and a thread that ticks.
+"""Serves the allocator on a Unix socket: connections of instances, the lease record, and the ticking thread.
 
-What is decided stands in ``allocator_control``. A frozen instance blocks nobody: what its socket does not
-take is kept for ``STALLED_MS`` and then dropped with its connection, and its leases run out.
+``allocator_control`` makes the decisions. A frozen instance blocks nobody: messages that its socket does not
+accept are kept for ``STALLED_MS``, then its connection is closed and its leases expire.
 """
 
 from __future__ import annotations
@@ -28,23 +28,23 @@
 
 TICK_MS = 5.0
 IDLE_MS = 200.0
-STALLED_MS = 1_000.0  # an instance that reads nothing for so long loses its connection
-ACCEPT_AGAIN_MS = 100.0
-SLACK_MS = 75.0  # from a call's right to its last byte at the partner: a held last byte and the way there
+STALLED_MS = 1_000.0  # an instance that reads nothing for so long is disconnected
+ACCEPT_RETRY_MS = 100.0
+SLACK_MS = 75.0  # the longest from a call's right to the arrival of its last byte at the partner
 
 
 @dataclass(slots=True, eq=False)
-class Member:
-    """One instance's connection; without an owner until it has registered."""
+class InstanceConnection:
+    """One instance's connection; it has no owner before it registers."""
 
     sock: socket.socket
     owner: Owner | None = None
-    unsent: bytearray = field(default_factory=bytearray)  # what its socket has not taken yet
-    sent_at: float = 0.0  # when it last took anything, while there is more
+    unsent: bytearray = field(default_factory=bytearray)  # bytes that its socket has not accepted yet
+    sent_at: float = 0.0  # when its socket last accepted any of them
 
 
 class AllocatorServer:
-    """Serves until ``close``. ``limits`` are the operator's; others are taken from what partners tell."""
+    """Serves until ``close``. ``limits`` are the operators'; partners announce others."""
 
     def __init__(
         self,
@@ -58,19 +58,19 @@
         default_mode: LimitMode = LimitMode.EXACT,
         fleet: str = "",
     ) -> None:
-        """``on_event`` is told who joined (true) or left (false), votes, and what they act under.
-        ``had_predecessor``: there were instances before, so that no record is a lost one.
-        ``default_mode``: how keys that a sender knows nothing of are treated.
-        ``fleet``: what instances have to name as theirs.
+        """``on_event`` gets the owner, its policy message if any, and whether it is connected.
+        ``had_predecessor``: there were instances before, so that a missing record was lost.
+        ``default_mode``: of keys that a sender does not know.
+        ``fleet``: the identifier that instances have to send.
 
         Raises ``OSError`` where the socket or the record can't be opened."""
         self._log, self._clock = log, clock
         self._lock = threading.Lock()
-        self._news = threading.Event()
-        self._members: dict[Owner, Member] = {}
-        self._unsent: dict[Member, None] = {}  # those whose socket has not taken all
+        self._wake = threading.Event()
+        self._connections: dict[Owner, InstanceConnection] = {}
+        self._blocked: dict[InstanceConnection, None] = {}  # those with unsent bytes
         self._on_event = on_event
-        self._returning: dict[str, tuple[int, Returning]] = {}  # by instance: its epoch, and what it said
+        self._start_reports: dict[str, tuple[int, Returning]] = {}  # by instance, with its epoch
         longest = max([PARTNER_SPAN_MS, *(limit.span_ms for limit in limits.values())])
         self._record = LeaseRecord(folder, longest + SLACK_MS)
         self.control = self._control(fleet, default_mode, limits, had_predecessor)
@@ -91,20 +91,20 @@
         allocator = Allocator(slack_ms=SLACK_MS)
         allocator.restore(record.earlier)
         if not record.complete or (had_predecessor and not record.existed):
-            # Guards limits after a power loss, or a record that is lost: anything may have been given out.
-            self._log.warning("leases not known; limits count as used up")
+            # After a power loss or the loss of the record, any lease may have been granted.
+            self._log.warning("lease record lost or damaged; counting all limits as used up")
             record.append([allocator.assume_exhausted(now)], now)
         learning = had_predecessor or record.existed
         return AllocatorControl(fleet, default_mode, limits, allocator, now, learning)
 
     @property
     def members(self) -> list[Owner]:
-        """Who is connected."""
+        """The owners that are connected."""
         with self._lock:
-            return sorted(self._members)
+            return sorted(self._connections)
 
     def limits_status(self, most: int) -> dict[str, Any]:
-        """How many limits there are and how many adaptive ones are bound; at most so many of them by key."""
+        """The number of limits and of bound adaptive ones, and at most ``most`` of these by key."""
         with self._lock:
             bound = self.control.bound_limits(most)
             return {
@@ -114,178 +114,178 @@
             }
 
     def start_progress(self, owner: Owner) -> Returning | None:
-        """How far an instance's start has come, as it last said."""
-        epoch, said = self._returning.get(owner[0], (-1, None))
-        return said if epoch == owner[1] else None
+        """The last report of an instance on the progress of its start."""
+        epoch, report = self._start_reports.get(owner[0], (-1, None))
+        return report if epoch == owner[1] else None
 
     def _accept(self) -> None:
         while self._open:
             try:
                 sock, _ = self._listener.accept()
             except OSError as exc:
-                if self._open:  # too many open files, or a peer that is gone already
-                    self._log.warning("no instance accepted", error=str(exc))
-                    self._clock.sleep(ACCEPT_AGAIN_MS)
+                if self._open:  # too many open files, or the peer has disconnected already
+                    self._log.warning("accept failed", error=str(exc))
+                    self._clock.sleep(ACCEPT_RETRY_MS)
                 continue
-            spawn("fleet-member", partial(self._serve, Member(sock)), self._log, vital=False)
+            spawn("fleet-member", partial(self._serve, InstanceConnection(sock)), self._log, vital=False)
 
-    def _serve(self, member: Member) -> None:
+    def _serve(self, connection: InstanceConnection) -> None:
         lines = Lines()
         try:
-            while self._open and (data := member.sock.recv(65536)):
+            while self._open and (data := connection.sock.recv(65536)):
                 for message in lines.feed(data):
-                    self._take(member, message)
+                    self._handle(connection, message)
         except Unreadable as exc:
-            self._log.warning("instance not understood", owner=member.owner, fault=str(exc))
+            self._log.warning("invalid message from instance", owner=connection.owner, fault=str(exc))
         except OSError:
             pass
         finally:
             with self._lock:
-                self._unsent.pop(member, None)
-                known = member.owner is not None and self._members.get(member.owner) is member
-                if known and member.owner is not None:
-                    del self._members[member.owner]
-                    self.control.unregister(member.owner)
-            if known and member.owner is not None and self._on_event is not None:
-                self._on_event(member.owner, None, False)
-            member.sock.close()
+                self._blocked.pop(connection, None)
+                known = connection.owner is not None and self._connections.get(connection.owner) is connection
+                if known and connection.owner is not None:
+                    del self._connections[connection.owner]
+                    self.control.unregister(connection.owner)
+            if known and connection.owner is not None and self._on_event is not None:
+                self._on_event(connection.owner, None, False)
+            connection.sock.close()
 
-    def _take(self, member: Member, message: Message) -> None:
+    def _handle(self, connection: InstanceConnection, message: Message) -> None:
         with self._lock:
             if isinstance(message, Register):
-                self._register(member, message)
+                self._register(connection, message)
                 return
-            owner = member.owner
+            owner = connection.owner
             if owner is None:
-                raise Unreadable(f"not expected before it registers: {type(message).__name__}")
+                raise Unreadable(f"message before registration: {type(message).__name__}")
             match message:
                 case LeaseRequest() | UseReport():
-                    self._received(owner, message)
+                    self._handle_limit_message(owner, message)
                 case Vote() | Acting() | Fit():
                     if self._on_event is not None:
                         self._on_event(owner, message, True)
                 case Returning():
-                    self._returning[owner[0]] = (owner[1], message)
+                    self._start_reports[owner[0]] = (owner[1], message)
                 case _:
-                    raise Unreadable(f"not expected: {type(message).__name__}")
+                    raise Unreadable(f"unexpected message: {type(message).__name__}")
 
-    def _register(self, member: Member, message: Register) -> None:
-        if member.owner is not None:
-            raise Unreadable("it has registered already")
+    def _register(self, connection: InstanceConnection, message: Register) -> None:
+        if connection.owner is not None:
+            raise Unreadable("already registered")
         try:
             owner = self.control.register(self._clock.now(), message)
         except RegisterRefused as exc:
             raise Unreadable(str(exc)) from exc
-        for (name, _), replaced in self._members.items():
+        for (name, _), replaced in self._connections.items():
             if name == owner[0]:
-                self._drop(replaced)  # nobody would tell it of any limit from now on
-        member.owner = owner
-        self._members[owner] = member
-        self._news.set()
+                self._drop(replaced)  # it gets no notifications any more
+        connection.owner = owner
+        self._connections[owner] = connection
+        self._wake.set()
         if self._on_event is not None:
             self._on_event(owner, None, True)
 
-    def _received(self, owner: Owner, message: LeaseRequest | UseReport) -> None:
+    def _handle_limit_message(self, owner: Owner, message: LeaseRequest | UseReport) -> None:
         try:
             self.control.received(self._clock.now(), owner, message)
         except RegisterRefused as exc:
             raise Unreadable(str(exc)) from exc
-        self._news.set()
+        self._wake.set()
 
     def send(self, owner: Owner, message: Message) -> None:
-        """Send a message to an instance, if it is connected. Never waits."""
+        """Send a message to an instance if it is connected, without blocking."""
         with self._lock:
-            member = self._members.get(owner)
-            if member is not None:
-                self._send(member, [message])
-                if member.unsent:
-                    self._news.set()
+            connection = self._connections.get(owner)
+            if connection is not None:
+                self._write(connection, [message])
+                if connection.unsent:
+                    self._wake.set()
 
     def schedule_limits(
         self, limits: Mapping[str, Limit], since: float, default_mode: LimitMode | None = None
     ) -> None:
-        """Other limits of the operators hold from a moment on; until then the stricter ones."""
+        """Set the operators' limits that apply from ``since`` on; until then the stricter ones apply."""
         with self._lock:
             self.control.schedule_limits(self._clock.now(), limits, since, default_mode)
             longest = max((limit.span_ms for limit in limits.values()), default=0.0)
             self._record.extend_retention(longest + SLACK_MS)
-            # Guards the limits against a sender that may act under their policy and has not heard of them.
-            self._send_news()
-        self._news.set()
+            # Before any sender is granted the policy of these limits.
+            self._send_notifications()
+        self._wake.set()
 
     def _run(self) -> None:
         while self._open:
             with self._lock:
-                self._news.clear()
+                self._wake.clear()
                 self._tick(self._clock.now())
-                busy = self.control.busy or bool(self._unsent)
+                busy = self.control.busy or bool(self._blocked)
                 wait_ms = min(IDLE_MS, max(self.control.next_at - self._clock.now(), TICK_MS))
             if busy:
                 self._clock.sleep(TICK_MS)
             else:
-                self._news.wait(wait_ms / 1000.0)
+                self._wake.wait(wait_ms / 1000.0)
 
     def _tick(self, now: float) -> None:
-        for blocked in list(self._unsent):
-            self._send_rest(blocked, now)
+        for connection in list(self._blocked):
+            self._send_pending(connection, now)
         leases = self.control.tick(now)
         try:
             if leases:
                 self._record.append(leases, now)
             self.control.grant(now, leases)
         except OSError as exc:
-            # Guards the limit against a successor that would not know of them: they run out untold.
-            self._log.error("leases not on record", error=str(exc))
-        self._send_news()
+            # A successor would not know of these leases, so they expire without being sent.
+            self._log.error("cannot write lease record; leases withheld", error=str(exc))
+        self._send_notifications()
 
-    def _send_news(self) -> None:
+    def _send_notifications(self) -> None:
         for owner, messages in self.control.take_messages().items():
-            member = self._members.get(owner)
-            if member is not None:
-                self._send(member, messages)
+            connection = self._connections.get(owner)
+            if connection is not None:
+                self._write(connection, messages)
 
-    def _send(self, member: Member, messages: Iterable[Message]) -> None:
-        """Never waits: what the socket does not take goes out in a later tick."""
+    def _write(self, connection: InstanceConnection, messages: Iterable[Message]) -> None:
+        """Write without blocking; what the socket does not accept is sent in a later tick."""
         now = self._clock.now()
-        if not member.unsent:
-            member.sent_at = now
-        member.unsent += b"".join(map(encode, messages))
-        self._send_rest(member, now)
+        if not connection.unsent:
+            connection.sent_at = now
+        connection.unsent += b"".join(map(encode, messages))
+        self._send_pending(connection, now)
 
-    def _send_rest(self, member: Member, now: float) -> None:
+    def _send_pending(self, connection: InstanceConnection, now: float) -> None:
         try:
-            sent = member.sock.send(member.unsent, socket.MSG_DONTWAIT)
+            sent = connection.sock.send(connection.unsent, socket.MSG_DONTWAIT)
         except BlockingIOError:
             sent = 0
         except OSError:
-            self._drop(member)
+            self._drop(connection)
             return
-        del member.unsent[:sent]
+        del connection.unsent[:sent]
         if sent:
-            member.sent_at = now
-        if not member.unsent:
-            self._unsent.pop(member, None)
-        elif now < member.sent_at + STALLED_MS:
-            self._unsent[member] = None
+            connection.sent_at = now
+        if not connection.unsent:
+            self._blocked.pop(connection, None)
+        elif now < connection.sent_at + STALLED_MS:
+            self._blocked[connection] = None
         else:
-            self._drop(member)
+            self._drop(connection)
 
-    def _drop(self, member: Member) -> None:
-        """End its connection; its reader does the rest."""
-        member.unsent.clear()
-        self._unsent.pop(member, None)
-        with suppress(OSError):  # it may be gone already
-            member.sock.shutdown(socket.SHUT_RDWR)
+    def _drop(self, connection: InstanceConnection) -> None:
+        """Shut a connection down; its reader cleans up."""
+        connection.unsent.clear()
+        self._blocked.pop(connection, None)
+        with suppress(OSError):  # it may be closed already
+            connection.sock.shutdown(socket.SHUT_RDWR)
 
     def close(self) -> None:
-        """End every connection; instances go on with what they hold and connect anew."""
+        """Close every connection; instances go on with their leases and reconnect."""
         self._open = False
-        self._news.set()
-        with suppress(OSError):  # Guards against a thread that would wait in ``accept`` for ever
+        self._wake.set()
+        with suppress(OSError):  # wakes the thread that waits in ``accept``
             self._listener.shutdown(socket.SHUT_RDWR)
         self._listener.close()
         with self._lock:
-            members = list(self._members.values())
-        for member in members:
+            connections = list(self._connections.values())
+        for connection in connections:
             with suppress(OSError):
-                member.sock.shutdown(socket.SHUT_RDWR)
+                connection.sock.shutdown(socket.SHUT_RDWR)
--- a/springspread/fleet/client.py
+++ b/springspread/fleet/client.py
@@ -1,11 +1,11 @@
 """An instance's connection to the allocator, and the checks that each call makes against it.
 
-Theory of operation. One thread connects, writes what the two sides of the session have due, and connects
-again after a failure; a second one, of each connection, reads. ``sender_session`` and ``lease_cache`` hold
-the leases, ``policy_participant`` the policy. Calls ask from the threads of the sender.
+Theory of operation. One thread connects, writes the messages that are due, and reconnects after a failure;
+each connection has a second thread that reads. ``sender_session`` and ``lease_cache`` hold the leases,
+``policy_participant`` the policy. The sender's threads ask for the right to each call.
 
-While the allocator is away the instance uses the leases that it holds until they end; after that it makes no
-call to a limited destination. Only so are limits kept whatever the number of instances.
+While the allocator is away, the instance uses its leases until they expire; after that it makes no calls to
+limited destinations.
 """
 
 from __future__ import annotations
@@ -33,14 +33,14 @@
 CONNECT_TIMEOUT_S = 2.0
 READ_BYTES = 1 << 16
 POLICY_WAIT_MS = 120.0  # the longest that a call waits for its policy to be in force
-RIGHT_MS = 20.0  # how long the right to a call is good; with a held last byte below the allocator's slack
-LEASE_WAIT_MS = 120.0  # a call waits so long for a lease, on its slot; then its message is decided on anew
+RIGHT_TTL_MS = 20.0  # plus the delay of the call's last byte below the allocator's SLACK_MS
+LEASE_WAIT_MS = 120.0  # the longest that a call waits for a lease before its message is routed again
 
 
 def key_of(endpoint: Endpoint) -> str:
-    """What a limit binds: the endpoint where routes are apart, else its destination.
+    """The key of the limit for an endpoint: its own if its route is separate, else its destination's.
 
-    A name that no message holds is replaced by its hash; operators can't name such a key.
+    A name that does not fit into a message is replaced by its hash; operators can't set limits for such keys.
     """
     if not endpoint.apart:
         return f"g{endpoint.group}"
@@ -52,7 +52,7 @@
 
 
 class FleetShares:
-    """Asked by ``core.clearance`` before each call, and by the loop for what to tell the decision module."""
+    """The instance's share of limits: ``core.clearance`` asks before each call, the loop for load reports."""
 
     def __init__(
         self,
@@ -66,17 +66,17 @@
     ) -> None:
         """``path``: the allocator's socket; ``name`` and ``epoch``: of this instance.
 
-        ``policy``: the number of the policy that this process was started with; 0: there is none.
-        ``fleet``: the fleet that it belongs to, as the allocator knows it.
+        ``policy``: the number of the policy that this process was started with; 0: none.
+        ``fleet``: the identifier of its fleet.
         """
         self._path, self._log, self._clock = path, log, clock
         self._participant = PolicyParticipant(policy, log, clock)
         self._cache = LeaseCache()
         self._session = SenderSession(name, epoch, fleet, self._cache)
         self._received = threading.Condition()  # notified after each batch of messages
-        self._wake = threading.Event()  # set where there may be something to write
+        self._wake = threading.Event()  # set when there may be messages to write
         self._open = True
-        self._start_report: Callable[[], Returning | None] = _no_report
+        self._start_report: Callable[[], Returning | None] = _no_start_report
         self._following = threading.Event()
         if not policy:
             self._following.set()
@@ -90,22 +90,22 @@
     ) -> None:
         """Connect, and follow the fleet's policy.
 
-        ``build_config`` makes a configuration of a policy's text or raises ``ConfigError``; ``deliver`` takes
-        each policy as it comes into force; ``start_report`` says how far the start has come.
+        ``build_config`` makes a configuration from a policy's text or raises ``ConfigError``; ``deliver``
+        gets each policy when it comes into force; ``start_report`` returns the progress of the start.
         """
         self._participant.follow(build_config, deliver)
-        self._start_report = start_report or _no_report
+        self._start_report = start_report or _no_start_report
         self._following.set()
 
     @property
     def policy(self) -> int:
-        """The number of the policy that this process follows; 0: there is none."""
+        """The number of the policy that this process follows; 0: none."""
         return self._participant.version
 
-    # Asked by calls, from any thread
+    # Called from any thread
 
     def enter(self, policy: int) -> bool:
-        """The right to begin a call that was decided under a policy, now or within ``POLICY_WAIT_MS``."""
+        """Whether a call that was decided under a policy may begin; waits up to ``POLICY_WAIT_MS``."""
         until = self._clock.now() + POLICY_WAIT_MS
         while not self.may(policy):
             if self._clock.now() >= until or policy != self.policy:
@@ -114,11 +114,11 @@
         return True
 
     def may(self, policy: int) -> bool:
-        """Whether a call of a policy may begin at this moment."""
+        """Whether a call that was decided under a policy may begin now."""
         return self._participant.may(policy)
 
     def acquire(self, endpoint: Endpoint) -> float:
-        """Until when the right to one call is good, got now or within ``LEASE_WAIT_MS``; 0: there is none."""
+        """Acquire the right to one call; until when it is valid, or 0 if none came in ``LEASE_WAIT_MS``."""
         key, until = key_of(endpoint), self._clock.now() + LEASE_WAIT_MS
         waiting = False
         while self._cache.take(key, now := self._clock.now(), waiting) > 0.0:
@@ -129,28 +129,28 @@
             self._wait_for_messages()
         if self._cache.reports_early:
             self._wake.set()
-        return now + RIGHT_MS if self._cache.is_limited(key) else inf
+        return now + RIGHT_TTL_MS if self._cache.is_limited(key) else inf
 
     def _wait_for_messages(self) -> None:
         with self._received:
             self._received.wait(POLL_MS / 1000.0)
 
     def listed(self, endpoints: Sequence[Endpoint]) -> None:
-        """Endpoints are on the list: whether calls to them need rights is asked ahead."""
-        if self._session.listed(map(key_of, endpoints)):
+        """Request in advance whether calls to listed endpoints need leases."""
+        if self._session.add_keys(map(key_of, endpoints)):
             self._wake.set()
 
     def failed(self, endpoint: Endpoint) -> None:
-        """A call to an endpoint failed."""
+        """Record a failed call to an endpoint."""
         self._cache.failed(key_of(endpoint))
 
     def served(self, endpoint: Endpoint) -> None:
-        """A call to an endpoint succeeded."""
+        """Record a successful call to an endpoint."""
         if self._cache.served(key_of(endpoint)):
             self._wake.set()
 
     def load(self, endpoint: Endpoint, load: Load) -> Load:
-        """The load to hand to the decision module: with this instance's part of the endpoint's limit."""
+        """The load for the decision module, with this instance's share of the endpoint's limit."""
         key = key_of(endpoint)
         if load.limit_per_s and self._session.set_partner_rate(key, load.limit_per_s):
             self._wake.set()
@@ -158,7 +158,7 @@
         return load if rate is None else Load(load.left_share, rate)
 
     def close(self) -> None:
-        """Ask for nothing more."""
+        """Stop; the connection ends soon after."""
         self._open = False
         self._wake.set()
 
@@ -174,12 +174,12 @@
                     sock.settimeout(None)
                     self._use_connection(sock)
             except (OSError, Unreadable) as exc:
-                self._log.warning("no allocator", error=str(exc))
-            # A policy that was granted before the connection broke still comes into force at its moment.
+                self._log.warning("allocator unreachable", error=str(exc))
+            # A policy that was granted before the connection broke still comes into force in time.
             self._clock.sleep(min(RECONNECT_MS, self._participant.advance(self._clock.now())))
 
     def _use_connection(self, sock: socket.socket) -> None:
-        """Read and write until the connection ends; its reader has ended, too, when this returns."""
+        """Read and write until the connection ends; also waits for its reader thread to end."""
         self._participant.connected()
         sock.sendall(b"".join(map(encode, self._session.connected(self._clock.now()))))
         ended = threading.Event()
@@ -187,8 +187,7 @@
         try:
             self._write(sock, ended)
         finally:
-            # Guards freshness: an answer of this connection that is read after the next one has begun would
-            # acknowledge what was sent again there.
+            # An answer read after the next connection has begun would acknowledge reports resent there.
             with suppress(OSError):
                 sock.shutdown(socket.SHUT_RDWR)
             reader.join()
@@ -218,28 +217,28 @@
                 with self._received:
                     self._received.notify_all()
         except (OSError, Unreadable) as exc:
-            self._log.warning("allocator lost", error=str(exc))
-        finally:  # whatever ended it: else the connection would live on with nobody who reads
+            self._log.warning("connection to allocator lost", error=str(exc))
+        finally:  # after any error, or the connection would stay open without a reader
             ended.set()
             self._wake.set()
 
     def _dispatch(self, message: Message) -> None:
-        """Hand a message to the side that it is for; raises ``Unreadable`` where it has none."""
+        """Pass a message to the session or the participant; raises ``Unreadable`` for any other."""
         if isinstance(message, Welcome | KeyStatuses | LeaseGrants):
             self._session.received(self._clock.now(), message)
         elif isinstance(message, PolicyMessage):
             self._participant.received(message)
             self._wake.set()
         else:
-            raise Unreadable(f"not expected: {type(message).__name__}")
+            raise Unreadable(f"unexpected message: {type(message).__name__}")
 
 
-def _no_report() -> None:
-    """Nothing is known of a start before ``follow``."""
+def _no_start_report() -> None:
+    """There are no start reports before ``follow``."""
 
 
 def from_environment(env: Mapping[str, str], log: Log) -> FleetShares:
-    """The shares of the fleet that started this process; raises ``ConfigError`` for a faulty variable."""
+    """Connect to the fleet that started this process; raises ``ConfigError`` for an invalid variable."""
     try:
         path, name = Path(env["SPRINGSPREAD_FLEET"]), env["SPRINGSPREAD_INSTANCE"]
         epoch, policy = int(env["SPRINGSPREAD_EPOCH"]), int(env.get("SPRINGSPREAD_POLICY", "0"))
@@ -248,4 +247,4 @@
     except KeyError as exc:
         raise ConfigError(f"{exc.args[0]}: not set, though SPRINGSPREAD_FLEET is") from exc
     except ValueError:
-        raise ConfigError("SPRINGSPREAD_EPOCH, SPRINGSPREAD_POLICY: must be whole numbers") from None
+        raise ConfigError("SPRINGSPREAD_EPOCH, SPRINGSPREAD_POLICY: must be integers") from None
--- a/tests/fleet/test_allocator_server.py
+++ b/tests/fleet/test_allocator_server.py
@@ -160,10 +160,10 @@
         encode(Register(PROTOCOL_VERSION, "", "n0", 0)),
         "n0: epoch 0 was replaced by a later",
     ),
-    "a request before it registers": (encode(LeaseRequest({"g1": 1})), "not expected before it registers"),
+    "a request before it registers": (encode(LeaseRequest({"g1": 1})), "message before registration"),
     "what only an allocator says": (
         encode(Register(PROTOCOL_VERSION, "", "n1", 1)) + encode(Welcome(KeyStatus.FREE, True)),
-        "not expected: Welcome",
+        "unexpected message: Welcome",
     ),
 }
 
--- a/tests/fleet/test_limits_regressions.py
+++ b/tests/fleet/test_limits_regressions.py
@@ -183,7 +183,7 @@
 def test_a_request_never_holds_more_keys_than_a_message_may() -> None:
     pair = Pair(EXACT, {})
     keys = [f"g{n}" for n in range(2 * MAX_KEYS)]
-    pair.session.listed(keys)
+    pair.session.add_keys(keys)
     pair.upward(0.0, pair.session.connected(0.0))
     pair.heard(0.0, pair.downward(0.0))
     for key in keys[MAX_KEYS:]:
