--- a/springspread/fleet/allocator_server.py
+++ b/springspread/fleet/allocator_server.py
@@ -136,7 +136,7 @@
                 for message in lines.feed(data):
                     self._handle(connection, message)
         except Unreadable as exc:
-            self._log.warning("invalid message from instance", owner=connection.owner, fault=str(exc))
+            self._log.warning("closing connection to instance", owner=connection.owner, fault=str(exc))
         except OSError:
             pass
         finally:
--- a/springspread/fleet/limits.py
+++ b/springspread/fleet/limits.py
@@ -1,6 +1,6 @@
-"""What a limit is: a number of calls in any span of time, and how strictly it is kept; what a lease is.
+"""Limits (a number of calls in any span of time, and how strictly it is enforced) and leases.
 
-Values only: no I/O, no clock, and no import from the rest of the program.
+Imports nothing from the rest of the program.
 """
 
 from __future__ import annotations
@@ -10,20 +10,20 @@
 from enum import Enum
 from math import floor, sqrt
 
-MAX_CALLS = 10_000_000  # of an operators' limit, and the spans that it may have
+MAX_CALLS = 10_000_000  # of an operators' limit, as are the bounds of its span
 MIN_SPAN_MS, MAX_SPAN_MS = 10.0, 600_000.0
-PARTNER_SPAN_MS = 2_000.0  # a limit that a partner tells as a rate is counted over this
+PARTNER_SPAN_MS = 2_000.0  # the span of a limit that a partner announces as a rate
 
 
 class LimitMode(Enum):
-    """How a limit is kept."""
+    """How a limit is enforced."""
 
-    EXACT = "exact"  # never exceeded: each call is begun against a lease
-    ADAPTIVE = "adaptive"  # leases only while demand is near the limit; the overshoot is bounded
+    EXACT = "exact"  # never exceeded: each call needs a lease
+    ADAPTIVE = "adaptive"  # calls need leases only while demand is near the limit; overshoot is bounded
 
     @classmethod
     def named(cls, name: object) -> LimitMode:
-        """The mode with this name; raises ``ValueError`` with the nearest one that there is."""
+        """The mode with this name; raises ``ValueError`` with a suggestion."""
         known = {mode.value: mode for mode in cls}
         if isinstance(name, str) and name in known:
             return known[name]
@@ -47,7 +47,7 @@
 
     @property
     def tolerated(self) -> float:
-        """The calls of a span up to which an adaptive limit may be overshot: N + 2 x root of N + 2."""
+        """The tolerated calls in a span of an adaptive limit: N + 2 x root of N + 2."""
         return self.calls + 2.0 * sqrt(self.calls) + 2.0
 
 
@@ -55,12 +55,12 @@
 """An instance and its epoch: each start of an instance is another owner."""
 
 
-UNKNOWN_KEY = ""  # of a lease that stands on record for those that were lost from it
+UNKNOWN_KEY = ""  # of a placeholder on record for unknown leases
 
 
 @dataclass(frozen=True, slots=True)
 class Lease:
-    """The right of one owner to begin so many calls before ``until`` (ms)."""
+    """The right of an owner to begin ``calls`` calls before ``until`` (ms)."""
 
     serial: int
     owner: Owner
--- a/springspread/fleet/messages.py
+++ b/springspread/fleet/messages.py
@@ -1,8 +1,8 @@
-"""What a sender and an allocator say to each other about limits. Values only; ``wire`` turns them into lines.
+"""Messages about limits between a sender and an allocator. ``wire`` encodes them as lines.
 
-Every type is encoded as an array that begins with its number (msgspec's ``array_like``), since these
-messages are sent all the time: names of fields on the wire would cost more than their values. Bounds stand
-in the types and are checked as a message is read. Times are milliseconds.
+Every type is encoded as an array that begins with its tag (msgspec's ``array_like``): these messages are
+frequent, and field names would take more space than the values. Decoding checks the bounds given in the
+types. Times are milliseconds.
 """
 
 from __future__ import annotations
@@ -13,8 +13,8 @@
 
 from msgspec import Meta, Struct
 
-PROTOCOL_VERSION = 2  # version 1 was JSON objects alone
-LINE_BYTES = 1 << 18  # the longest line that is read
+PROTOCOL_VERSION = 2  # version 1 used JSON objects for all messages
+LINE_BYTES = 1 << 18  # the longest line that is accepted
 MAX_KEYS = 4096  # in one message
 MAX_KEY_CHARS = 200
 MAX_MS = 1e18
@@ -28,24 +28,24 @@
 
 
 class KeyStatus(IntEnum):
-    """What a sender needs before it calls a destination that a key stands for."""
+    """What a sender needs before it calls a destination."""
 
     BOUND = 0  # a lease for each call
-    FREE = 1  # nothing, as long as it reports its calls and hears from the allocator
-    UNLIMITED = 2  # nothing at all
+    FREE = 1  # no lease, as long as the allocator acknowledges the reports of its calls
+    UNLIMITED = 2  # nothing
 
 
 def fingerprint(key: str) -> int:
-    """The 32 bits that stand for a key where its status is told.
+    """The 32-bit hash that identifies a key in messages about statuses.
 
-    Keys with one fingerprint share a status, the strictest of them: one may need leases while its limit
-    would not ask for them, which costs time and never a limit.
+    Keys with the same fingerprint share the strictest of their statuses: one may need leases although its
+    limit is free, which costs time and never exceeds a limit.
     """
     return crc32(key.encode())
 
 
 class Register(Struct, frozen=True, array_like=True, tag=1):
-    """Opens a connection. ``fleet``: the fleet that the sender belongs to; ``epoch``: its start's number."""
+    """Opens a connection. ``fleet``: the fleet's identifier; ``epoch``: the number of the sender's start."""
 
     version: Count
     fleet: Annotated[str, Meta(max_length=64)]
@@ -54,7 +54,7 @@
 
 
 class LeaseReport(Struct, frozen=True, array_like=True):
-    """A lease that is done with: so many calls were made against it, the last one at ``last_at``."""
+    """A finished lease: ``made`` calls were made against it, the last one at ``last_at``."""
 
     key: Key
     serial: Count
@@ -63,10 +63,9 @@
 
 
 class LeaseRequest(Struct, frozen=True, array_like=True, tag=2):
-    """How many calls wait by key, leases that are done with, and limits (calls a second) that partners told.
+    """Waiting calls by key, finished leases, and limits (calls per second) that partners announced.
 
-    A count replaces the one before; zero asks for no lease any more, and for the key's status where that
-    is not known yet.
+    A demand replaces the earlier one. Zero withdraws it, and requests the key's status if it is unknown.
     """
 
     demands: Counts = {}
@@ -75,12 +74,11 @@
 
 
 class UseReport(Struct, frozen=True, array_like=True, tag=3):
-    """Calls made without a lease since the report before, and how many of them failed.
+    """Calls made without a lease since the previous report, and how many failed. If empty, a heartbeat.
 
-    ``recovered``: keys of which the sender had met only failures for a while, and was served again.
-    ``sequence`` grows by one with each report of a process, so that one that comes twice counts once.
-    ``age_ms``: how long before the report was sent the last of the calls was made. An empty report is a
-    heartbeat.
+    ``sequence`` grows by one with each report of a process, so that duplicates are detected.
+    ``age_ms``: the time from the last of the calls to the sending of the report.
+    ``recovered``: keys that had a success after only failures.
     """
 
     sequence: Count
@@ -93,10 +91,10 @@
 class Welcome(Struct, frozen=True, array_like=True, tag=4):
     """The answer to ``Register``.
 
-    ``default``: the status of keys that the sender is told nothing of. ``complete``: the statuses that follow
-    are all that differ from it; otherwise the sender keeps what it knows. ``following``: so many
-    ``KeyStatuses`` come next and belong to it. They take effect together, as a key that needs leases would
-    look free between them.
+    ``default``: the status of keys that are sent no other. ``complete``: the statuses that follow are all
+    that differ from it; otherwise the sender keeps those that it knows. ``following``: the number of
+    ``KeyStatuses`` that come next and take effect together with it, as a key that needs leases would look
+    free between them.
     """
 
     default: KeyStatus
@@ -105,7 +103,7 @@
 
 
 class KeyStatuses(Struct, frozen=True, array_like=True, tag=5):
-    """Statuses that have changed, by fingerprint, and the highest sequence of a use report that counts."""
+    """Changed statuses by fingerprint, and the highest acknowledged sequence of a use report."""
 
     acknowledged: Count = 0
     bound: Fingerprints = ()
@@ -114,7 +112,7 @@
 
 
 class GrantedLease(Struct, frozen=True, array_like=True):
-    """A lease of so many calls before ``until``, and the calls a second that its owner may count on."""
+    """A lease of ``calls`` calls before ``until``, and the calls per second that its owner can expect."""
 
     key: Key
     serial: Count
@@ -124,7 +122,7 @@
 
 
 class LeaseGrants(Struct, frozen=True, array_like=True, tag=6):
-    """Leases that were granted in one tick."""
+    """The leases granted to a sender in one tick."""
 
     leases: Annotated[tuple[GrantedLease, ...], Meta(max_length=MAX_KEYS)]
 
--- a/springspread/fleet/wire.py
+++ b/springspread/fleet/wire.py
@@ -1,11 +1,11 @@
-"""Lines between a sender and the allocator: one JSON value a line, both ways. Bytes in, messages out.
+"""Encoding between a sender and the allocator: one JSON value per line, both ways.
 
 Theory of operation. Messages about limits (``messages``) are arrays; the rarer ones about policies are
-objects with their ``kind``. The sender opens with ``Register``; it then sends ``LeaseRequest`` whenever
-what it waits for, what it is done with or what it was told changes, and ``UseReport`` at an interval. The
-allocator answers ``Welcome``, then ``KeyStatuses`` and ``LeaseGrants``. Either side ends the connection at
-the first line that it can't read: what is lost with it costs time and never an exact limit, as leases
-count whether they arrive or not. Lines of protocol version 1 are refused by name.
+objects with their ``kind``. The sender opens with ``Register``. It then sends a ``LeaseRequest`` when its
+demands, finished leases or partners' limits change, and a ``UseReport`` at an interval. The allocator answers
+with ``Welcome``, then sends ``KeyStatuses`` and ``LeaseGrants``. Either side closes the connection at the
+first line that it can't decode. Lost messages cost time and never an exact limit, as leases count whether
+they arrive or not. Lines of protocol version 1 are refused with an error that names it.
 """
 
 from __future__ import annotations
@@ -25,12 +25,12 @@
 
 
 class Unreadable(Exception):
-    """A line that is no message; the text says why."""
+    """Raised for a line that is not a valid message, with the reason."""
 
 
 @dataclass(frozen=True, slots=True)
 class Document:
-    """The text of a policy, ahead of the first grant or proposal that names it."""
+    """The text of a policy, sent before the first grant or proposal that refers to it."""
 
     number: int
     text: str
@@ -38,7 +38,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Question:
-    """Could the instance use this policy? Nothing follows from it."""
+    """Asks whether the instance could use a policy; has no effect on it."""
 
     id: int
     text: str
@@ -46,7 +46,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Fit:
-    """The answer to a ``Question``; ``fault`` is empty where it could."""
+    """The answer to a ``Question``; ``fault`` is empty if the instance could use the policy."""
 
     id: int
     fault: str
@@ -54,10 +54,11 @@
 
 @dataclass(frozen=True, slots=True)
 class Returning:
-    """How far an instance's start has come. No decision uses it.
+    """The progress of an instance's start, for information only.
 
-    ``gate``: before which it stands (``core.gates``), since when (ms); ``owed``: of ``at_start`` messages
-    that it owed, how many have no end yet; ``damaged``: ranges of its journal that could not be read.
+    ``gate``: the one that it waits at (``core.gates``), ``since`` when (ms); ``owed``: how many of the
+    ``at_start`` messages that it had to deliver have no final state yet; ``damaged``: ranges of its journal
+    that could not be read.
     """
 
     gate: str
@@ -76,7 +77,7 @@
 
 
 def encode(message: Message) -> bytes:
-    """As a line."""
+    """The line of a message."""
     if isinstance(message, LimitMessage):
         return _ENCODER.encode(message) + b"\n"
     raw = {"kind": type(message).__name__.lower(), **asdict(message)}
@@ -84,90 +85,90 @@
 
 
 class Lines:
-    """Takes bytes as they come and gives the messages that are whole."""
+    """Decodes a stream of bytes into messages."""
 
     def __init__(self) -> None:
         self._rest = b""
 
     def feed(self, data: bytes) -> list[Message]:
-        """Raises ``Unreadable``; nothing can be fed after that."""
+        """The messages completed by ``data``. Raises ``Unreadable``, after which nothing may be fed."""
         *lines, self._rest = (self._rest + data).split(b"\n")
         if len(self._rest) > LINE_BYTES or any(len(line) > LINE_BYTES for line in lines):
-            raise Unreadable(f"a line of more than {LINE_BYTES} bytes")
-        return [_read(line) for line in lines]
+            raise Unreadable(f"line exceeds {LINE_BYTES} bytes")
+        return [_decode(line) for line in lines]
 
 
-def _read(line: bytes) -> Message:
+def _decode(line: bytes) -> Message:
     if line.startswith(b"["):
         try:
             return _DECODER.decode(line)
         except (msgspec.MsgspecError, RecursionError) as exc:
-            raise Unreadable(f"not a message: {exc}") from exc
+            raise Unreadable(f"invalid message: {exc}") from exc
     try:
         raw = json.loads(line)
         kind = raw["kind"]
-        if kind in POLICY:
-            return POLICY[kind](raw)
+        if kind in POLICY_DECODERS:
+            return POLICY_DECODERS[kind](raw)
     except (ValueError, KeyError, TypeError, AttributeError, IndexError, RecursionError) as exc:
-        raise Unreadable(f"not a message: {exc!r}") from exc
+        raise Unreadable(f"invalid message: {exc!r}") from exc
     if kind in VERSION_ONE_KINDS:
         raise Unreadable(
-            f"{kind!r} is of protocol version 1, this is {PROTOCOL_VERSION}: restart that process"
+            f"{kind!r} is from protocol version 1, expected {PROTOCOL_VERSION}; restart the peer process"
         )
-    raise Unreadable(f"no such kind: {kind!r}")
+    raise Unreadable(f"unknown message kind: {kind!r}")
 
 
 def _serial(raw: Any) -> tuple[int, int]:
     generation, count = raw
-    return _whole(generation), _whole(count)
+    return _count(generation), _count(count)
 
 
-def _flag(value: object) -> bool:
+def _boolean(value: object) -> bool:
     if not isinstance(value, bool):
-        raise ValueError(f"not a yes or no: {value!r}")
+        raise ValueError(f"not a boolean: {value!r}")
     return value
 
 
-def _long(value: object) -> str:
+def _string(value: object) -> str:
     if not isinstance(value, str):
-        raise ValueError(f"not a text: {value!r}")
+        raise ValueError(f"not a string: {value!r}")
     return value
 
 
-POLICY: Mapping[str, Callable[[Any], Message]] = {
-    "document": lambda raw: Document(_whole(raw["number"]), _long(raw["text"])),
-    "prepare": lambda raw: Prepare(_serial(raw["serial"]), _whole(raw["number"]), _number(raw["cut"])),
+POLICY_DECODERS: Mapping[str, Callable[[Any], Message]] = {
+    "document": lambda raw: Document(_count(raw["number"]), _string(raw["text"])),
+    "prepare": lambda raw: Prepare(_serial(raw["serial"]), _count(raw["number"]), _number(raw["cut"])),
     "grant": lambda raw: Grant(
-        _serial(raw["serial"]), _whole(raw["version"]), _number(raw["since"]), _number(raw["until"])
+        _serial(raw["serial"]), _count(raw["version"]), _number(raw["since"]), _number(raw["until"])
     ),
-    "question": lambda raw: Question(_whole(raw["id"]), _long(raw["text"])),
-    "fit": lambda raw: Fit(_whole(raw["id"]), _long(raw["fault"])[:1000]),
-    "acting": lambda raw: Acting(_whole(raw["version"])),
+    "question": lambda raw: Question(_count(raw["id"]), _string(raw["text"])),
+    "fit": lambda raw: Fit(_count(raw["id"]), _string(raw["fault"])[:1000]),
+    "acting": lambda raw: Acting(_count(raw["version"])),
     "returning": lambda raw: Returning(
-        _text(raw["gate"]),
+        _name(raw["gate"]),
         _number(raw["since"]),
-        _whole(raw["owed"]),
-        _whole(raw["at_start"]),
-        _whole(raw["damaged"]),
+        _count(raw["owed"]),
+        _count(raw["at_start"]),
+        _count(raw["damaged"]),
     ),
-    "vote": lambda raw: Vote(_whole(raw["number"]), _flag(raw["yes"]), _long(raw["fault"])[:1000]),
+    "vote": lambda raw: Vote(_count(raw["number"]), _boolean(raw["yes"]), _string(raw["fault"])[:1000]),
 }
-"""What is said of policies, each read whole; the machines are in ``springspread.rollout``."""
+"""Decoders of messages about policies by kind; ``springspread.rollout`` handles them."""
 
 
-def _text(value: object) -> str:
+def _name(value: object) -> str:
     if not isinstance(value, str) or not 0 < len(value) <= MAX_KEY_CHARS:
-        raise ValueError(f"not a name: {value!r}")
+        raise ValueError(f"not a valid name: {value!r}")
     return value
 
 
-def _whole(value: object) -> int:
+def _count(value: object) -> int:
     if not isinstance(value, int) or isinstance(value, bool) or not 0 <= value < 1 << 62:
-        raise ValueError(f"not a count: {value!r}")
+        raise ValueError(f"not a valid count: {value!r}")
     return value
 
 
 def _number(value: object) -> float:
     if not isinstance(value, int | float) or isinstance(value, bool) or not 0 <= value < 1e18:
-        raise ValueError(f"not a number: {value!r}")
+        raise ValueError(f"not a valid number: {value!r}")
     return float(value)
--- a/tests/fleet/test_allocator_server.py
+++ b/tests/fleet/test_allocator_server.py
@@ -151,10 +151,13 @@
 
 
 BAD_PEERS = {
-    "a line that is too long": (b"[" + b"1" * (LINE_BYTES + 10), "a line of more than"),
-    "a line that is torn": (encode(Register(PROTOCOL_VERSION, "", "n1", 1))[:-9] + b"\n", "not a message"),
+    "a line that is too long": (b"[" + b"1" * (LINE_BYTES + 10), "line exceeds"),
+    "a line that is torn": (
+        encode(Register(PROTOCOL_VERSION, "", "n1", 1))[:-9] + b"\n",
+        "invalid message: ",
+    ),
     "an unknown version": (encode(Register(9, "", "n1", 1)), "protocol version 9, expected 2"),
-    "the version before": (b'{"kind":"hello","name":"n1","epoch":1}\n', "of protocol version 1"),
+    "the version before": (b'{"kind":"hello","name":"n1","epoch":1}\n', "from protocol version 1"),
     "another fleet": (encode(Register(PROTOCOL_VERSION, "other", "n1", 1)), "member of another fleet: other"),
     "an older start": (
         encode(Register(PROTOCOL_VERSION, "", "n0", 0)),
--- a/tests/fleet/test_shard_map.py
+++ b/tests/fleet/test_shard_map.py
@@ -44,13 +44,17 @@
     first = ShardMap(1, ("a", "b"))
     second = first.without("b")
     assert newer(first, second) is second and newer(second, first) is second
-    with pytest.raises(ShardMapError, match="two maps have the number 1"):
+    with pytest.raises(ShardMapError, match="different shard maps with number 1"):
         newer(first, ShardMap(1, ("a", "c")))
 
 
 @pytest.mark.parametrize(
     ("shards", "fault"),
-    [((), "needs a shard"), (("a", ""), "needs a name"), (("a", "b", "a"), "named twice: a, a, b")],
+    [
+        ((), "map has no shards"),
+        (("a", ""), "empty shard name"),
+        (("a", "b", "a"), "duplicate shard name: a, a, b"),
+    ],
 )
 def test_a_map_that_can_not_be_used_is_refused_by_what_is_wrong(shards: tuple[str, ...], fault: str) -> None:
     with pytest.raises(ShardMapError, match=fault):
--- a/tests/fleet/test_wire.py
+++ b/tests/fleet/test_wire.py
@@ -83,7 +83,7 @@
 
 @pytest.mark.parametrize("kind", ["hello", "asking", "limited", "granted"])
 def test_a_line_of_the_version_before_is_refused_by_name(kind: str) -> None:
-    with pytest.raises(Unreadable, match=f"'{kind}' is of protocol version 1"):
+    with pytest.raises(Unreadable, match=f"'{kind}' is from protocol version 1"):
         Lines().feed(b'{"kind":"%s","name":"a","epoch":1}\n' % kind.encode())
 
 
