--- a/tests/fleet/test_allocator.py
+++ b/tests/fleet/test_allocator.py
@@ -1,4 +1,4 @@
-"""Shares of limits: the promise under any order of events that a search comes upon, and fair division."""
+"""The allocator: a limit holds in every span under any order of events, and division is fair."""
 
 from __future__ import annotations
 
@@ -36,9 +36,9 @@
 
 
 class Fleet(RuleBasedStateMachine):
-    """Instances that come, go, freeze and call; messages that are lost or late; allocators replaced."""
+    """Instances start, freeze and call; messages are lost or late; allocators are replaced."""
 
-    forgets = False  # planted faults: a successor that knows nothing, reports that are believed too much
+    loses_record = False  # injected faults: a successor without the record, reports that free calls too early
     frees_early = False
 
     def __init__(self) -> None:
@@ -50,7 +50,7 @@
         self.allocator.set_limit(KEY, self.limit)
         self.alive: dict[str, Instance] = {}
         self.epochs = 0
-        self.mail: list[tuple[Instance, Lease]] = []
+        self.in_transit: list[tuple[Instance, Lease]] = []
         self.calls: deque[float] = deque()
 
     def _allocator(self) -> Allocator:
@@ -58,7 +58,7 @@
 
     @rule(name=st.sampled_from("abc"))
     def starts(self, name: str) -> None:
-        """Also in place of one that runs: as if that had been killed, or thought dead."""
+        """May replace a running instance that was killed or is believed dead."""
         self.epochs += 1
         self.alive[name] = Instance((name, self.epochs))
         assert self.allocator.register(self.alive[name].owner)
@@ -79,26 +79,26 @@
             self.record.append(lease)
             instance = self.alive.get(lease.owner[0])
             if instance is not None and instance.owner == lease.owner:
-                self.mail.append((instance, lease))
+                self.in_transit.append((instance, lease))
 
     @rule(name=st.sampled_from("abc"), calls=st.integers(1, 9))
     def is_served(self, name: str, calls: int) -> None:
-        """All goes well once: it asks, hears and calls. Without this rule few searches get as far."""
+        """A complete exchange, which random rules rarely reach."""
         if name not in self.alive:
             self.starts(name)
         self.alive[name].frozen = False
         self.asks(name, calls)
         self.allocates()
-        while self.mail:
-            instance, lease = self.mail.pop()
+        while self.in_transit:
+            instance, lease = self.in_transit.pop()
             if not instance.frozen:
                 instance.lease_cache.add_lease(lease, self.now)
         self.calls_out(name, calls)
 
-    @precondition(lambda self: self.mail)
+    @precondition(lambda self: self.in_transit)
     @rule(data=st.data(), lost=st.booleans())
     def a_lease_arrives_or_is_lost(self, data: st.DataObject, lost: bool) -> None:
-        instance, lease = self.mail.pop(data.draw(st.integers(0, len(self.mail) - 1)))
+        instance, lease = self.in_transit.pop(data.draw(st.integers(0, len(self.in_transit) - 1)))
         if not lost and not instance.frozen:
             instance.lease_cache.add_lease(lease, self.now)
 
@@ -119,14 +119,14 @@
         for report in instance.lease_cache.take_finished(self.now):
             if not lost:
                 last_at = report.last_at - (SPAN if self.frees_early else 0.0)
-                told = (report.key, report.serial, report.made, last_at)
-                self.allocator.report(self.now, instance.owner, *told)
+                values = (report.key, report.serial, report.made, last_at)
+                self.allocator.report(self.now, instance.owner, *values)
 
     @rule()
     def the_allocator_is_replaced(self) -> None:
-        """Its successor reads what was given out; the last of it may never have been told."""
+        """The successor restores the recorded leases; the latest may never have been sent."""
         self.allocator = self._allocator()
-        self.allocator.restore([] if self.forgets else self.record)
+        self.allocator.restore([] if self.loses_record else self.record)
         self.allocator.set_limit(KEY, self.limit)
 
     @rule(ms=st.sampled_from([1.0, 5.0, 19.0, 40.0, 77.0, 160.0, 201.0]))
@@ -134,21 +134,21 @@
         self.now += ms
 
     @invariant()
-    def no_span_holds_more_than_the_limit(self) -> None:
+    def limit_holds_in_every_span(self) -> None:
         while self.calls and self.calls[0] <= self.now - SPAN:
             self.calls.popleft()
         assert len(self.calls) <= self.limit.calls
 
     @invariant()
-    def no_more_is_out_than_the_limit(self) -> None:
+    def committed_calls_stay_within_the_limit(self) -> None:
         assert self.allocator.committed(self.now, KEY) <= self.limit.calls
 
 
-class Forgetful(Fleet):
-    forgets = True
+class ForgetfulFleet(Fleet):
+    loses_record = True
 
 
-class Hasty(Fleet):
+class EarlyFreeingFleet(Fleet):
     frees_early = True
 
 
@@ -160,15 +160,15 @@
     database=None,
     suppress_health_check=list(HealthCheck),
 )
-"""For a long search: SPRINGSPREAD_SEARCH=20000 python -m pytest tests/fleet/test_shares.py."""
+"""For a long search: SPRINGSPREAD_SEARCH=20000 python -m pytest tests/fleet/test_allocator.py."""
 
 
-def test_no_span_ever_holds_more_than_the_limit() -> None:
+def test_limit_holds_in_every_span() -> None:
     run_state_machine_as_test(Fleet, settings=SEARCH)
 
 
-@pytest.mark.parametrize("faulty", [Forgetful, Hasty])
-def test_the_search_finds_a_planted_fault(faulty: type[Fleet]) -> None:
+@pytest.mark.parametrize("faulty", [ForgetfulFleet, EarlyFreeingFleet])
+def test_search_detects_injected_fault(faulty: type[Fleet]) -> None:
     with pytest.raises(AssertionError):
         run_state_machine_as_test(faulty, settings=settings(SEARCH, phases=[Phase.generate]))
 
@@ -186,12 +186,12 @@
     assert all(0 <= got[owner] <= want for owner, (_, want) in wants.items())
     assert sum(got.values()) == min(free, sum(want for _, want in wants.values()))
     for owner, (had, want) in wants.items():
-        if got[owner] < want:  # nobody who was raised stands more than one call above one that waits
+        if got[owner] < want:  # nobody who got a share is more than one call ahead of an owner that waits
             assert all(wants[other][0] + got[other] <= had + got[owner] + 1 for other in wants if got[other])
 
 
-class Clocked:
-    """Some instances that ask every few milliseconds, and an allocator; calls are made as leases come."""
+class SimulatedFleet:
+    """An allocator and instances that request leases every few milliseconds, in simulated time."""
 
     def __init__(self, count: int, limit: Limit, lease_ms: float = 200.0) -> None:
         self.now = 0.0
@@ -212,70 +212,70 @@
         for lease in self.allocator.allocate(self.now):
             self.lease_caches[lease.owner].received(lease, self.now)
 
-    def worst(self, span: float) -> int:
+    def max_in_span(self, span: float) -> int:
         times = [at for at, _ in self.made]
         return max((bisect_left(times, at + span) - n for n, at in enumerate(times)), default=0)
 
-    def of(self, owner: Owner, begin: float, end: float) -> int:
+    def calls_of(self, owner: Owner, begin: float, end: float) -> int:
         return sum(begin <= at < end and who == owner for at, who in self.made)
 
 
-def test_a_limit_below_one_call_an_instance_and_span_goes_round() -> None:
-    fleet = Clocked(50, Limit(4, 2000.0))
+def test_limit_smaller_than_fleet_rotates_among_instances() -> None:
+    fleet = SimulatedFleet(50, Limit(4, 2000.0))
     everyone = dict.fromkeys(fleet.lease_caches, 1)
     for _ in range(3000):
         fleet.step(everyone)
-    had = [fleet.of(owner, 0.0, 30_000.0) for owner in fleet.lease_caches]
-    assert fleet.worst(2000.0) == 4
-    assert max(had) - min(had) <= 1 and sum(had) >= 0.9 * 4 * 15
+    granted = [fleet.calls_of(owner, 0.0, 30_000.0) for owner in fleet.lease_caches]
+    assert fleet.max_in_span(2000.0) == 4
+    assert max(granted) - min(granted) <= 1 and sum(granted) >= 0.9 * 4 * 15
 
 
-def test_a_shift_of_demand_is_followed_and_little_is_left_idle() -> None:
-    fleet = Clocked(10, Limit(200, 2000.0))
+def test_allocation_follows_shift_of_demand() -> None:
+    fleet = SimulatedFleet(10, Limit(200, 2000.0))
     first, second = list(fleet.lease_caches)[:2]
     for _ in range(600):
         fleet.step({first: 5})
-    assert fleet.of(first, 2000.0, 6000.0) >= 0.9 * 400
+    assert fleet.calls_of(first, 2000.0, 6000.0) >= 0.9 * 400
     for _ in range(600):
         fleet.step({first: 5, second: 5})
-    assert fleet.of(second, 6000.0, 6500.0) >= 0.9 * 25  # its fair part within 500 ms, at a full limit
-    late = fleet.of(first, 8000.0, 12_000.0), fleet.of(second, 8000.0, 12_000.0)
-    assert abs(late[0] - late[1]) <= 0.1 * sum(late) and sum(late) >= 0.9 * 400
-    assert fleet.worst(2000.0) <= 200
+    assert fleet.calls_of(second, 6000.0, 6500.0) >= 0.9 * 25  # its fair share within 500 ms, at a full limit
+    recent = fleet.calls_of(first, 8000.0, 12_000.0), fleet.calls_of(second, 8000.0, 12_000.0)
+    assert abs(recent[0] - recent[1]) <= 0.1 * sum(recent) and sum(recent) >= 0.9 * 400
+    assert fleet.max_in_span(2000.0) <= 200
 
 
-def test_what_an_idle_instance_holds_comes_back() -> None:
-    fleet = Clocked(2, Limit(10, 2000.0))
+def test_unused_lease_returns_from_idle_instance() -> None:
+    fleet = SimulatedFleet(2, Limit(10, 2000.0))
     idle, busy = fleet.lease_caches
     fleet.step({idle: 10})
     for _ in range(210):
         fleet.step({busy: 10})
-    assert fleet.of(busy, 0.0, 2000.0) == 10 and fleet.of(idle, 0.0, 2000.0) == 0
+    assert fleet.calls_of(busy, 0.0, 2000.0) == 10 and fleet.calls_of(idle, 0.0, 2000.0) == 0
 
 
-def test_a_limit_that_shrinks_while_fully_leased_holds_a_span_after_its_leases_ended() -> None:
-    fleet = Clocked(4, Limit(100, 2000.0))
+def test_lowered_limit_holds_once_old_leases_expired() -> None:
+    fleet = SimulatedFleet(4, Limit(100, 2000.0))
     everyone = dict.fromkeys(fleet.lease_caches, 2)
     for _ in range(400):
         fleet.step(everyone)
     fleet.allocator.set_limit(KEY, Limit(20, 2000.0))
-    shrunk = fleet.now
+    lowered_at = fleet.now
     for _ in range(800):
         fleet.step(everyone)
-    fleet.made = [(at, who) for at, who in fleet.made if at > shrunk + 200.0]
-    assert fleet.worst(2000.0) <= 20 and len(fleet.made) >= 0.8 * 20 * 2
+    fleet.made = [(at, who) for at, who in fleet.made if at > lowered_at + 200.0]
+    assert fleet.max_in_span(2000.0) <= 20 and len(fleet.made) >= 0.8 * 20 * 2
 
 
-def test_a_lease_ends_by_the_clock_of_the_one_that_holds_it() -> None:
+def test_lease_expires_by_its_owners_clock() -> None:
     lease_cache = LeaseCache()
     lease_cache.add_lease(Lease(1, ("n0", 1), KEY, 2, 100.0), 0.0)
     assert lease_cache.take(KEY, 99.0) == 0.0
-    assert lease_cache.take(KEY, 100.0) > 0.0  # it was frozen meanwhile
+    assert lease_cache.take(KEY, 100.0) > 0.0  # e.g. it was frozen
     (report,) = lease_cache.take_finished(100.0)
     assert (report.made, report.last_at) == (1, 99.0) and lease_cache.take_finished(100.0) == []
 
 
-def test_nobody_frees_another_s_lease() -> None:
+def test_report_by_another_owner_is_ignored() -> None:
     allocator = Allocator()
     allocator.set_limit(KEY, Limit(5, SPAN))
     allocator.set_demand(0.0, ("n0", 1), KEY, 1)
@@ -286,7 +286,7 @@
     assert allocator.committed(2.0, KEY) == 0
 
 
-def test_an_older_epoch_gets_nothing() -> None:
+def test_older_epoch_gets_no_lease() -> None:
     allocator = Allocator()
     allocator.set_limit(KEY, Limit(5, SPAN))
     assert allocator.register(("n0", 2)) and not allocator.register(("n0", 1))
@@ -294,7 +294,7 @@
     assert allocator.allocate(1.0) == []
 
 
-def test_ten_thousand_limits_cost_only_what_is_asked_for() -> None:
+def test_cost_depends_on_demands_not_on_limits() -> None:
     allocator, rng = Allocator(), Random(1)
     for n in range(10_000):
         allocator.set_limit(f"g{n}", Limit(4, 2000.0))
@@ -305,20 +305,20 @@
     assert not allocator.waiting
 
 
-def test_a_lease_that_comes_twice_gives_its_calls_once() -> None:
+def test_duplicate_lease_is_ignored() -> None:
     lease_cache = LeaseCache()
     lease = Lease(7, ("n00", 1), "g1", 2, 1_200.0)
     for now in (1_000.0, 1_001.0, 1_030.0):
         lease_cache.add_lease(lease, now)
         assert lease_cache.take("g1", now) == 0.0 if now < 1_030.0 else lease_cache.take("g1", now) > 0.0
     assert [report.made for report in lease_cache.take_finished(1_031.0)] == [2]
-    lease_cache.add_lease(lease, 1_032.0)  # after it is reported, too
+    lease_cache.add_lease(lease, 1_032.0)  # also after it was reported
     assert lease_cache.take("g1", 1_032.0) > 0.0
     lease_cache.add_lease(Lease(8, ("n00", 1), "g1", 1, 1_300.0), 1_201.0)
     assert lease_cache.take("g1", 1_202.0) == 0.0
 
 
-def test_a_demand_that_is_withdrawn_before_its_limit_is_forgotten_leaves_nothing_behind() -> None:
+def test_withdrawn_demand_leaves_no_state() -> None:
     allocator, owner = Allocator(LEASE), ("a", 1)
     allocator.set_limit(KEY, Limit(1, SPAN))
     allocator.set_demand(0.0, owner, KEY, 2)
--- a/tests/fleet/test_allocator_stateful.py
+++ b/tests/fleet/test_allocator_stateful.py
@@ -1,8 +1,8 @@
-"""Senders and an allocator under any order of events: the promises of exact and adaptive limits hold.
+"""Senders and an allocator under any order of events: the guarantees of exact and adaptive limits hold.
 
-The caches, sessions, lines and the allocator are the real ones. Each connection keeps the order of its lines
-and may break with whatever it holds; senders freeze, restart and are replaced; allocators die with and
-without their record.
+The caches, sessions, encoding and the allocator are the real ones. Connections keep the order of their lines
+and may break at any time; senders freeze, restart and are replaced; allocators die with and without their
+record.
 """
 
 from __future__ import annotations
@@ -49,7 +49,7 @@
 
 @dataclass
 class Connection:
-    """Lines on their way, with when they were written."""
+    """Lines in transit; upward ones with the time when they were written."""
 
     up: deque[tuple[float, bytes]] = field(default_factory=deque)
     down: deque[bytes] = field(default_factory=deque)
@@ -65,14 +65,14 @@
         self.session = SenderSession(name, epoch, "fleet", self.cache)
         self.connection: Connection | None = None
         self.frozen = False
-        self.heard_of = -inf  # when the latest line that the allocator read was written
+        self.last_read_at = -inf  # when the latest line read by the allocator was written
 
 
 class Fleet(RuleBasedStateMachine):
-    """``default``: of the fleet; ``forgets``: a planted fault, a successor that knows nothing."""
+    """``default``: of the fleet; ``loses_record``: an injected fault, a successor without the record."""
 
     default: ClassVar[LimitMode] = LimitMode.ADAPTIVE
-    forgets: ClassVar[bool] = False
+    loses_record: ClassVar[bool] = False
 
     def __init__(self) -> None:
         super().__init__()
@@ -90,14 +90,14 @@
     def _begin(self, learning: bool, known: bool) -> AllocatorControl:
         allocator = Allocator(lease_ms=LEASE)
         if known:
-            allocator.restore([] if self.forgets else self.record)
+            allocator.restore([] if self.loses_record else self.record)
         else:
             allocator.assume_exhausted(self.now)
         return AllocatorControl("fleet", self.default, LIMITS, allocator, self.now, learning)
 
     @rule(name=NAMES)
     def starts(self, name: str) -> None:
-        """Also in place of one that runs, whose connection may live on."""
+        """May replace a running sender, whose connection may stay open."""
         self.epochs += 1
         self.senders[name] = Sender(name, self.epochs)
 
@@ -148,7 +148,7 @@
                 self._close(connection)
                 sender.connection = None
                 return
-            sender.heard_of = max(sender.heard_of, written_at)
+            sender.last_read_at = max(sender.last_read_at, written_at)
 
     def _take(self, connection: Connection, message: Message) -> None:
         if isinstance(message, Register):
@@ -188,7 +188,7 @@
 
     @rule(name=NAMES, key=KEYS, times=st.integers(1, 6))
     def is_served(self, name: str, key: str, times: int) -> None:
-        """All goes well once: without this rule few searches get as far."""
+        """A complete exchange, which random rules rarely reach."""
         self.senders[name].frozen = False
         self.calls_out(name, key, times)
         for _ in range(2):
@@ -210,16 +210,16 @@
 
     @rule(name=NAMES, key=KEYS, times=st.integers(1, 6), steps=st.integers(5, 40))
     def is_busy(self, name: str, key: str, times: int, steps: int) -> None:
-        """All goes well for a while."""
+        """Many complete exchanges in a row."""
         for _ in range(steps):
             self.is_served(name, key, times)
-            self.no_span_holds_more_than_an_exact_limit()
-            self.a_bound_limit_is_kept_once_every_sender_knows_or_has_no_right()
+            self.exact_limit_holds_in_every_span()
+            self.bound_limit_holds_after_exposure()
             self.now += 97.0
 
     @rule(known=st.booleans())
     def allocator_is_replaced(self, known: bool) -> None:
-        """The last leases may be on record and told to nobody."""
+        """The latest leases may be recorded but never sent."""
         for connection in list(self.connections):
             connection.owner = None
             self._close(connection)
@@ -240,11 +240,11 @@
         return len(calls)
 
     @invariant()
-    def no_span_holds_more_than_an_exact_limit(self) -> None:
+    def exact_limit_holds_in_every_span(self) -> None:
         assert self._in_span(EXACT_KEY) <= LIMITS[EXACT_KEY].calls
 
     @invariant()
-    def a_bound_limit_is_kept_once_every_sender_knows_or_has_no_right(self) -> None:
+    def bound_limit_holds_after_exposure(self) -> None:
         if not self.control.is_bound(ADAPTIVE_KEY):
             self.bound_since = inf
         elif self.bound_since == inf:
@@ -253,9 +253,9 @@
             assert self._in_span(ADAPTIVE_KEY) <= LIMITS[ADAPTIVE_KEY].calls
 
     @invariant()
-    def whoever_was_not_heard_of_lately_makes_no_free_call(self) -> None:
+    def sender_makes_no_free_call_without_fresh_acknowledgement(self) -> None:
         for sender in self.senders.values():
-            if self.now >= sender.heard_of + FRESH_MS and not sender.frozen:
+            if self.now >= sender.last_read_at + FRESH_MS and not sender.frozen:
                 assert sender.cache.take(WIDE_KEY, self.now) > 0.0
 
 
@@ -263,8 +263,8 @@
     default = LimitMode.EXACT
 
 
-class Forgetful(Fleet):
-    forgets = True
+class ForgetfulFleet(Fleet):
+    loses_record = True
 
 
 SEARCH = settings(
@@ -277,31 +277,31 @@
 )
 """For a long search: SPRINGSPREAD_SEARCH=5000 python -m pytest tests/fleet/test_allocator_stateful.py."""
 
-PLANTED = settings(SEARCH, max_examples=500, phases=[Phase.generate])
+FAULT_SEARCH = settings(SEARCH, max_examples=500, phases=[Phase.generate])
 
 
 @pytest.mark.parametrize("machine", [Fleet, ExactByDefault])
-def test_exact_limits_hold_always_and_bound_ones_after_the_exposure(machine: type[Fleet]) -> None:
+def test_exact_limits_hold_and_bound_limits_hold_after_exposure(machine: type[Fleet]) -> None:
     run_state_machine_as_test(machine, settings=SEARCH)
 
 
-def test_the_search_finds_a_successor_that_forgets_what_was_committed_calls() -> None:
+def test_search_detects_successor_without_record() -> None:
     with pytest.raises(AssertionError):
         run_state_machine_as_test(
-            Forgetful, settings=settings(SEARCH, max_examples=500, phases=[Phase.generate])
+            ForgetfulFleet, settings=settings(SEARCH, max_examples=500, phases=[Phase.generate])
         )
 
 
-def test_the_search_finds_a_right_that_does_not_end(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_search_detects_free_calls_that_never_expire(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(lease_cache, "FRESH_MS", 1e9)
     with pytest.raises(AssertionError):
-        run_state_machine_as_test(Fleet, settings=PLANTED)
+        run_state_machine_as_test(Fleet, settings=FAULT_SEARCH)
 
 
-def test_the_search_finds_statuses_that_are_not_sent(monkeypatch: pytest.MonkeyPatch) -> None:
-    def silent(self: SenderNotifier, one: int, status: object) -> None:
-        """Tell nobody."""
+def test_search_detects_unsent_statuses(monkeypatch: pytest.MonkeyPatch) -> None:
+    def no_broadcast(self: SenderNotifier, one: int, status: object) -> None:
+        """Notify nobody."""
 
-    monkeypatch.setattr(SenderNotifier, "_broadcast", silent)
+    monkeypatch.setattr(SenderNotifier, "_broadcast", no_broadcast)
     with pytest.raises(AssertionError):
-        run_state_machine_as_test(Fleet, settings=PLANTED)
+        run_state_machine_as_test(Fleet, settings=FAULT_SEARCH)
--- a/tests/fleet/test_key_health.py
+++ b/tests/fleet/test_key_health.py
@@ -1,4 +1,4 @@
-"""Which keys a sender found failing: one call at a time until the allocator knows of the first success."""
+"""Circuit breakers of a sender's keys: one call at a time until the allocator knows of the first success."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
     return health
 
 
-def test_only_failures_in_a_row_limit_a_key() -> None:
+def test_only_consecutive_failures_open_key() -> None:
     health = KeyHealth()
     for _ in range(10):
         for _ in range(OPENING_FAILURES - 1):
@@ -28,9 +28,9 @@
     assert half_open().limits(KEY) and not half_open().limits("g2")
 
 
-def test_a_key_is_limited_until_the_report_of_its_success_is_acknowledged() -> None:
+def test_key_closes_when_reported_success_is_acknowledged() -> None:
     health = half_open()
-    assert health.record_success(KEY) and not health.record_success(KEY)  # news once
+    assert health.record_success(KEY) and not health.record_success(KEY)  # only the first one is reported
     assert health.limits(KEY)
     assert health.take_recovered(7) == (KEY,) and not health.unreported
     health.acknowledge(6, (KEY,))
@@ -39,8 +39,8 @@
     assert not health.limits(KEY)
 
 
-def test_a_failure_after_the_report_of_a_success_keeps_the_key_limited() -> None:
-    """The two events cross: the acknowledgement of a success, and a later failure; in either order."""
+def test_failure_after_reported_success_reopens_key() -> None:
+    """Race of the acknowledgement of a success and a later failure, in either order."""
     health = half_open()
     health.record_success(KEY)
     health.take_recovered(1)
@@ -53,14 +53,14 @@
     assert not health.limits(KEY)  # one failure of a closed key
 
 
-def test_a_failure_before_the_report_of_a_success_takes_it_back() -> None:
+def test_failure_before_report_withdraws_success() -> None:
     health = half_open()
     health.record_success(KEY)
     health.record_failure(KEY)
     assert not health.unreported and health.take_recovered(1) == ()
 
 
-def test_of_very_many_keys_that_fail_the_latest_are_known() -> None:
+def test_oldest_failing_keys_are_dropped() -> None:
     health = KeyHealth()
     for number in range(MAX_KEYS + 10):
         for _ in range(OPENING_FAILURES):
@@ -68,8 +68,8 @@
     assert not health.limits("g9") and health.limits("g10") and health.limits(f"g{MAX_KEYS + 9}")
 
 
-def test_what_recovered_is_told_in_parts_that_fit_a_line() -> None:
-    health, told = KeyHealth(), set[str]()
+def test_recovered_keys_are_split_over_reports() -> None:
+    health, reported = KeyHealth(), set[str]()
     keys = [f"r{number}/{'x' * 180}" for number in range(400)]
     for key in keys:
         for _ in range(OPENING_FAILURES):
@@ -78,8 +78,8 @@
     for sequence in range(1, 20):
         taken = health.take_recovered(sequence)
         assert sum(len(key) + 2 + COUNT_BYTES for key in taken) <= RECOVERED_BYTES
-        told |= set(taken)
-    assert told == set(keys) and not health.unreported
+        reported |= set(taken)
+    assert reported == set(keys) and not health.unreported
 
 
 def cache_of_a_failing_key() -> LeaseCache:
@@ -99,18 +99,18 @@
     return report
 
 
-def test_a_destination_that_returns_gets_one_call_before_the_allocator_has_heard_of_it() -> None:
+def test_recovered_destination_gets_one_call_before_acknowledgement() -> None:
     cache = cache_of_a_failing_key()
     assert cache.take(KEY, 2.0) == 0.0 and cache.take(KEY, 2.0) > 0.0
     assert cache.served(KEY)
     assert cache.take(KEY, 3.0) > 0.0
-    assert cache.use_report_at(3.0) == 1.0 + MIN_REPORT_INTERVAL_MS  # it does not wait for its interval
+    assert cache.use_report_at(3.0) == 1.0 + MIN_REPORT_INTERVAL_MS  # before the interval is over
     assert acknowledge(cache, 1.0 + MIN_REPORT_INTERVAL_MS).recovered == (KEY,)
     made = sum(cache.take(KEY, 60.0) == 0.0 for _ in range(2 * MAX_UNACKNOWLEDGED))
     assert made == MAX_UNACKNOWLEDGED
 
 
-def test_a_success_without_calls_to_report_is_reported_all_the_same() -> None:
+def test_success_without_calls_is_reported() -> None:
     cache = cache_of_a_failing_key()
     cache.take(KEY, 2.0)
     acknowledge(cache, 2.0 + REPORT_MS)
@@ -118,17 +118,17 @@
     assert acknowledge(cache, 2.0 + 2 * REPORT_MS) == UseReport(3, 0.0, {}, {}, (KEY,))
 
 
-def test_a_report_that_a_broken_connection_may_have_lost_says_again_what_recovered() -> None:
+def test_resent_report_contains_recovered_keys() -> None:
     cache = cache_of_a_failing_key()
     cache.take(KEY, 2.0)
     cache.served(KEY)
     sent = cache.use_report(2.0 + REPORT_MS)
     assert sent is not None and sent.recovered == (KEY,)
-    (again,) = cache.resend(3.0 + REPORT_MS)
-    assert again.recovered == (KEY,) and again.sequence == sent.sequence
+    (resent,) = cache.resend(3.0 + REPORT_MS)
+    assert resent.recovered == (KEY,) and resent.sequence == sent.sequence
 
 
-def test_the_largest_report_fits_a_line() -> None:
+def test_largest_report_fits_line() -> None:
     cache = LeaseCache()
     cache.apply_welcome(Welcome(KeyStatus.FREE, True), 0.0)
     keys = [f"r{number:04}/{'é' * 90}" for number in range(MAX_KEYS)]
--- a/tests/fleet/test_limit_change_stateful.py
+++ b/tests/fleet/test_limit_change_stateful.py
@@ -1,6 +1,6 @@
-"""Limits, modes and the default change under any order of events: exact limits hold before and after.
+"""Limits, modes and the default mode change under any order of events: exact limits hold before and after.
 
-The lead of a change is the real one, and a sender calls under a policy only once it has heard of it.
+The lead time of a change is the real one. A sender calls under a policy only once it has been granted.
 """
 
 from __future__ import annotations
@@ -21,11 +21,11 @@
 from tests.fleet.test_allocator_stateful import (
     ADAPTIVE_KEY,
     EXACT_KEY,
+    FAULT_SEARCH,
     KEYS,
     LEASE,
     LIMITS,
     NAMES,
-    PLANTED,
     SEARCH,
     WIDE_KEY,
     Fleet,
@@ -35,15 +35,15 @@
 LIMIT = st.one_of(
     st.none(), st.builds(Limit, st.sampled_from([1, 2, 5, 8]), st.sampled_from([100.0, 200.0, 350.0]), MODES)
 )
-KEPT_MS = 400.0  # above every span
+HISTORY_MS = 400.0  # longer than every span
 
 
-class Changing(Fleet):
-    """``leads``: a planted fault, changes that hold at once."""
+class ChangingFleet(Fleet):
+    """``waits_for_lead``: if false, an injected fault: changes apply at once."""
 
     default: ClassVar[LimitMode] = LimitMode.ADAPTIVE
-    leads: ClassVar[bool] = True
-    policies: tuple[Policy, ...] = ()  # the last one may be to come
+    waits_for_lead: ClassVar[bool] = True
+    policies: tuple[Policy, ...] = ()  # the last one may not be in force yet
     since = 0.0
 
     def _begin(self, learning: bool, known: bool) -> AllocatorControl:
@@ -72,7 +72,7 @@
         limits = {EXACT_KEY: one, ADAPTIVE_KEY: other, WIDE_KEY: LIMITS[WIDE_KEY]}
         policy = Policy({}, {key: limit for key, limit in limits.items() if limit is not None}, default)
         self.ticks()
-        self.since = self.now + (lead_ms(self.policies[-1], policy) if self.leads else 0.0) + 1.0
+        self.since = self.now + (lead_ms(self.policies[-1], policy) if self.waits_for_lead else 0.0) + 1.0
         self.policies = (*self.policies, policy)
         self.control.schedule_limits(self.now, policy.limits, self.since, policy.default_mode)
         self._send()
@@ -122,32 +122,32 @@
             super().calls_out(name, key, times)
 
     @invariant()
-    def no_span_holds_more_than_an_exact_limit(self) -> None:
+    def exact_limit_holds_in_every_span(self) -> None:
         for key, calls in self.calls.items():
-            while calls and calls[0] <= self.now - KEPT_MS:
+            while calls and calls[0] <= self.now - HISTORY_MS:
                 calls.popleft()
             limit = self.in_force.limits.get(key)
             if limit is not None and limit.mode is LimitMode.EXACT:
                 in_span = sum(at > self.now - limit.span_ms for at in calls)
                 assert in_span <= limit.calls, (key, limit)
 
-    def a_bound_limit_is_kept_once_every_sender_knows_or_has_no_right(self) -> None:
-        """Not looked at, as the limit may be another one by then."""
+    def bound_limit_holds_after_exposure(self) -> None:
+        """Not checked, as the limit may have changed."""
 
 
-class ChangingFromExact(Changing):
+class ChangingFromExactFleet(ChangingFleet):
     default = LimitMode.EXACT
 
 
-class Hasty(Changing):
-    leads = False
+class WithoutLead(ChangingFleet):
+    waits_for_lead = False
 
 
-@pytest.mark.parametrize("machine", [Changing, ChangingFromExact])
-def test_exact_limits_hold_over_every_change(machine: type[Fleet]) -> None:
+@pytest.mark.parametrize("machine", [ChangingFleet, ChangingFromExactFleet])
+def test_exact_limits_hold_across_changes(machine: type[Fleet]) -> None:
     run_state_machine_as_test(machine, settings=SEARCH)
 
 
-def test_the_search_finds_a_change_without_a_lead() -> None:
+def test_search_detects_change_without_lead_time() -> None:
     with pytest.raises(AssertionError):
-        run_state_machine_as_test(Hasty, settings=settings(PLANTED, max_examples=2_000))
+        run_state_machine_as_test(WithoutLead, settings=settings(FAULT_SEARCH, max_examples=2_000))
--- a/tests/fleet/test_limit_schedule.py
+++ b/tests/fleet/test_limit_schedule.py
@@ -1,4 +1,4 @@
-"""Limits at the border of two policies: the smaller one holds before it, a removed one to it."""
+"""Limits that change at a scheduled time: until then the stricter ones apply, and removed ones stay."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 from tests.test_config import make
 
 
-def test_limits_change_at_the_border_and_the_smaller_one_before(tmp_path: Path) -> None:
+def test_stricter_limits_apply_until_scheduled_change(tmp_path: Path) -> None:
     old = {"g1": Limit(40, 2000.0), "g2": Limit(10, 1000.0), "g4": Limit(3, 1000.0)}
     server = AllocatorServer(tmp_path / "allot", tmp_path, old, NullLog())
     allocator = server.control
@@ -33,13 +33,13 @@
         "g3": Limit(5, 1000.0),
         "g4": Limit(3, 1000.0),
     }
-    until(lambda: allocator.limit("g4") is None, "the border is reached")
+    until(lambda: allocator.limit("g4") is None, "the new limits apply")
     assert SYSTEM.now() >= since
     assert allocator.limit("g1") == Limit(8, 2000.0) and allocator.limit("g2") == Limit(100, 1000.0)
     server.close()
 
 
-def test_a_daemon_that_begins_before_the_border_keeps_to_it(tmp_path: Path) -> None:
+def test_restarted_daemon_keeps_scheduled_change(tmp_path: Path) -> None:
     file, limit = tmp_path / "fleet.toml", "[limits.g1]\ncalls = {}\nspan_ms = 1000.0\n"
     head = 'folder = "fleet"\nconfig = "sender.json"\ninstances = 0\n'
     base = make(tmp_path)
@@ -59,16 +59,16 @@
     allocator = second._server.control
     before = allocator.limit("g1")
     assert SYSTEM.now() < since and before == Limit(10, 1000.0)
-    until(lambda: allocator.limit("g1") == Limit(100, 1000.0), "the border is reached")
+    until(lambda: allocator.limit("g1") == Limit(100, 1000.0), "the new limits apply")
     assert SYSTEM.now() >= since
     second.leave()
 
 
-def test_what_a_partner_told_binds_again_when_the_operators_limit_goes(tmp_path: Path) -> None:
+def test_partner_limit_applies_after_operators_limit_is_removed(tmp_path: Path) -> None:
     server = AllocatorServer(tmp_path / "allot", tmp_path, {"g1": Limit(40, 2000.0)}, NullLog())
     owner = server.control.register(SYSTEM.now(), Register(PROTOCOL_VERSION, "", "n000", 1))
     server.control.received(SYSTEM.now(), owner, LeaseRequest(partner_rates={"g1": 5.0}))
     assert server.control.limit("g1") == Limit(40, 2000.0)
     server.schedule_limits({}, SYSTEM.now())
-    until(lambda: server.control.limit("g1") == Limit(10, 2000.0), "the partner's own limit binds")
+    until(lambda: server.control.limit("g1") == Limit(10, 2000.0), "the partner's limit applies")
     server.close()
--- a/tests/fleet/test_limits_regressions.py
+++ b/tests/fleet/test_limits_regressions.py
@@ -1,4 +1,4 @@
-"""Faults that a review of exact and adaptive limits found, each by the fewest events that show it."""
+"""Regression tests of exact and adaptive limits, each with the fewest events that show the fault."""
 
 from __future__ import annotations
 
@@ -45,7 +45,7 @@
 
 
 class Pair:
-    """One sender and one allocator; a test hands over each message."""
+    """One sender and one allocator; the tests deliver each message."""
 
     def __init__(self, default: LimitMode, limits: dict[str, Limit]) -> None:
         self.control = AllocatorControl("fleet", default, limits, Allocator(), 0.0)
@@ -53,7 +53,7 @@
         self.session = SenderSession("n0", 1, "fleet", self.cache)
         self.owner: Owner = ("n0", 1)
 
-    def upward(self, now: float, messages: list[LimitMessage]) -> None:
+    def to_allocator(self, now: float, messages: list[LimitMessage]) -> None:
         for message in messages:
             if isinstance(message, Register):
                 self.control.register(now, message)
@@ -61,64 +61,66 @@
                 assert isinstance(message, LeaseRequest | UseReport)
                 self.control.received(now, self.owner, message)
 
-    def downward(self, now: float) -> list[LimitMessage]:
+    def from_allocator(self, now: float) -> list[LimitMessage]:
         self.control.grant(now, self.control.tick(now))
         return self.control.take_messages().get(self.owner, [])
 
-    def heard(self, now: float, messages: list[LimitMessage]) -> None:
+    def receive(self, now: float, messages: list[LimitMessage]) -> None:
         for message in messages:
             assert isinstance(message, Welcome | KeyStatuses | LeaseGrants)
             self.session.received(now, message)
 
     def exchange(self, now: float) -> None:
-        self.upward(now, self.session.due(now))
-        self.heard(now, self.downward(now))
+        self.to_allocator(now, self.session.due(now))
+        self.receive(now, self.from_allocator(now))
 
 
-def test_between_a_welcome_and_its_statuses_no_exact_limit_looks_free() -> None:
+def test_exact_limit_is_not_free_between_welcome_and_statuses() -> None:
     pair = Pair(ADAPTIVE, {f"g{n}": Limit(1, SPAN) for n in range(5_000)})
-    pair.upward(0.0, pair.session.connected(0.0))
-    messages = pair.downward(0.0)
+    pair.to_allocator(0.0, pair.session.connected(0.0))
+    messages = pair.from_allocator(0.0)
     assert len(messages) == 3  # the welcome, and exact limits in two messages
     for message in messages:
-        pair.heard(1.0, [message])
+        pair.receive(1.0, [message])
         assert pair.cache.take("g1", 1.0) > 0.0 and pair.cache.take("g4999", 1.0) > 0.0
     assert pair.cache.take("g5000", 1.0) == 0.0
 
 
-def test_a_default_that_becomes_adaptive_lets_no_exact_limit_look_free_on_its_way() -> None:
+def test_exact_limit_is_not_free_during_change_of_default() -> None:
     limits = {"g1": Limit(1, SPAN)}
     pair = Pair(EXACT, limits)
-    pair.upward(0.0, pair.session.connected(0.0))
-    pair.heard(0.0, pair.downward(0.0))
+    pair.to_allocator(0.0, pair.session.connected(0.0))
+    pair.receive(0.0, pair.from_allocator(0.0))
     pair.control.schedule_limits(1.0, limits, 2.0, ADAPTIVE)
-    for message in pair.downward(3.0):
-        pair.heard(3.0, [message])
+    for message in pair.from_allocator(3.0):
+        pair.receive(3.0, [message])
         assert pair.cache.take("g1", 3.0) > 0.0
     assert pair.cache.take("g2", 3.0) == 0.0
 
 
-def test_a_limit_that_lease_reports_bind_is_told_and_looked_at_again() -> None:
+def test_limit_bound_by_lease_reports_is_sent_and_checked() -> None:
     limits = {"g1": Limit(1, SPAN)}
     pair = Pair(ADAPTIVE, limits)
-    pair.upward(0.0, pair.session.connected(0.0))
-    pair.heard(0.0, pair.downward(0.0))
+    pair.to_allocator(0.0, pair.session.connected(0.0))
+    pair.receive(0.0, pair.from_allocator(0.0))
     pair.control.received(1.0, pair.owner, LeaseRequest({"g1": 1}))
     leases = pair.control.tick(2.0)
     assert sum(lease.calls for lease in leases) == 1
     pair.control.schedule_limits(3.0, {"g1": Limit(1, SPAN, ADAPTIVE)}, 4.0)
-    pair.heard(5.0, pair.downward(5.0))
+    pair.receive(5.0, pair.from_allocator(5.0))
     assert not pair.control.is_bound("g1")
     pair.control.received(6.0, pair.owner, UseReport(1, 0.0, {"g1": 2}))
     reports = tuple(LeaseReport("g1", lease.serial, lease.calls, 2.0) for lease in leases)
     pair.control.received(7.0, pair.owner, LeaseRequest({}, reports))
     assert pair.control.is_bound("g1")
     pair.control.tick(8.0)
-    told = [
-        one for one in pair.downward(8.0 + BATCH_DELAY_MS[KeyStatus.BOUND]) if isinstance(one, KeyStatuses)
+    sent = [
+        one
+        for one in pair.from_allocator(8.0 + BATCH_DELAY_MS[KeyStatus.BOUND])
+        if isinstance(one, KeyStatuses)
     ]
-    assert any(fingerprint("g1") in one.bound for one in told)
-    assert pair.control.next_at < 10_000.0  # to let go of it again
+    assert any(fingerprint("g1") in one.bound for one in sent)
+    assert pair.control.next_at < 10_000.0  # the check for release
 
 
 TWINS = ("r2609/endpoint-655.dc5.example:8061", "r119131/endpoint-914.dc5.example:8012")  # one fingerprint
@@ -126,83 +128,81 @@
 
 @pytest.mark.parametrize("default", [EXACT, ADAPTIVE])
 @pytest.mark.parametrize("other", [None, Limit(20, SPAN, ADAPTIVE)])
-def test_a_key_with_another_ones_fingerprint_frees_no_exact_limit(
-    default: LimitMode, other: Limit | None
-) -> None:
+def test_shared_fingerprint_does_not_free_exact_limit(default: LimitMode, other: Limit | None) -> None:
     exact, twin = TWINS
     assert fingerprint(exact) == fingerprint(twin)
     limits = {exact: Limit(1, SPAN)} | ({twin: other} if other is not None else {})
     pair = Pair(default, limits)
-    pair.upward(0.0, pair.session.connected(0.0))
-    pair.heard(0.0, pair.downward(0.0))
+    pair.to_allocator(0.0, pair.session.connected(0.0))
+    pair.receive(0.0, pair.from_allocator(0.0))
     made, now = {exact: 0, twin: 0}, 0.0
     while now < 1_500.0:
         now += 10.0
         for key in (twin, exact):
             made[key] += pair.cache.take(key, now) == 0.0
         pair.exchange(now)
-    assert made[exact] == 1 and made[twin] >= 1  # the other one is slowed, and goes on
+    assert made[exact] == 1 and made[twin] >= 1  # the other key is slowed down but still called
 
 
-def test_a_limit_that_comes_binds_senders_that_know_its_fingerprint_from_another_key() -> None:
+def test_new_limit_binds_senders_that_know_its_fingerprint() -> None:
     exact, twin = TWINS
     pair = Pair(EXACT, {})
-    pair.upward(0.0, pair.session.connected(0.0))
-    pair.heard(0.0, pair.downward(0.0))
+    pair.to_allocator(0.0, pair.session.connected(0.0))
+    pair.receive(0.0, pair.from_allocator(0.0))
     pair.cache.take(twin, 1.0)
     pair.exchange(2.0)
     assert pair.cache.take(exact, 3.0) == 0.0  # neither has a limit
     pair.control.set_limit(4.0, exact, Limit(1, SPAN))
-    pair.heard(5.0, pair.downward(5.0))
+    pair.receive(5.0, pair.from_allocator(5.0))
     assert pair.cache.take(exact, 6.0) > 0.0
 
 
-def test_a_limit_that_lets_go_frees_no_other_one_of_its_fingerprint() -> None:
+def test_release_does_not_free_limit_with_same_fingerprint() -> None:
     one, other = TWINS
     pair = Pair(ADAPTIVE, dict.fromkeys(TWINS, Limit(20, SPAN, ADAPTIVE)))
-    pair.upward(0.0, pair.session.connected(0.0))
-    pair.heard(0.0, pair.downward(0.0))
-    pair.control.set_limit(1.0, one, Limit(10, SPAN, ADAPTIVE))  # it falls: it is bound
+    pair.to_allocator(0.0, pair.session.connected(0.0))
+    pair.receive(0.0, pair.from_allocator(0.0))
+    pair.control.set_limit(1.0, one, Limit(10, SPAN, ADAPTIVE))  # lowered, so it is bound
     pair.control.set_limit(2.0, other, Limit(10, SPAN))
     pair.control.set_limit(3.0, one, Limit(40, SPAN, ADAPTIVE))
-    pair.heard(3.0, pair.downward(3.0))
+    pair.receive(3.0, pair.from_allocator(3.0))
     for now in range(3 + int(BATCH_DELAY_MS[KeyStatus.BOUND]), 20_000, 100):
-        pair.heard(float(now), pair.downward(float(now)))
+        pair.receive(float(now), pair.from_allocator(float(now)))
         assert pair.cache.take(other, float(now)) > 0.0
     pair.control.remove_limit(other)
-    pair.heard(20_000.0, pair.downward(20_000.0))
+    pair.receive(20_000.0, pair.from_allocator(20_000.0))
     pair.exchange(20_001.0)
     assert not pair.control.is_bound(one) and not pair.control.is_bound(other)
     pair.control.set_limit(20_002.0, one, Limit(30, SPAN, ADAPTIVE))
     pair.control.tick(20_003.0)
-    sent = pair.downward(20_003.0 + BATCH_DELAY_MS[KeyStatus.BOUND])
-    told = [item for item in sent if isinstance(item, KeyStatuses)]
-    assert any(fingerprint(one) in item.bound for item in told)
+    messages = pair.from_allocator(20_003.0 + BATCH_DELAY_MS[KeyStatus.BOUND])
+    sent = [item for item in messages if isinstance(item, KeyStatuses)]
+    assert any(fingerprint(one) in item.bound for item in sent)
 
 
-def test_a_request_never_holds_more_keys_than_a_message_may() -> None:
+def test_requests_are_split_by_number_of_keys() -> None:
     pair = Pair(EXACT, {})
     keys = [f"g{n}" for n in range(2 * MAX_KEYS)]
     pair.session.add_keys(keys)
-    pair.upward(0.0, pair.session.connected(0.0))
-    pair.heard(0.0, pair.downward(0.0))
+    pair.to_allocator(0.0, pair.session.connected(0.0))
+    pair.receive(0.0, pair.from_allocator(0.0))
     for key in keys[MAX_KEYS:]:
         pair.cache.take(key, 1.0)
     pair.cache.take("g" + "9" * 20, 1.0)
     requests = [one for one in pair.session.due(2.0) if isinstance(one, LeaseRequest)]
-    heard = [message for one in requests for message in Lines().feed(encode(one))]
-    assert heard == requests
+    decoded = [message for one in requests for message in Lines().feed(encode(one))]
+    assert decoded == requests
     assert {key for one in requests for key in one.demands} == {*keys, "g" + "9" * 20}
 
 
-def test_requests_and_reports_of_long_keys_fit_their_lines() -> None:
+def test_requests_and_reports_with_long_keys_fit_lines() -> None:
     pair = Pair(ADAPTIVE, {})
     keys = [f"r{n}/" + "é" * 190 for n in range(MAX_KEYS)]
-    pair.upward(0.0, pair.session.connected(0.0))
+    pair.to_allocator(0.0, pair.session.connected(0.0))
     for key in keys:
         pair.session.set_partner_rate(key, 5.0)
         pair.cache.take(key, 1.0)
-    pair.heard(0.0, pair.downward(0.0))
+    pair.receive(0.0, pair.from_allocator(0.0))
     for key in keys:
         pair.cache.take(key, 1.0)
     messages = pair.session.due(2.0)
@@ -210,44 +210,44 @@
     assert {key for one in messages if isinstance(one, LeaseRequest) for key in one.partner_rates} == {*keys}
 
 
-def test_limits_that_partners_told_take_on_the_fleets_new_default() -> None:
+def test_partner_limits_follow_default_mode() -> None:
     pair = Pair(ADAPTIVE, {})
-    pair.upward(0.0, pair.session.connected(0.0))
+    pair.to_allocator(0.0, pair.session.connected(0.0))
     pair.session.set_partner_rate("g1", 5.0)
     pair.exchange(1.0)
     assert pair.control.limit("g1") == Limit(10, SPAN, ADAPTIVE)
     pair.control.schedule_limits(2.0, {"g2": Limit(4, SPAN, ADAPTIVE)}, 3.0, EXACT)
-    pair.heard(4.0, pair.downward(4.0))
+    pair.receive(4.0, pair.from_allocator(4.0))
     assert pair.control.limit("g1") == Limit(10, SPAN, EXACT)
-    assert pair.control.limit("g2") == Limit(4, SPAN, ADAPTIVE)  # the operators say so
+    assert pair.control.limit("g2") == Limit(4, SPAN, ADAPTIVE)  # set by the operators
     pair.cache.take("g1", 5.0)
     pair.exchange(6.0)
     assert pair.cache.is_limited("g1") and pair.control.is_bound("g1")
     pair.control.schedule_limits(7.0, {}, 8.0, ADAPTIVE)
-    pair.heard(9.0, pair.downward(9.0))
+    pair.receive(9.0, pair.from_allocator(9.0))
     assert pair.control.limit("g1") == Limit(10, SPAN, ADAPTIVE)
 
 
-def test_a_new_default_leaves_the_mode_of_an_operators_limit_that_is_to_come() -> None:
+def test_default_mode_does_not_change_announced_limit() -> None:
     pair = Pair(ADAPTIVE, {})
-    pair.upward(0.0, pair.session.connected(0.0))
+    pair.to_allocator(0.0, pair.session.connected(0.0))
     pair.session.set_partner_rate("g1", 5.0)
     pair.exchange(1.0)
     pair.control.schedule_limits(2.0, {"g1": Limit(4, SPAN, ADAPTIVE)}, 10.0, EXACT)
     assert pair.control.limit("g1") == Limit(4, SPAN, ADAPTIVE)
-    pair.downward(11.0)
+    pair.from_allocator(11.0)
     assert pair.control.limit("g1") == Limit(4, SPAN, ADAPTIVE)
 
 
-def test_a_sender_forgets_statuses_of_another_default() -> None:
+def test_sender_drops_statuses_of_another_default() -> None:
     cache = LeaseCache()
     cache.apply_welcome(Welcome(KeyStatus.BOUND, True), 0.0)
     cache.apply_statuses(KeyStatuses(0, unlimited=(fingerprint("g1"),)))
-    # A successor of the allocator, which learns, under another policy that has an adaptive limit for it.
+    # A learning successor, under a policy with an adaptive limit for the key.
     cache.apply_welcome(Welcome(KeyStatus.FREE, False), 10.0)
     assert cache.take("g1", 11.0) == 0.0
     report = cache.use_report(2_000.0)
-    assert report is not None and report.calls == {"g1": 1}  # else nobody would ever know
+    assert report is not None and report.calls == {"g1": 1}  # otherwise the call would never be counted
 
 
 @pytest.mark.parametrize(
@@ -262,7 +262,7 @@
         (Limit(7, 2_000.0), Limit(70, 20_000.0)),
     ],
 )
-def test_the_stricter_of_two_limits_keeps_both(one: Limit, other: Limit) -> None:
+def test_stricter_limit_satisfies_both(one: Limit, other: Limit) -> None:
     strict = stricter(one, other)
     assert strict.calls >= 1
     for limit in (one, other):  # the most calls that the stricter one allows in a span of this one
@@ -271,24 +271,24 @@
     assert strict.calls / strict.span_ms >= 0.5 * min(rates)
 
 
-def test_a_second_announcement_takes_back_what_the_first_one_made_stricter() -> None:
+def test_second_announcement_reverts_stricter_limit() -> None:
     pair = Pair(EXACT, {"g1": Limit(20, SPAN)})
     pair.control.schedule_limits(0.0, {"g1": Limit(5, SPAN)}, 1_000.0)
     assert pair.control.limit("g1") == Limit(5, SPAN)
     pair.control.schedule_limits(10.0, {"g1": Limit(20, SPAN)}, 1_500.0)
-    pair.downward(1_500.0)
+    pair.from_allocator(1_500.0)
     assert pair.control.limit("g1") == Limit(20, SPAN)
 
 
-def test_a_second_announcement_without_a_limit_that_the_first_one_brought_removes_it() -> None:
+def test_second_announcement_removes_announced_limit() -> None:
     pair = Pair(EXACT, {})
     pair.control.schedule_limits(0.0, {"g1": Limit(5, SPAN)}, 1_000.0)
     pair.control.schedule_limits(10.0, {}, 1_500.0)
-    pair.downward(1_500.0)
+    pair.from_allocator(1_500.0)
     assert pair.control.limit("g1") is None
 
 
-def test_the_rate_of_a_lease_is_forgotten_with_the_need_for_leases() -> None:
+def test_rate_is_dropped_when_limit_is_free() -> None:
     cache = LeaseCache()
     session = SenderSession("n0", 1, "fleet", cache)
     session.connected(0.0)
@@ -300,8 +300,8 @@
     assert session.rate("g1") is None and session.rates == {}
 
 
-def test_what_a_partner_tells_is_passed_on_whenever_it_comes() -> None:
-    """News at each line of ``due``, as another thread may bring it there."""
+def test_partner_rate_set_concurrently_is_sent() -> None:
+    """Sets a rate at each line of ``due``, as another thread may do."""
     lines = 0
     while True:
         session = SenderSession("n0", 1, "fleet", LeaseCache())
@@ -323,20 +323,20 @@
         sys.settrace(at_line)
         first = session.due(1.0)
         sys.settrace(None)
-        told = [one for one in [*first, *session.due(2.0)] if isinstance(one, LeaseRequest)]
+        sent = [one for one in [*first, *session.due(2.0)] if isinstance(one, LeaseRequest)]
         if seen < lines:
             return
         if lines:
-            assert told[-1].partner_rates == {"g1": 7.0}, lines
+            assert sent[-1].partner_rates == {"g1": 7.0}, lines
         lines += 1
 
 
-def test_leases_that_are_not_whole_on_record_are_not_told(
-    tmp_path: Path, monkeypatch: pytest.MonkeyPatch
-) -> None:
-    record, whole = LeaseRecord(tmp_path, SPAN), os.write
+def test_partly_written_leases_are_not_granted(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
+    record, real_write = LeaseRecord(tmp_path, SPAN), os.write
     record.append([Lease(1, ("n0", 1), "g1", 1, 200.0)], 0.0)
-    monkeypatch.setattr(os, "write", lambda file, data: whole(file, data[: len(data) // 2]))  # a full disk
+    monkeypatch.setattr(
+        os, "write", lambda file, data: real_write(file, data[: len(data) // 2])
+    )  # a full disk
     with pytest.raises(OSError, match="not complete on disk"):
         record.append([Lease(2, ("n0", 1), "g1", 1, 200.0)], 1.0)
     monkeypatch.undo()
@@ -347,7 +347,7 @@
     again.close()
 
 
-def test_leases_that_a_lost_record_held_count_to_a_span_after_their_ends() -> None:
+def test_unknown_leases_count_until_one_span_after_expiry() -> None:
     limit, died = Limit(5, SPAN), 10_000.0
     before = Allocator(lease_ms=200.0)
     before.set_limit("g1", limit)
@@ -361,12 +361,12 @@
     last = lease.until - 1.0
     assert cache.take("g1", last) == 0.0
     successor.set_demand(last + SPAN - 10.0, ("n1", 1), "g1", 5)
-    assert successor.allocate(last + SPAN - 10.0) == []  # its call is in each span until then
+    assert successor.allocate(last + SPAN - 10.0) == []  # a call of the unknown lease is still in the span
     assert successor.allocate(last + SPAN + 10.0) != []
 
 
 def operations(work: Callable[[], object]) -> int:
-    """How many of the interpreter's operations some work takes."""
+    """The number of bytecode operations that ``work`` takes."""
     count = 0
 
     def traced(frame: FrameType, event: str, _: object) -> Any:
@@ -381,20 +381,20 @@
     return count
 
 
-def test_a_lease_costs_a_sender_the_same_however_many_it_holds() -> None:
+def test_cost_of_adding_leases_is_linear() -> None:
     def received(count: int) -> int:
         cache = LeaseCache()
 
-        def take_in() -> None:
+        def add_all() -> None:
             for number in range(count):
                 cache.add_lease(Lease(number, ("n0", 1), f"g{number}", 1, 200.0), 0.0)
 
-        return operations(take_in)
+        return operations(add_all)
 
     assert received(800) <= 8.5 * received(100)
 
 
-def test_failures_that_count_against_no_limit_make_no_state() -> None:
+def test_calls_outside_any_span_create_no_state() -> None:
     allocator = Allocator()
     control = AllocatorControl("fleet", EXACT, {"g1": Limit(5, SPAN)}, allocator, 0.0)
     owner = control.register(0.0, Register(PROTOCOL_VERSION, "fleet", "n0", 1))
@@ -403,12 +403,12 @@
     assert allocator.state_count == 0
 
 
-def test_a_limit_that_nobody_waits_for_any_more_does_not_keep_the_allocator_busy() -> None:
+def test_expired_demand_does_not_keep_allocator_busy() -> None:
     allocator = Allocator()
     allocator.set_limit("g1", Limit(1, 60_000.0))
     allocator.set_demand(0.0, ("n0", 1), "g1", 1)
     assert allocator.allocate(0.0) != []
-    allocator.set_demand(1.0, ("n1", 1), "g1", 1)  # and is not heard of again
+    allocator.set_demand(1.0, ("n1", 1), "g1", 1)  # and sends nothing more
     assert allocator.allocate(1.0) == [] and allocator.is_waiting("g1")
     allocator.allocate(2_000.0)
     assert not allocator.waiting
@@ -419,14 +419,14 @@
 
 
 @pytest.mark.parametrize("per_s", [float("nan"), float("inf"), -1.0, 0.0, 1e18])
-def test_a_rate_that_makes_no_sense_is_not_passed_on(per_s: float) -> None:
+def test_invalid_partner_rate_is_ignored(per_s: float) -> None:
     session = SenderSession("n0", 1, "fleet", LeaseCache())
     session.connected(0.0)
     assert not session.set_partner_rate("g1", per_s)
     assert session.due(1.0) == []
 
 
-def test_an_endpoint_of_any_name_has_a_key_that_a_message_can_hold() -> None:
+def test_key_of_any_endpoint_fits_message() -> None:
     keys = {key_of(Endpoint(1, name, "h", 1, 7, True, 1)) for name in ("x" * 300, "x" * 299 + "y", "\ud800")}
     assert len(keys) == 3
     for key in keys:
@@ -435,11 +435,11 @@
     assert key_of(Endpoint(1, "x" * 190, "h", 1, 7, True, 1)) == "r7/" + "x" * 190
 
 
-def test_limits_that_come_and_go_leave_nothing_behind() -> None:
+def test_removed_limits_leave_no_checks() -> None:
     control = AllocatorControl("fleet", ADAPTIVE, {}, Allocator(), 0.0)
     for n in range(100):
         control.set_limit(float(n), "g1", Limit(20, SPAN, ADAPTIVE))
-        control.set_limit(float(n), "g1", Limit(10, SPAN, ADAPTIVE))  # it falls: it is bound
+        control.set_limit(float(n), "g1", Limit(10, SPAN, ADAPTIVE))  # lowered, so it is bound
         if n < 99:
             control.remove_limit("g1")
     once = AllocatorControl("fleet", ADAPTIVE, {"g1": Limit(20, SPAN, ADAPTIVE)}, Allocator(), 0.0)
--- a/tests/fleet/test_shard_map.py
+++ b/tests/fleet/test_shard_map.py
@@ -1,4 +1,4 @@
-"""Rendezvous hashing: the loss of a shard moves its keys alone, and keys spread evenly."""
+"""Rendezvous hashing: removing a shard moves only its keys, and keys are evenly distributed."""
 
 from __future__ import annotations
 
@@ -14,33 +14,33 @@
 
 @given(names=NAMES, data=st.data())
 @settings(max_examples=60, deadline=None, derandomize=True, database=None)
-def test_the_loss_of_a_shard_moves_its_own_keys_alone(names: list[str], data: st.DataObject) -> None:
+def test_removed_shard_moves_only_its_keys(names: list[str], data: st.DataObject) -> None:
     before = ShardMap(1, tuple(names))
-    lost = data.draw(st.sampled_from(names))
-    after = before.without(lost)
+    removed = data.draw(st.sampled_from(names))
+    after = before.without(removed)
     for key in KEYS:
-        assert after.owner(key) != lost
-        assert before.owner(key) == lost or after.owner(key) == before.owner(key)
+        assert after.owner(key) != removed
+        assert before.owner(key) == removed or after.owner(key) == before.owner(key)
     assert after.number == 2
-    back = after.with_shard(lost)
-    assert [back.owner(key) for key in KEYS] == [before.owner(key) for key in KEYS]
+    restored = after.with_shard(removed)
+    assert [restored.owner(key) for key in KEYS] == [before.owner(key) for key in KEYS]
 
 
-def test_keys_spread_evenly_over_the_shards_and_over_the_rest_after_a_loss() -> None:
+def test_keys_are_evenly_distributed() -> None:
     shards = ShardMap(1, tuple(f"shard-{n}" for n in range(12)))
     keys = [f"g{n}" for n in range(24_000)]
     parts = shards.assign(keys)
     assert all(1_800 <= len(part) <= 2_200 for part in parts.values())
-    taken_over = shards.without("shard-3").assign(parts["shard-3"])
-    assert all(120 <= len(part) <= 245 for part in taken_over.values())
+    reassigned = shards.without("shard-3").assign(parts["shard-3"])
+    assert all(120 <= len(part) <= 245 for part in reassigned.values())
 
 
-def test_the_order_in_which_shards_are_named_does_not_matter() -> None:
+def test_order_of_shards_does_not_matter() -> None:
     one, other = ShardMap(1, ("a", "b", "c")), ShardMap(1, ("c", "a", "b"))
     assert [one.owner(key) for key in KEYS] == [other.owner(key) for key in KEYS]
 
 
-def test_of_two_maps_the_one_with_the_higher_number_holds() -> None:
+def test_map_with_higher_number_is_valid() -> None:
     first = ShardMap(1, ("a", "b"))
     second = first.without("b")
     assert newer(first, second) is second and newer(second, first) is second
@@ -56,17 +56,17 @@
         (("a", "b", "a"), "duplicate shard name: a, a, b"),
     ],
 )
-def test_a_map_that_can_not_be_used_is_refused_by_what_is_wrong(shards: tuple[str, ...], fault: str) -> None:
+def test_invalid_map_is_refused(shards: tuple[str, ...], fault: str) -> None:
     with pytest.raises(ShardMapError, match=fault):
         ShardMap(1, shards)
 
 
-def test_a_shard_that_is_not_there_can_not_leave() -> None:
+def test_unknown_shard_cannot_be_removed() -> None:
     with pytest.raises(ShardMapError, match="no such shard: c; there are a, b"):
         ShardMap(1, ("a", "b")).without("c")
 
 
-def test_shards_with_long_names_that_differ_late_share_the_keys() -> None:
+def test_long_names_with_common_prefix_share_keys() -> None:
     shards = tuple("s" * 70 + end for end in "abc")
     assigned = ShardMap(1, shards).assign(f"g{n}" for n in range(300))
     assert min(map(len, assigned.values())) >= 60
--- a/tests/fleet/test_wire.py
+++ b/tests/fleet/test_wire.py
@@ -1,4 +1,4 @@
-"""The fleet's lines and the record of leases, cut anywhere, damaged, or of another start of the machine."""
+"""Decoding of fragmented and invalid lines; the lease record truncated, damaged or of another boot."""
 
 from __future__ import annotations
 
@@ -38,7 +38,7 @@
 
 @given(cuts=st.lists(st.integers(0, 400), max_size=8))
 @settings(max_examples=100, deadline=None, derandomize=True, database=None)
-def test_messages_are_read_however_their_bytes_are_cut(cuts: list[int]) -> None:
+def test_messages_are_decoded_from_any_fragments(cuts: list[int]) -> None:
     data = b"".join(map(encode, MESSAGES))
     lines, received, at = Lines(), [], 0
     for cut in [*sorted(cuts), len(data)]:
@@ -49,7 +49,7 @@
 
 @given(line=st.binary(max_size=60))
 @settings(max_examples=300, deadline=None, derandomize=True, database=None)
-def test_whatever_else_comes_is_unreadable(line: bytes) -> None:
+def test_random_bytes_are_refused(line: bytes) -> None:
     with pytest.raises(Unreadable):
         Lines().feed(line.replace(b"\n", b" ") + b"\n")
 
@@ -76,13 +76,13 @@
         b"x" * (wire.LINE_BYTES + 1),
     ],
 )
-def test_a_faulty_line_is_refused(line: bytes) -> None:
+def test_invalid_line_is_refused(line: bytes) -> None:
     with pytest.raises(Unreadable):
         Lines().feed(line + b"\n")
 
 
 @pytest.mark.parametrize("kind", ["hello", "asking", "limited", "granted"])
-def test_a_line_of_the_version_before_is_refused_by_name(kind: str) -> None:
+def test_line_of_protocol_version_one_is_refused(kind: str) -> None:
     with pytest.raises(Unreadable, match=f"'{kind}' is from protocol version 1"):
         Lines().feed(b'{"kind":"%s","name":"a","epoch":1}\n' % kind.encode())
 
@@ -91,7 +91,7 @@
     return Lease(serial, ("n000", 1), "g1", 3, until)
 
 
-def test_a_successor_reads_what_was_given_out_but_not_a_torn_tail(tmp_path: Path) -> None:
+def test_record_is_read_up_to_truncated_tail(tmp_path: Path) -> None:
     record = LeaseRecord(tmp_path, 2_000.0)
     record.append([lease(1), lease(2)], 0.0)
     record.append([lease(3)], 0.0)
@@ -110,7 +110,7 @@
         again.close()
 
 
-def test_the_record_stays_small(tmp_path: Path) -> None:
+def test_record_size_is_bounded(tmp_path: Path) -> None:
     record = LeaseRecord(tmp_path, 100.0)
     for n in range(20_000):
         record.append([lease(n, float(n) + 20.0)], float(n))
@@ -120,7 +120,7 @@
     assert set(range(19_880, 20_000)) <= set(kept)
 
 
-def test_a_record_of_another_start_of_the_machine_is_left_aside(tmp_path: Path) -> None:
+def test_record_of_another_boot_is_ignored(tmp_path: Path) -> None:
     record = LeaseRecord(tmp_path, 2_000.0)
     record.append([lease(1)], 0.0)
     record.close()
@@ -129,7 +129,7 @@
     assert LeaseRecord(tmp_path, 2_000.0).earlier == []
 
 
-def test_a_record_says_whether_anything_of_it_is_missing(tmp_path: Path) -> None:
+def test_record_detects_missing_leases(tmp_path: Path) -> None:
     record = LeaseRecord(tmp_path, 2_000.0)
     assert record.complete and not record.existed
     record.append([lease(1), lease(2)], 0.0)
@@ -140,18 +140,18 @@
     torn = LeaseRecord(tmp_path, 2_000.0)
     assert torn.complete and torn.existed and torn.earlier == [lease(1)]
     torn.close()
-    for spoilt in (good[:60] + b"?" + good[61:], b"0" * 36 + good[36:], b""):
-        file.write_bytes(spoilt)
+    for corrupt in (good[:60] + b"?" + good[61:], b"0" * 36 + good[36:], b""):
+        file.write_bytes(corrupt)
         found = LeaseRecord(tmp_path, 2_000.0)
         assert not found.complete and found.existed
         found.close()
         again = LeaseRecord(tmp_path, 2_000.0)
-        assert again.complete  # it is reported once
+        assert again.complete  # incompleteness is reported once
         again.close()
 
 
 @pytest.mark.parametrize("bit", range(8 * 8))
-def test_a_record_with_a_damaged_head_is_not_whole(tmp_path: Path, bit: int) -> None:
+def test_record_with_damaged_header_is_incomplete(tmp_path: Path, bit: int) -> None:
     record = LeaseRecord(tmp_path, 2_000.0)
     record.append([lease(serial) for serial in range(1, 100)], 0.0)
     record.close()
