--- a/springspread/fleet/allocator.py
+++ b/springspread/fleet/allocator.py
@@ -217,9 +217,7 @@
             return
         state = self._state(key)
         state.refill(now, self._burst_ms)
-        state.tokens = max(
-            state.tokens - calls, 0.0
-        )  # no debt: tokens only pace, the count enforces the limit
+        state.tokens = max(state.tokens - calls, 0.0)  # no debt, as the count enforces the limit
         if state.unleased and 0.0 <= expires_at - state.unleased[-1].expires_at <= MERGE_MS:
             state.unleased[-1].calls += calls
             state.unleased[-1].expires_at = expires_at
