--- a/springspread/fleet/outbox.py
+++ b/springspread/fleet/outbox.py
@@ -40,8 +40,8 @@
 
     def _status_messages(self) -> list[KeyStatuses]:
         by_status: dict[KeyStatus, list[Fingerprint]] = {status: [] for status in KeyStatus}
-        for digest, status in self.statuses.items():
-            by_status[status].append(digest)
+        for fingerprint, status in self.statuses.items():
+            by_status[status].append(fingerprint)
         count = max(max(map(len, by_status.values())), 1 if self.acknowledged else 0)
         messages = []
         for start in range(0, count, MAX_KEYS):
--- a/springspread/fleet/sender_notifier.py
+++ b/springspread/fleet/sender_notifier.py
@@ -79,47 +79,47 @@
         for owner in self._outboxes:
             self._welcome(owner, complete=True)
 
-    def anybody_knows(self, digest: Fingerprint) -> bool:
+    def anybody_knows(self, fingerprint: Fingerprint) -> bool:
         """Whether any sender knows a status of this fingerprint other than the default."""
-        return any(digest in known for known in self._informed.values())
+        return any(fingerprint in known for known in self._informed.values())
 
-    def status_changed(self, digest: Fingerprint, before: KeyStatus, status: KeyStatus) -> None:
+    def status_changed(self, fingerprint: Fingerprint, before: KeyStatus, status: KeyStatus) -> None:
         """Notify senders of the status of a fingerprint if it has changed."""
-        if status is before and (status is not KeyStatus.BOUND or digest in self._bound):
+        if status is before and (status is not KeyStatus.BOUND or fingerprint in self._bound):
             return
         if self.default is KeyStatus.FREE:
-            self._broadcast(digest, status)
+            self._broadcast(fingerprint, status)
             return
         for owner, known in self._informed.items():
-            if digest in known:
-                self._notify(owner, digest, status)
+            if fingerprint in known:
+                self._notify(owner, fingerprint, status)
                 if status is KeyStatus.BOUND:
-                    known.discard(digest)
+                    known.discard(fingerprint)
 
-    def _broadcast(self, digest: Fingerprint, status: KeyStatus) -> None:
-        was_bound = digest in self._bound
+    def _broadcast(self, fingerprint: Fingerprint, status: KeyStatus) -> None:
+        was_bound = fingerprint in self._bound
         if status is KeyStatus.BOUND:
-            self._bound[digest] = None
+            self._bound[fingerprint] = None
         else:
-            self._bound.pop(digest, None)
+            self._bound.pop(fingerprint, None)
         if was_bound is not (status is KeyStatus.BOUND):
             for outbox in self._outboxes.values():
-                outbox.statuses[digest] = status
+                outbox.statuses[fingerprint] = status
             self._batch_delay_ms = min(self._batch_delay_ms, BATCH_DELAY_MS[status])
 
-    def _notify(self, owner: Owner, digest: Fingerprint, status: KeyStatus) -> None:
+    def _notify(self, owner: Owner, fingerprint: Fingerprint, status: KeyStatus) -> None:
         if (outbox := self._outboxes.get(owner)) is not None:
-            outbox.statuses[digest] = status
+            outbox.statuses[fingerprint] = status
             self._ready[owner] = None
 
-    def answer(self, owner: Owner, digest: Fingerprint, status: KeyStatus, *, waits: bool) -> None:
+    def answer(self, owner: Owner, fingerprint: Fingerprint, status: KeyStatus, *, waits: bool) -> None:
         """Answer a request for a key that needs no lease; ``waits``: a call waits for the answer."""
         if self.default is KeyStatus.BOUND:
-            if waits or digest not in self._informed[owner]:
-                self._informed[owner].add(digest)
-                self._notify(owner, digest, status)
+            if waits or fingerprint not in self._informed[owner]:
+                self._informed[owner].add(fingerprint)
+                self._notify(owner, fingerprint, status)
         elif waits:
-            self._notify(owner, digest, status)
+            self._notify(owner, fingerprint, status)
 
     def acknowledge(self, owner: Owner, sequence: int) -> None:
         """Acknowledge the use reports of a sender up to a sequence."""
