--- a/springspread/faults/hollow/allocator.py
+++ b/springspread/faults/hollow/allocator.py
@@ -27,7 +27,7 @@
     Register,
     UseReport,
 )
-from springspread.fleet.wire import write
+from springspread.fleet.wire import encode
 
 FLEET = "hollow"
 OBSERVER = Register(PROTOCOL_VERSION, FLEET, "observer", 0)  # is told of statuses, at no modelled cost
@@ -68,7 +68,7 @@
         if successor and with_record:
             allocator.restore(self._record)
         elif successor:
-            allocator.presume(clock)
+            allocator.assume_exhausted(clock)
         self.control = AllocatorControl(FLEET, self._default_mode, self.limits, allocator, clock, successor)
         self._observer = self.control.register(clock, OBSERVER)
         self.alive = True
@@ -84,7 +84,7 @@
     def change_limit(self, key: str, limit: Limit) -> None:
         """The operators change one limit at once."""
         self.limits[key] = limit
-        self.control.limited(self._queue.clock, key, limit)
+        self.control.set_limit(self._queue.clock, key, limit)
         self._news()
 
     def accept(self, connection: Connection) -> None:
@@ -111,7 +111,7 @@
         owner = connection.owner
         if owner is not None and self._by_owner.get(owner) is connection:
             del self._by_owner[owner]
-            self.control.left(owner)
+            self.control.unregister(owner)
 
     def _news(self) -> None:
         if not self._ticking:  # otherwise it sleeps until its next tick
@@ -132,7 +132,7 @@
         self.control.grant(clock, leases)
         outgoing = self.control.take_messages()
         observed = outgoing.pop(self._observer, [])
-        written = [(owner, b"".join(map(write, messages))) for owner, messages in outgoing.items()]
+        written = [(owner, b"".join(map(encode, messages))) for owner, messages in outgoing.items()]
         self.meter.cpu_ns += perf_counter_ns() - begun
         for owner, data in written:
             if (connection := self._by_owner.get(owner)) is not None:
--- a/springspread/fleet/daemon.py
+++ b/springspread/fleet/daemon.py
@@ -67,9 +67,9 @@
         self._changes = self._load_policies(wanted, rows)
         if adopted.lost:
             rows = raise_epochs(rows, self._changes.record.history.generation + 1)
-        self._server = self._serve_limits(began_before=any(row.epoch for row in rows.values()))
+        self._server = self._serve_limits(had_predecessor=any(row.epoch for row in rows.values()))
         try:
-            self._changes.begin(_running(rows.values()), self._server.tell, self._server.follow)
+            self._changes.begin(_running(rows.values()), self._server.send, self._server.schedule_limits)
         except Damaged as exc:
             raise Refused(str(exc)) from exc
         self._policy = PolicyOrders(self._changes, clock)
@@ -108,7 +108,7 @@
             self._log.warning("files differ from the policy in force; propose them", differing=differing)
         return changes
 
-    def _serve_limits(self, began_before: bool) -> AllocatorServer:
+    def _serve_limits(self, had_predecessor: bool) -> AllocatorServer:
         history, clock = self._changes.record.history, self._clock
         undecided = clock.now() < history.since  # the daemon before decided it, for a moment to come
         policy = self._changes.policy(history.previous if undecided else history.in_force)
@@ -119,13 +119,13 @@
             self._log,
             clock,
             self._changes.received,
-            began_before,
+            had_predecessor,
             policy.default_mode,
             fleet_id(self.folder),
         )
         if undecided:
             coming = self._changes.policy(history.in_force)
-            server.follow(coming.limits, history.since, coming.default_mode)
+            server.schedule_limits(coming.limits, history.since, coming.default_mode)
         return server
 
     def given(self, name: str) -> dict[str, Any]:
@@ -207,7 +207,7 @@
         return [self._recovery_of(row) for row in self._supervisor.rows]
 
     def _recovery_of(self, row: Row) -> dict[str, Any]:
-        report = self._server.returning((row.name, row.epoch))
+        report = self._server.start_progress((row.name, row.epoch))
         now = self._clock.now()
         if row.pid and report is not None:
             return recovery_status(row, report, now)
