--- a/springspread/http1/__init__.py
+++ b/springspread/http1/__init__.py
@@ -1,1 +1,1 @@
-"""HTTP/1.1 without sockets: parsers and connection machines that are fed bytes."""
+"""HTTP/1.1 without I/O: parsers and connection state machines that are fed bytes."""
--- a/springspread/http1/client.py
+++ b/springspread/http1/client.py
@@ -1,4 +1,4 @@
-"""A connection that this program calls over: one request at a time, its answer read from bytes fed."""
+"""The client side of a connection: one request at a time, its answer parsed from the bytes fed."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 from springspread.config import Limits
 from springspread.http1.message import (
-    HEX,
+    CHUNK_SIZE,
     HeadBuffer,
     Headers,
     Malformed,
@@ -20,12 +20,12 @@
 
 PROTOCOL = b"HTTP/1."
 STATUS_LINE = re.compile(rb"HTTP/1\.[01] [0-9]{3}(?:[ \r]|\Z)")
-LONGEST_LINE = 256
-ENOUGH = 13  # bytes that tell a status line: its version, its code and what follows
+MAX_STATUS_LINE = 256
+STATUS_PREFIX = 13  # bytes: the version, the code and the delimiter
 
 
 class Phase(Enum):
-    """Where a connection stands."""
+    """State of a connection."""
 
     IDLE = "idle"
     HEAD = "head"
@@ -35,7 +35,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Answer:
-    """One answer, whole."""
+    """One complete answer."""
 
     status: int
     headers: Headers
@@ -43,104 +43,104 @@
 
 
 class ClientConnection:
-    """States: idle, reading a head, reading a body, closed.
+    """State machine of one connection: idle, reading a head, reading a body, closed.
 
-    ``optional`` names header fields that are left out where they can't be read.
+    ``optional`` names header fields that are dropped where their value is invalid.
     """
 
     def __init__(self, limits: Limits, optional: frozenset[str] = frozenset()) -> None:
         self._limits, self._optional = limits, optional
-        self._interim = 0
-        self.status = 0  # as the first line of the answer says; 0 while that is not known
+        self._interim_answers = 0
+        self.status = 0  # of the answer being read; 0 until its status line is complete
         self._buffer = HeadBuffer(limits.head_bytes)
         self._body = bytearray()
         self._answer: tuple[int, Headers] = (0, Headers())
-        self._left: int | None = None  # of the body or the chunk; None: until the connection ends
+        self._remaining: int | None = None  # bytes of the body or chunk; None: until the connection ends
         self._chunked = self._trailer = False
-        self._keeps = True
+        self._keep_alive = True
         self.phase = Phase.IDLE
 
     def request(self, method: str, target: str, headers: Mapping[str, str], body: bytes = b"") -> bytes:
-        """Begin a request; the bytes to write come back."""
+        """Begin a request and return the bytes to write."""
         if self.phase is not Phase.IDLE:
-            raise ValueError(f"no new request: the connection is {self.phase.value}")
+            raise ValueError(f"cannot begin a request: the connection is {self.phase.value}")
         self.phase = Phase.HEAD
-        self.status = self._interim = 0
+        self.status = self._interim_answers = 0
         fields = dict(headers)
         if body or method == "POST":
             fields["Content-Length"] = str(len(body))
         return write_head(f"{method} {target} HTTP/1.1", fields) + body
 
     @property
-    def begun(self) -> bool:
-        """Whether some of the answer has come, interim ones apart."""
+    def answer_begun(self) -> bool:
+        """Whether part of the answer has arrived, not counting interim (1xx) answers."""
         return self.phase is Phase.BODY or (self.phase is Phase.HEAD and bool(self._buffer.data))
 
-    def give_up(self) -> None:
-        """Read no more of an answer that does not end."""
+    def abandon(self) -> None:
+        """Stop reading an answer that does not end; the connection can't be reused."""
         self.phase = Phase.CLOSED
 
     def feed(self, data: bytes) -> Answer | None:
-        """Take in bytes; an answer that is whole comes back. Raises ``Malformed``."""
+        """Process received bytes; returns the answer once it is complete. Raises ``Malformed``."""
         if self.phase in (Phase.IDLE, Phase.CLOSED):
             self.phase = Phase.CLOSED
-            raise Malformed("an answer that nobody asked for")
+            raise Malformed("unexpected bytes: no request is in progress")
         self._buffer.data += data
         try:
             while self.phase is Phase.HEAD:
-                self._look()
+                self._read_status()
                 head = self._buffer.take_head()
                 if head is None:
                     return None
-                self._begin(head)
+                self._begin_answer(head)
             return self._read_body()
         except Malformed:
             self.phase = Phase.CLOSED
             raise
 
     def end(self) -> Answer | None:
-        """The other side has ended the connection: the answer, where that is how its body ends."""
-        whole = self.phase is Phase.BODY and self._left is None and not self._chunked
+        """Process the end of the connection; returns the answer if its body ends that way."""
+        complete = self.phase is Phase.BODY and self._remaining is None and not self._chunked
         self.phase = Phase.CLOSED
-        return Answer(*self._answer, bytes(self._body)) if whole else None
+        return Answer(*self._answer, bytes(self._body)) if complete else None
 
-    def _look(self) -> None:
-        """Read the first line's status once the line is whole; noise shows before any line ends."""
+    def _read_status(self) -> None:
+        """Read the status once its line is complete; rejects bytes that can't begin a status line at once."""
         if self.status or not self._buffer.data:
             return
-        line, end, _ = bytes(self._buffer.data[:LONGEST_LINE]).partition(b"\r\n")
-        if len(line) >= ENOUGH or end:
+        line, end, _ = bytes(self._buffer.data[:MAX_STATUS_LINE]).partition(b"\r\n")
+        if len(line) >= STATUS_PREFIX or end:
             if not STATUS_LINE.match(line):
-                raise Malformed("no status line")
-            # Guards the message: a line that stopped short was not told, whatever its code would have been.
+                raise Malformed("invalid status line")
+            # An incomplete line carries no status: the message's outcome must not depend on a truncated line.
             self.status = int(line[9:12]) if end else 0
         elif not PROTOCOL.startswith(line[: len(PROTOCOL)]):
-            raise Malformed("no status line")
+            raise Malformed("invalid status line")
 
-    def _begin(self, head: bytes) -> None:
+    def _begin_answer(self, head: bytes) -> None:
         first, headers = parse_head(head, self._optional)
         if not STATUS_LINE.match(first):
-            raise Malformed("no status line")
+            raise Malformed("invalid status line")
         version, status = first[:8], int(first[9:12])
         if 100 <= status < 200:
-            # Guards the time: interim answers without end, or another protocol from here on, are no answer.
-            self._interim += 1
-            if status == 101 or self._interim > self._limits.interim_answers:
-                raise Malformed("interim answers that lead nowhere")
+            # Endless interim answers would occupy the call until its deadline.
+            self._interim_answers += 1
+            if status == 101 or self._interim_answers > self._limits.interim_answers:
+                raise Malformed("protocol switch, or too many interim answers")
             self.status = 0
             return
         self._answer = (status, headers)
-        self._keeps = version == b"HTTP/1.1" and not headers.closes
+        self._keep_alive = version == b"HTTP/1.1" and not headers.closes
         self._body.clear()
         self._chunked = headers.get("transfer-encoding").lower() == "chunked"
         if "transfer-encoding" in headers and (not self._chunked or "content-length" in headers):
-            raise Malformed("a transfer encoding that is unknown or beside a length")
+            raise Malformed("unsupported Transfer-Encoding, or one beside a Content-Length")
         empty = status in (204, 304)
-        self._left = 0 if empty or self._chunked else content_length(headers)
+        self._remaining = 0 if empty or self._chunked else content_length(headers)
         self._chunked = self._chunked and not empty
         self._trailer = False
-        if (self._left or 0) > self._limits.answer_bytes:
-            raise Malformed("the answer is too long")
+        if (self._remaining or 0) > self._limits.answer_bytes:
+            raise Malformed("answer body too long")
         self.phase = Phase.BODY
 
     def _read_body(self) -> Answer | None:
@@ -148,48 +148,48 @@
             if not self._read_chunks():
                 return None
         else:
-            self._take()
-            if self._left is None or self._left:
+            self._read_sized()
+            if self._remaining is None or self._remaining:
                 return None
-        # Bytes behind the answer belong to no request of ours: the connection is not used again.
-        reuse = self._keeps and not self._buffer.data
+        # Surplus bytes belong to no request: the connection is not reused.
+        reuse = self._keep_alive and not self._buffer.data
         self.phase = Phase.IDLE if reuse else Phase.CLOSED
         return Answer(*self._answer, bytes(self._body))
 
-    def _take(self) -> None:
-        much = len(self._buffer.data) if self._left is None else self._left
-        part = self._buffer.data[:much]
-        del self._buffer.data[:much]
-        self._body += part
-        if self._left is not None:
-            self._left -= len(part)
+    def _read_sized(self) -> None:
+        size = len(self._buffer.data) if self._remaining is None else self._remaining
+        data = self._buffer.data[:size]
+        del self._buffer.data[:size]
+        self._body += data
+        if self._remaining is not None:
+            self._remaining -= len(data)
         if len(self._body) > self._limits.answer_bytes:
-            raise Malformed("the answer is too long")
+            raise Malformed("answer body too long")
 
     def _read_chunks(self) -> bool:
         while True:
-            if self._left is not None and self._left > 0:
-                self._take()
-                if self._left:
+            if self._remaining is not None and self._remaining > 0:
+                self._read_sized()
+                if self._remaining:
                     return False
-                self._left = -1  # the line end behind a chunk
-            at = self._buffer.data.find(b"\r\n")
-            if at < 0:
+                self._remaining = -1  # the line end after a chunk's data
+            end = self._buffer.data.find(b"\r\n")
+            if end < 0:
                 if len(self._buffer.data) > self._limits.head_bytes:
-                    raise Malformed("a line of a chunk is too long")
+                    raise Malformed("chunk size or trailer line too long")
                 return False
-            line = bytes(self._buffer.data[:at])
-            del self._buffer.data[: at + 2]
+            line = bytes(self._buffer.data[:end])
+            del self._buffer.data[: end + 2]
             if self._trailer:
                 if not line:
                     return True
-            elif self._left == -1:
+            elif self._remaining == -1:
                 if line:
-                    raise Malformed("a chunk runs past its length")
-                self._left = 0
+                    raise Malformed("chunk longer than its stated size")
+                self._remaining = 0
             else:
                 size = line.partition(b";")[0].strip()
-                if not HEX.match(size):
-                    raise Malformed("no chunk length")
-                self._left = int(size, 16)
-                self._trailer = self._left == 0
+                if not CHUNK_SIZE.match(size):
+                    raise Malformed("invalid chunk size")
+                self._remaining = int(size, 16)
+                self._trailer = self._remaining == 0
--- a/springspread/http1/message.py
+++ b/springspread/http1/message.py
@@ -1,4 +1,4 @@
-"""Heads and bodies of HTTP/1.1 messages."""
+"""Parsing and encoding of HTTP/1.1 message heads."""
 
 from __future__ import annotations
 
@@ -8,12 +8,12 @@
 
 TOKEN = re.compile(rb"[!#$%&'*+\-.^_`|~0-9A-Za-z]+\Z")
 DIGITS = re.compile(r"[0-9]{1,15}\Z")
-BLANK = b"\r\n\r\n"
-HEX = re.compile(rb"[0-9A-Fa-f]{1,8}\Z")
+HEAD_END = b"\r\n\r\n"
+CHUNK_SIZE = re.compile(rb"[0-9A-Fa-f]{1,8}\Z")
 
 
 class Malformed(Exception):
-    """The bytes are no HTTP/1.1 message; ``status`` is the answer where there is one to give."""
+    """The bytes are not a valid HTTP/1.1 message; ``status`` is the error to answer with."""
 
     def __init__(self, reason: str, status: int = 400) -> None:
         super().__init__(reason)
@@ -22,13 +22,13 @@
 
 @dataclass(frozen=True, slots=True)
 class Headers:
-    """Header fields by lower-case name; ``doubled`` names those that came more than once."""
+    """Header fields by lower-case name; ``doubled`` names those that occur more than once."""
 
     values: Mapping[str, str] = field(default_factory=dict)
     doubled: frozenset[str] = frozenset()
 
     def get(self, name: str, default: str = "") -> str:
-        """A field's value."""
+        """The value of a field."""
         return self.values.get(name.lower(), default)
 
     def __contains__(self, name: str) -> bool:
@@ -36,14 +36,14 @@
 
     @property
     def closes(self) -> bool:
-        """Whether the other side says that it ends the connection after this message."""
+        """Whether the message carries ``Connection: close``."""
         return "close" in [part.strip().lower() for part in self.get("connection").split(",")]
 
 
 def parse_head(head: bytes, optional: frozenset[str] = frozenset()) -> tuple[bytes, Headers]:
-    """Split a head without its closing blank line into the first line and the fields.
+    """Split a head, without its closing blank line, into the first line and the fields.
 
-    An optional field (named in lower case) whose value can't be read is left out; another one is a fault.
+    An ``optional`` field (lower-case name) with an invalid value is dropped; any other raises ``Malformed``.
     """
     first, *lines = head.split(b"\r\n")
     values: dict[str, str] = {}
@@ -51,13 +51,13 @@
     for line in lines:
         name, colon, value = line.partition(b":")
         if not colon or not TOKEN.match(name):
-            raise Malformed("a header field without a name")
+            raise Malformed("header field without a valid name")
         value = value.strip(b" \t")
         key = name.decode("ascii").lower()
         if any(c < 32 and c != 9 or c == 127 for c in value):
             if key in optional:
                 continue
-            raise Malformed("a control character in a header field")
+            raise Malformed("control character in a header field")
         if key in values:
             doubled.add(key)
         values[key] = value.decode("latin-1")
@@ -65,41 +65,41 @@
 
 
 def content_length(headers: Headers) -> int | None:
-    """The stated length of the body, if any."""
+    """The Content-Length, if there is one."""
     if "content-length" not in headers:
         return None
     text = headers.get("content-length")
     if "content-length" in headers.doubled or not DIGITS.match(text):
-        raise Malformed("no sensible Content-Length")
+        raise Malformed("invalid Content-Length")
     return int(text)
 
 
 def write_head(first: str, headers: Mapping[str, str]) -> bytes:
-    """Encode a first line and fields."""
+    """Encode a first line and header fields."""
     lines = [first, *(f"{name}: {value}" for name, value in headers.items()), "", ""]
     return "\r\n".join(lines).encode("latin-1")
 
 
 class HeadBuffer:
-    """Gathers bytes until a head is whole."""
+    """Collects bytes until a head is complete."""
 
     def __init__(self, limit: int) -> None:
         self.data = bytearray()
-        self._limit, self._looked = limit, 0
+        self._limit, self._searched = limit, 0
 
     def take_head(self) -> bytes | None:
-        """Cut off the head, without its blank line, once it is there."""
-        at = self.data.find(BLANK, max(self._looked - 3, 0))
-        if at < 0:
-            self._looked = len(self.data)
-            # The blank line may have begun in the last bytes: the verdict must not hang on the cut.
-            begun = next(n for n in (3, 2, 1, 0) if self.data.endswith(BLANK[:n]))
-            if self._looked - begun > self._limit:
-                raise Malformed("the head is too long", 431)
+        """Remove and return the head, without its blank line, once it is complete."""
+        end = self.data.find(HEAD_END, max(self._searched - 3, 0))
+        if end < 0:
+            self._searched = len(self.data)
+            # The end may hold part of the blank line: the result must not depend on how data is split.
+            partial = next(n for n in (3, 2, 1, 0) if self.data.endswith(HEAD_END[:n]))
+            if self._searched - partial > self._limit:
+                raise Malformed("head too long", 431)
             return None
-        if at > self._limit:
-            raise Malformed("the head is too long", 431)
-        head = bytes(self.data[:at])
-        del self.data[: at + 4]
-        self._looked = 0
+        if end > self._limit:
+            raise Malformed("head too long", 431)
+        head = bytes(self.data[:end])
+        del self.data[: end + 4]
+        self._searched = 0
         return head
--- a/springspread/http1/server.py
+++ b/springspread/http1/server.py
@@ -1,4 +1,4 @@
-"""A client's connection, seen from here: fed bytes, it tells requests; told answers, it gives bytes."""
+"""The server side of a connection: parses requests from the bytes fed, encodes the answers to them."""
 
 from __future__ import annotations
 
@@ -27,15 +27,15 @@
 }
 
 
-VISIBLE = re.compile(rb"[!-~]+\Z")  # a control character in a target is how two requests are made of one
+VISIBLE = re.compile(rb"[!-~]+\Z")  # control characters in a target allow request smuggling
 BODILESS = (b"GET", b"HEAD", b"DELETE", b"OPTIONS", b"TRACE")
-"""The methods whose requests may leave out the length of a body that is not there."""
+"""Methods whose requests need no Content-Length where they have no body."""
 
 
 class Phase(Enum):
-    """Where a connection stands."""
+    """State of a connection."""
 
-    IDLE = "idle"  # nothing of a request has come
+    IDLE = "idle"  # no byte of a request has arrived
     READING = "reading"
     ANSWERING = "answering"
     CLOSED = "closed"
@@ -43,7 +43,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Request:
-    """One request, whole."""
+    """One complete request."""
 
     method: str
     path: str
@@ -52,24 +52,24 @@
 
 
 class ServerConnection:
-    """States: idle, reading, answering, closed. Bytes that come early wait for their turn."""
+    """State machine of one connection: idle, reading, answering, closed. Pipelined bytes are buffered."""
 
     def __init__(self, limits: Limits) -> None:
         self._limits = limits
         self._buffer = HeadBuffer(limits.head_bytes)
         self._head: tuple[str, str, Headers, int] | None = None
-        self._closes = False
+        self._close_after = False
         self.phase = Phase.IDLE
 
     def feed(self, data: bytes) -> Request | None:
-        """Take in bytes; a request that is whole comes back. Raises ``Malformed``."""
+        """Process received bytes; returns a request once it is complete. Raises ``Malformed``."""
         if self.phase is Phase.CLOSED:
             return None
         self._buffer.data += data
         if self.phase is Phase.ANSWERING:
-            # Guards memory: a client that sends on while it waits is no client of this protocol.
+            # Bounds the memory that a client can use by pipelining.
             if len(self._buffer.data) > self._limits.head_bytes + self._limits.body_bytes:
-                raise self._broken(Malformed("too much sent ahead"))
+                raise self._fail(Malformed("too many bytes pipelined"))
             return None
         return self._advance()
 
@@ -78,17 +78,17 @@
             while self._buffer.data[:2] == b"\r\n":  # RFC 9112, 2.2: blank lines ahead of a request
                 del self._buffer.data[:2]
             if self._buffer.data in (bytearray(), bytearray(b"\r")):
-                return None  # perhaps the first half of such a line: the verdict must not hang on the cut
+                return None  # a CR may be half of a blank line: wait for the next byte
             self.phase = Phase.READING
             try:
                 if not self._buffer.data[:1].isalpha():
-                    raise Malformed("no request line")  # noise shows at once
+                    raise Malformed("invalid request line")  # rejected before a line ends
                 head = self._buffer.take_head()
                 if head is None:
                     return None
-                self._head = self._read(head)
+                self._head = self._parse_head(head)
             except Malformed as exc:
-                raise self._broken(exc) from None
+                raise self._fail(exc) from None
         method, path, headers, size = self._head
         if len(self._buffer.data) < size:
             return None
@@ -97,40 +97,40 @@
         self._head, self.phase = None, Phase.ANSWERING
         return Request(method, path, headers, body)
 
-    def _read(self, head: bytes) -> tuple[str, str, Headers, int]:
+    def _parse_head(self, head: bytes) -> tuple[str, str, Headers, int]:
         first, headers = parse_head(head)
         parts = first.split(b" ")
         if len(parts) != 3 or not parts[0].isalpha() or not VISIBLE.match(parts[1]):
-            raise Malformed("no request line")
+            raise Malformed("invalid request line")
         if not parts[2].startswith(b"HTTP/"):
-            raise Malformed("no request line")
+            raise Malformed("invalid request line")
         if parts[2] not in (b"HTTP/1.1", b"HTTP/1.0"):
-            raise Malformed("another version of HTTP", 505)
+            raise Malformed("unsupported HTTP version", 505)
         if "transfer-encoding" in headers or "host" in headers.doubled:
-            raise Malformed("a body of unknown length, or two hosts")
+            raise Malformed("Transfer-Encoding in a request, or more than one Host")
         size = content_length(headers)
         if size is None and parts[0] not in BODILESS and self._limits.length_needed:
-            raise Malformed("a body of no stated length", 411)
+            raise Malformed("Content-Length required", 411)
         size = size or 0
         if size > self._limits.body_bytes:
-            raise Malformed("the body is too long", 413)
-        old = parts[2] == b"HTTP/1.0" and headers.get("connection").lower() != "keep-alive"
-        self._closes = headers.closes or old
+            raise Malformed("body too long", 413)
+        http_1_0 = parts[2] == b"HTTP/1.0" and headers.get("connection").lower() != "keep-alive"
+        self._close_after = headers.closes or http_1_0
         return parts[0].decode("ascii"), parts[1].decode("latin-1"), headers, size
 
-    def _broken(self, exc: Malformed) -> Malformed:
-        self.phase, self._closes = Phase.ANSWERING, True
+    def _fail(self, exc: Malformed) -> Malformed:
+        self.phase, self._close_after = Phase.ANSWERING, True
         self._buffer.data.clear()
         return exc
 
     @property
-    def kept(self) -> int:
-        """How many bytes are kept of a request that is not whole."""
+    def buffered(self) -> int:
+        """How many bytes of an incomplete request are buffered."""
         return len(self._buffer.data)
 
     def expire(self) -> None:
-        """Give up a request that came too slowly; it may still be answered."""
-        self._broken(Malformed("too slow", 408))
+        """Abandon a request that arrives too slowly; it may still be answered with an error."""
+        self._fail(Malformed("request timeout", 408))
 
     def answer(
         self,
@@ -140,10 +140,10 @@
         close: bool = False,
         body: bytes = b"",
     ) -> bytes:
-        """Answer the request that is being answered."""
+        """Encode the answer to the current request."""
         if self.phase is not Phase.ANSWERING:
             raise ValueError(f"no request to answer: the connection is {self.phase.value}")
-        close = close or self._closes
+        close = close or self._close_after
         fields = {"Content-Length": str(len(body)), **(headers or {})}
         if close:
             fields["Connection"] = "close"
@@ -151,5 +151,5 @@
         return write_head(f"HTTP/1.1 {status} {REASONS.get(status, 'Unknown')}", fields) + body
 
     def resume(self) -> Request | None:
-        """Look at what came ahead while the last request was answered."""
+        """Process bytes that were pipelined behind the last request."""
         return self._advance() if self.phase is Phase.IDLE and self._buffer.data else None
--- a/springspread/net/exchange.py
+++ b/springspread/net/exchange.py
@@ -125,7 +125,7 @@
         while True:
             if until <= clock():
                 raise LateError
-            if self._machine.begun:
+            if self._machine.answer_begun:
                 rest = min(rest, clock() + self._limits.answer_rest_ms)
             self.sock.settimeout(seconds(min(until, rest)))
             try:
@@ -136,7 +136,7 @@
                 raise BrokenError(str(exc)) from exc
             if clock() >= rest:
                 # Guards the slot: a head without end, or less of a body than its length says.
-                self._machine.give_up()
+                self._machine.abandon()
                 raise Malformed("the answer does not end")
             if data is None:
                 continue
--- a/springspread/net/listener.py
+++ b/springspread/net/listener.py
@@ -322,7 +322,7 @@
         if client.machine.phase is Phase.READING:
             if place.standing not in (Standing.READING, Standing.LAGGING):
                 self._admission.step(place, Standing.READING, clock())
-            self._admission.keep(place, client.machine.kept)
+            self._admission.keep(place, client.machine.buffered)
             slowest = self._admission.too_much()
             if slowest is not None:
                 self._refuse(self._clients[slowest], 503)
--- a/tests/test_http1.py
+++ b/tests/test_http1.py
@@ -220,13 +220,13 @@
     machine = client.ClientConnection(LIMITS, frozenset({"x-backend-load"}))
     machine.request("GET", "/", {})
     assert machine.feed(b"HTTP/1.1 100 Continue\r\n\r\n") is None
-    assert not machine.begun and machine.status == 0
+    assert not machine.answer_begun and machine.status == 0
     assert machine.feed(b"HTTP/1.1 20") is None
-    assert machine.begun and machine.status == 0
+    assert machine.answer_begun and machine.status == 0
     assert machine.feed(b"0 OK") is None
-    assert machine.begun and machine.status == 0  # a line that stops short is not told
+    assert machine.answer_begun and machine.status == 0  # a line that stops short is not told
     assert machine.feed(b"\r\n") is None
-    assert machine.begun and machine.status == 200
+    assert machine.answer_begun and machine.status == 200
     answer = machine.feed(b"X-Backend-Load: \x01\r\nContent-Length: 0\r\n\r\n")
     assert answer is not None and "x-backend-load" not in answer.headers
     machine.request("GET", "/", {})
