--- a/springspread/net/listener.py
+++ b/springspread/net/listener.py
@@ -15,9 +15,9 @@
 from springspread.admission.admission import Admission, Place, Standing
 from springspread.config import Address, Limits
 from springspread.core.types import Log, Message, clock
-from springspread.http1.ending import Ending, Event, State
 from springspread.http1.message import Malformed
 from springspread.http1.server import Phase, Request, ServerConnection
+from springspread.http1.shutdown import Ending, Event, State
 from springspread.net.threads import spawn
 from springspread.platform.intake import Reply
 
--- a/tests/test_ending.py
+++ b/tests/test_ending.py
@@ -14,7 +14,7 @@
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, invariant, precondition, rule
 
-from springspread.http1.ending import TABLE, Ending, Event, Misuse, State
+from springspread.http1.shutdown import TABLE, Ending, Event, Misuse, State
 from tests.peer import WAIT_S, Peer, Program, until
 from tests.test_rude import LINES, START
 
