--- a/springspread/http1/shutdown.py
+++ b/springspread/http1/shutdown.py
@@ -1,22 +1,20 @@
-"""How a client's connection ends: the one table, without socket or clock. There is no other way to close.
+"""Graceful shutdown of a client's connection, as one transition table, without socket or clock.
 
-Theory of operation. A close over bytes that nobody has read resets the connection, and takes with it an
-answer that the other side has not read yet. So nothing is closed that may still be spoken on: the last
-answer is written, our side is ended, and what still comes is read and dropped until the other side has
-ended, too, or a bound of time and bytes is spent.
+Closing a socket that holds unread bytes resets the connection and discards an answer that the peer has not
+read yet. So after the last answer our side is shut down, and input is read and dropped until the peer closes
+its side, too, or a bound of time and bytes is reached. There is no other way to close.
 
-    state        read     used and sent on    written          left when
-    open         yes      yes                 yes              either side ends, or it breaks
-    half-closed  no more  what came whole     yes              the last answer is written
-    draining     no       no                  the last answer  that is written
-    lingering    dropped  never               no               the other side ends, or the bound is spent
-    closed       no       no                  no               (never)
+    state        read     handled         written          left when
+    open         yes      yes             yes              either side ends, or it breaks
+    half-closed  no more  what came whole yes              the last answer is written
+    draining     no       no              the last answer  that is written
+    lingering    dropped  never           no               the peer ends, or the bound is reached
+    closed       no       no              no               (never)
 
-Half-closed: the other side has ended its sending. Draining: what is written now is the last.
+Half-closed: the peer has closed its sending side. Draining: what is written now is the last.
 
-Where two events cross: a request that arrives as our side ends finds the connection lingering, whichever of
-the two the system took in first: what was read before the end is answered, what is read after it is dropped,
-and its client, which hears an end and no answer, hands it in on a new connection.
+A request that arrives after our side is shut down is dropped; its client sees the end of the connection
+without an answer and retries on a new one.
 """
 
 from __future__ import annotations
@@ -25,7 +23,7 @@
 
 
 class State(Enum):
-    """Where a connection stands on the way to its end."""
+    """State of a connection on the way to its close."""
 
     OPEN = "open"
     HALF_CLOSED = "half-closed"
@@ -34,48 +32,48 @@
     CLOSED = "closed"
 
     @property
-    def hears(self) -> bool:
-        """Whether a request that is read now may be sent on."""
+    def accepts_requests(self) -> bool:
+        """Whether a request that is read now may be handled."""
         return self is State.OPEN
 
     @property
-    def speaks(self) -> bool:
+    def writable(self) -> bool:
         """Whether anything may be written."""
         return self in (State.OPEN, State.HALF_CLOSED, State.DRAINING)
 
 
 class Event(Enum):
-    """What happens to it."""
-
-    PEER_ENDED = "peer ended"  # the other side's last byte was read
-    LAST = "last"  # what is written from here on is the last that we have to say, perhaps nothing
-    WRITTEN = "written"  # all of that is with the system
-    SPENT = "spent"  # the bound of time, bytes or room is reached
-    BROKE = "broke"  # the system says that it is gone
-
-
-TABLE: dict[tuple[State, Event], State] = {
-    (State.OPEN, Event.PEER_ENDED): State.HALF_CLOSED,
-    (State.OPEN, Event.LAST): State.DRAINING,
-    (State.HALF_CLOSED, Event.LAST): State.HALF_CLOSED,
-    (State.HALF_CLOSED, Event.WRITTEN): State.CLOSED,
-    (State.HALF_CLOSED, Event.SPENT): State.CLOSED,
-    (State.DRAINING, Event.PEER_ENDED): State.HALF_CLOSED,
-    (State.DRAINING, Event.LAST): State.DRAINING,
-    (State.DRAINING, Event.WRITTEN): State.LINGERING,
-    (State.DRAINING, Event.SPENT): State.CLOSED,
-    (State.LINGERING, Event.PEER_ENDED): State.CLOSED,
-    (State.LINGERING, Event.SPENT): State.CLOSED,
+    """What happens to a connection."""
+
+    PEER_CLOSED = "peer closed"  # the end of the peer's input was read
+    LAST_ANSWER = "last answer"  # what is queued for writing, perhaps nothing, is the last
+    FLUSHED = "flushed"  # all of that was written to the socket
+    LIMIT_REACHED = "limit reached"  # of time, bytes or connections
+    BROKEN = "broken"  # the socket reported an error
+
+
+TRANSITIONS: dict[tuple[State, Event], State] = {
+    (State.OPEN, Event.PEER_CLOSED): State.HALF_CLOSED,
+    (State.OPEN, Event.LAST_ANSWER): State.DRAINING,
+    (State.HALF_CLOSED, Event.LAST_ANSWER): State.HALF_CLOSED,
+    (State.HALF_CLOSED, Event.FLUSHED): State.CLOSED,
+    (State.HALF_CLOSED, Event.LIMIT_REACHED): State.CLOSED,
+    (State.DRAINING, Event.PEER_CLOSED): State.HALF_CLOSED,
+    (State.DRAINING, Event.LAST_ANSWER): State.DRAINING,
+    (State.DRAINING, Event.FLUSHED): State.LINGERING,
+    (State.DRAINING, Event.LIMIT_REACHED): State.CLOSED,
+    (State.LINGERING, Event.PEER_CLOSED): State.CLOSED,
+    (State.LINGERING, Event.LIMIT_REACHED): State.CLOSED,
 }
-"""What follows on what; from any state but the last, one that breaks is closed."""
+"""The next state by state and event; ``BROKEN`` closes from any state but ``CLOSED``."""
 
 
-class Misuse(Exception):
-    """An event that the table does not name: a fault of the driver, never of the other side."""
+class InvalidTransition(Exception):
+    """An event that the table does not allow in this state: a bug of the driver, never of the peer."""
 
 
-class Ending:
-    """One connection's. ``last``: the event that brought it where it stands."""
+class Shutdown:
+    """The state of one connection. ``last``: the event that led to it."""
 
     __slots__ = ("last", "state")
 
@@ -84,11 +82,11 @@
         self.last: Event | None = None
 
     def step(self, event: Event) -> State:
-        """Note what happened; where it stands now."""
-        after = TABLE.get((self.state, event))
-        if event is Event.BROKE and self.state is not State.CLOSED:
+        """Apply an event; returns the new state."""
+        after = TRANSITIONS.get((self.state, event))
+        if event is Event.BROKEN and self.state is not State.CLOSED:
             after = State.CLOSED
         if after is None:
-            raise Misuse(f"no {event.value} while {self.state.value}")
+            raise InvalidTransition(f"no {event.value} while {self.state.value}")
         self.state, self.last = after, event
         return after
--- a/springspread/net/listener.py
+++ b/springspread/net/listener.py
@@ -17,7 +17,7 @@
 from springspread.core.types import Log, Message, clock
 from springspread.http1.message import Malformed
 from springspread.http1.server import Phase, Request, ServerConnection
-from springspread.http1.shutdown import Ending, Event, State
+from springspread.http1.shutdown import Event, Shutdown, State
 from springspread.net.threads import spawn
 from springspread.platform.intake import Reply
 
@@ -48,7 +48,7 @@
 class Client:
     """One client's connection."""
 
-    __slots__ = ("sock", "place", "machine", "message", "telling", "out", "mask", "left", "ending")
+    __slots__ = ("sock", "place", "machine", "message", "telling", "out", "mask", "left", "shutdown")
 
     def __init__(self, sock: socket.socket, place: Place, limits: Limits) -> None:
         self.sock, self.place = sock, place
@@ -58,12 +58,12 @@
         self.out = b""
         self.mask = NONE  # what the selector looks for
         self.left = limits.linger_bytes
-        self.ending = Ending()
+        self.shutdown = Shutdown()
 
     @property
     def open(self) -> bool:
         """Whether it has a socket still."""
-        return self.ending.state is not State.CLOSED
+        return self.shutdown.state is not State.CLOSED
 
 
 def listening(address: Address, limits: Limits) -> socket.socket:
@@ -285,14 +285,14 @@
             return
         if not data:
             half = client.place.standing in (Standing.READING, Standing.LAGGING)
-            if client.ending.step(Event.PEER_ENDED) is State.CLOSED:
+            if client.shutdown.step(Event.PEER_CLOSED) is State.CLOSED:
                 self._close(client)
             elif client.place.standing is not Standing.LEAVING:
-                # One that has ended its side may still read: it hears what was wrong with half a request.
+                # One that has ended its side may still read: it receives the error for its half request.
                 self._refuse(client, 400) if half else self._finish(client)
             else:
                 self._watch(client, WRITE)  # its last answer is not written whole
-        elif client.ending.state.hears:
+        elif client.shutdown.state.accepts_requests:
             self._feed(client, data)
         else:
             client.left -= len(data)
@@ -351,7 +351,7 @@
         close = self._lets_go or reply.close
         client.out += client.machine.answer(reply.status, reply.headers, close=close, body=reply.body)
         if client.machine.phase is Phase.CLOSED:
-            client.ending.step(Event.LAST)
+            client.shutdown.step(Event.LAST_ANSWER)
         self._admission.step(client.place, Standing.ANSWERED, clock())
         return self._write(client)
 
@@ -393,14 +393,14 @@
             client.machine.expire()
         self._finish(client, client.machine.answer(status, close=True))
 
-    # Ending
+    # Shutdown
 
     def _finish(self, client: Client, last: bytes = b"") -> None:
-        """Write the last that it hears, end our side, and read on for a while."""
+        """Write the last that it accepts_requests, end our side, and read on for a while."""
         if client.place.standing is not Standing.LEAVING:
             self._admission.step(client.place, Standing.LEAVING, clock())
         client.out += last
-        client.ending.step(Event.LAST)
+        client.shutdown.step(Event.LAST_ANSWER)
         self._write_last(client)
 
     def _write_last(self, client: Client) -> None:
@@ -412,9 +412,9 @@
             self._broke(client)
             return
         if client.out:
-            self._watch(client, READ | WRITE if client.ending.state is State.DRAINING else WRITE)
+            self._watch(client, READ | WRITE if client.shutdown.state is State.DRAINING else WRITE)
             return
-        if client.ending.step(Event.WRITTEN) is State.CLOSED:
+        if client.shutdown.step(Event.FLUSHED) is State.CLOSED:
             self._close(client)
             return
         try:
@@ -456,9 +456,9 @@
 
     def _spent(self, client: Client) -> None:
         """Its time, bytes or room are used up: it does not read what is written, or does not end its side."""
-        if client.ending.state is State.OPEN:
-            client.ending.step(Event.LAST)
-        client.ending.step(Event.SPENT)
+        if client.shutdown.state is State.OPEN:
+            client.shutdown.step(Event.LAST_ANSWER)
+        client.shutdown.step(Event.LIMIT_REACHED)
         self._close(client)
 
     def _broke(self, client: Client) -> None:
@@ -468,13 +468,13 @@
             standing=client.place.standing.value,
             id=pending.id if pending is not None else None,
         )
-        client.ending.step(Event.BROKE)
+        client.shutdown.step(Event.BROKEN)
         self._close(client)
 
     def _close(self, client: Client) -> None:
         self._log.debug(
             "client closed",
-            last=client.ending.last.value if client.ending.last is not None else None,
+            last=client.shutdown.last.value if client.shutdown.last is not None else None,
             standing=client.place.standing.value,
             unanswered=[one.id for one in (client.telling, client.message) if one is not None],
         )
