--- a/springspread/__main__.py
+++ b/springspread/__main__.py
@@ -23,7 +23,7 @@
 from springspread.net.discovery import Watcher
 from springspread.net.endpoints import Workers
 from springspread.net.listener import Listener, listening
-from springspread.net.notices import Notices
+from springspread.net.notices import Notifier
 from springspread.net.threads import spawn
 from springspread.platform.catalog import Unreadable, read_groups
 from springspread.platform.intake import Intake
@@ -47,7 +47,7 @@
         raise ConfigError(f"known: {exc}") from exc
 
 
-def reload(running: Config, moved: Sequence[Watcher | Notices], log: Log) -> Config:
+def reload(running: Config, moved: Sequence[Watcher | Notifier], log: Log) -> Config:
     """Put the configuration as it now stands in force, whole; a bad one leaves all as it was."""
     try:
         config = load_again(running)
@@ -140,7 +140,7 @@
         pushed=not settings.must_ask,
         seed=config.seed,
     )
-    notices = Notices(config.discovery, limits, sender.put, log, journal.settle)
+    notices = Notifier(config.discovery, limits, sender.put, log, journal.settle)
     report = config.names.report
     workers = Workers(limits, settings.slots, report, clearance, sender.put, log, figures)
     sender.attach(workers, watcher, notices)
--- a/springspread/net/notices.py
+++ b/springspread/net/notices.py
@@ -26,7 +26,7 @@
     NOT_REACHED = "not reached"  # no connection, or it broke
 
 
-class Notices:
+class Notifier:
     """One thread. What the platform did not take goes to the end of the line; what it turned away, alone."""
 
     def __init__(
