--- a/springspread/net/endpoints.py
+++ b/springspread/net/endpoints.py
@@ -48,7 +48,7 @@
     ENDPOINT_GONE = "endpoint gone"
 
 
-class Kept:
+class ConnectionPool:
     """Idle connections by endpoint, the last used first."""
 
     def __init__(self, limits: Limits, figures: Figures) -> None:
@@ -149,7 +149,7 @@
         self._limits, self._report, self._clearance = limits, report, clearance
         self._put, self._log = put, log
         self._jobs: SimpleQueue[Call] = SimpleQueue()
-        self._kept = Kept(limits, self._figures)
+        self._kept = ConnectionPool(limits, self._figures)
         self._lock = threading.Lock()
         self._open: dict[Call, Connection] = {}
         self._threads = 0
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -33,7 +33,7 @@
     Result,
     clock,
 )
-from springspread.net.endpoints import Kept, Workers
+from springspread.net.endpoints import ConnectionPool, Workers
 from springspread.net.exchange import Connection
 from springspread.net.notices import Notifier
 from tests.peer import WAIT_S, Peer, Program, serving, until
@@ -296,7 +296,7 @@
 def test_a_connection_that_is_given_back_as_its_endpoint_goes_is_not_kept(first: str) -> None:
     stand_in = StandIn(says(OK))
     address = ("127.0.0.1", stand_in.sock.getsockname()[1])
-    endpoint, kept = Endpoint(1, "s-1", *address, 7, True, 5), Kept(Limits(), Figures(()))
+    endpoint, kept = Endpoint(1, "s-1", *address, 7, True, 5), ConnectionPool(Limits(), Figures(()))
     lock = kept._lock
 
     def goes() -> None:
