--- a/springspread/__main__.py
+++ b/springspread/__main__.py
@@ -22,7 +22,7 @@
 from springspread.logs import make_log
 from springspread.net.discovery import Watcher
 from springspread.net.endpoints import Workers
-from springspread.net.listener import Listener, listening
+from springspread.net.listener import Listener, listening_socket
 from springspread.net.notices import Notifier
 from springspread.net.threads import spawn
 from springspread.platform.catalog import Unreadable, read_groups
@@ -95,7 +95,12 @@
 
     limits = operators(limits)
     try:
-        Listener(listening(address, limits), Management(intake, figures, sender, listener.drain), limits, log)
+        Listener(
+            listening_socket(address, limits),
+            Management(intake, figures, sender, listener.drain),
+            limits,
+            log,
+        )
     except OSError as exc:
         raise ConfigError(f"mgmt: {address[0]}:{address[1]}: {exc.strerror}") from exc
 
@@ -155,7 +160,7 @@
     SYSTEM.sleep(limits.settle_ms)
     intake = Intake(sender.put, limits.return_after_s, figures)
     try:
-        listener = Listener(inherited() or listening(config.listen, limits), intake, limits, log)
+        listener = Listener(inherited() or listening_socket(config.listen, limits), intake, limits, log)
     except OSError as exc:
         raise ConfigError(f"listen: {config.listen[0]}:{config.listen[1]}: {exc.strerror}") from exc
     if config.mgmt is not None:
--- a/springspread/net/listener.py
+++ b/springspread/net/listener.py
@@ -66,7 +66,7 @@
         return self.shutdown.state is not State.CLOSED
 
 
-def listening(address: Address, limits: Limits) -> socket.socket:
+def listening_socket(address: Address, limits: Limits) -> socket.socket:
     """A socket that clients connect to; raises ``OSError`` where the address can't be used."""
     sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
     try:
--- a/tests/test_client_shutdown.py
+++ b/tests/test_client_shutdown.py
@@ -232,11 +232,13 @@
 def test_a_drain_ends_idle_connections_without_a_reset(tmp_path: Path, peer: Peer) -> None:
     """The listener alone, drained while requests are on their way."""
     from springspread.config import Limits
-    from springspread.net.listener import Listener, listening
+    from springspread.net.listener import Listener, listening_socket
     from springspread.platform.intake import Intake
     from tests.test_spoilt import Silent
 
-    listener = Listener(listening(("127.0.0.1", 0), Limits()), Intake(lambda _: None), Limits(), Silent())
+    listener = Listener(
+        listening_socket(("127.0.0.1", 0), Limits()), Intake(lambda _: None), Limits(), Silent()
+    )
     sock = socket.create_connection(listener.address, timeout=WAIT_S)
     sock.sendall(b"GET /_health HTTP/1.1\r\nHost: x\r\n\r\n")
     assert sock.recv(65536).startswith(b"HTTP/1.1 503 ")
@@ -254,11 +256,13 @@
 
 def test_a_closed_listener_waits_without_a_timeout() -> None:
     from springspread.config import Limits
-    from springspread.net.listener import Listener, listening
+    from springspread.net.listener import Listener, listening_socket
     from springspread.platform.intake import Intake
     from tests.test_spoilt import Silent
 
-    listener = Listener(listening(("127.0.0.1", 0), Limits()), Intake(lambda _: None), Limits(), Silent())
+    listener = Listener(
+        listening_socket(("127.0.0.1", 0), Limits()), Intake(lambda _: None), Limits(), Silent()
+    )
     waits: deque[float | None] = deque(maxlen=1)
     select = listener._selector.select
 
@@ -276,12 +280,12 @@
     from dataclasses import replace
 
     from springspread.config import Limits
-    from springspread.net.listener import Listener, listening
+    from springspread.net.listener import Listener, listening_socket
     from springspread.platform.intake import Intake
     from tests.test_spoilt import Silent
 
     limits = replace(Limits(), client_connections=2, client_spares=4, client_idle_ms=60_000.0)
-    listener = Listener(listening(("127.0.0.1", 0), limits), Intake(lambda _: None), limits, Silent())
+    listener = Listener(listening_socket(("127.0.0.1", 0), limits), Intake(lambda _: None), limits, Silent())
     health = b"GET /_health HTTP/1.1\r\nHost: x\r\n\r\n"
     idle = []
     for _ in range(2):
