--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -37,7 +37,7 @@
 from springspread.net.exchange import Connection
 from springspread.net.notices import Notifier
 from tests.peer import WAIT_S, Peer, Program, serving, until
-from tests.test_spoilt import Silent, read_request
+from tests.test_spoilt import NullLog, read_request
 
 OK = b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n"
 RESET = b"\1\0\0\0\0\0\0\0"
@@ -75,7 +75,7 @@
         self.ends: list[CoreEvent] = []
         self.journal = Journal(folder, 3_000_000)
         clearance = Clearance(self.journal, 450.0)
-        self.workers = Workers(Limits(), 1, (), clearance, self.ends.append, Silent())
+        self.workers = Workers(Limits(), 1, (), clearance, self.ends.append, NullLog())
         port = self.endpoint.sock.getsockname()[1]
         self.target = Endpoint(1, "s-1", "127.0.0.1", port, 7, True, 5)
 
@@ -320,7 +320,7 @@
     platform = StandIn(lambda sock: answers.pop(0)(sock))
     heard: list[CoreEvent] = []
     address = ("127.0.0.1", platform.sock.getsockname()[1])
-    notices = Notifier(address, Limits(), heard.append, Silent(), lambda: None)
+    notices = Notifier(address, Limits(), heard.append, NullLog(), lambda: None)
     notices.tell(Notice(4, "late", False))
     until(lambda: heard, "its answer")
     assert heard == [NoticeHeard((4,))]
@@ -339,7 +339,7 @@
     platform = StandIn(slow)
     heard: list[CoreEvent] = []
     address = ("127.0.0.1", platform.sock.getsockname()[1])
-    notices = Notifier(address, limits, heard.append, Silent(), lambda: None)
+    notices = Notifier(address, limits, heard.append, NullLog(), lambda: None)
     for number in range(10):
         notices.tell(Notice(number, f"m{number}", False))
     until(lambda: sum(len(cast(NoticeHeard, one).numbers) for one in heard) == 10, "all of them")
--- a/tests/test_grown_fleet.py
+++ b/tests/test_grown_fleet.py
@@ -18,7 +18,7 @@
 from springspread.settings import SettingsError, parse_lines, read_settings
 from tests.peer import WAIT_S
 from tests.test_rules import SAFE, make_settings
-from tests.test_spoilt import Silent
+from tests.test_spoilt import NullLog
 from tests.test_wire import SETTINGS as WIRE_SETTINGS
 
 ENTRY = i.RouteEntry(10, 0, 0, 1, i.RouteState.READY, 20.0)
@@ -141,7 +141,7 @@
             Event().wait()
 
     watcher = Watcher(
-        ("127.0.0.1", 9), Names((), (), ()), 7, Limits(), lambda _: None, Silent(), senders=senders
+        ("127.0.0.1", 9), Names((), (), ()), 7, Limits(), lambda _: None, NullLog(), senders=senders
     )
     watcher._caller = Held()  # type: ignore[assignment]
     watcher.watch(True)
--- a/tests/test_last_byte.py
+++ b/tests/test_last_byte.py
@@ -14,7 +14,7 @@
 from springspread.core.types import Attempt, AttemptEnd, Call, CoreEvent, Endpoint, Result, clock
 from springspread.net.endpoints import Workers
 from tests.peer import serving, until
-from tests.test_spoilt import GOOD, Free, Silent, read_request
+from tests.test_spoilt import GOOD, Free, NullLog, read_request
 
 RESET = struct.pack("ii", 1, 0)
 LAST = b"!"
@@ -81,7 +81,7 @@
 class Rig:
     def __init__(self, endpoint: RawEndpoint, clearance: Free, limits: Limits | None = None) -> None:
         self.endpoint, self.ends = endpoint, list[CoreEvent]()
-        self.workers = Workers(limits or Limits(), 1, (), clearance, self.ends.append, Silent())
+        self.workers = Workers(limits or Limits(), 1, (), clearance, self.ends.append, NullLog())
         self.target = Endpoint(1, "s-1", "127.0.0.1", endpoint.port, 7, True, 1)
 
     def call(self, *, safe: bool) -> Result:
--- a/tests/test_spoilt.py
+++ b/tests/test_spoilt.py
@@ -38,7 +38,7 @@
         """No wait is kept."""
 
 
-class Silent:
+class NullLog:
     def info(self, event: str, **values: object) -> None:
         """No line is looked at."""
 
@@ -84,7 +84,7 @@
     def __init__(self) -> None:
         self.endpoint = RawEndpoint()
         self.ends: list[CoreEvent] = []
-        self.workers = Workers(Limits(), 2, ("x0", "x1"), Free(), self.ends.append, Silent())
+        self.workers = Workers(Limits(), 2, ("x0", "x1"), Free(), self.ends.append, NullLog())
         self.target = Endpoint(1, "s-1", "127.0.0.1", self.endpoint.port, 7, True, 5)
 
     def call(self, answer: bytes, count: int = 1, wait_ms: float = 5000.0) -> tuple[list[Result], float]:
--- a/tests/test_watch.py
+++ b/tests/test_watch.py
@@ -34,7 +34,7 @@
 from springspread.net import exchange
 from springspread.net.discovery import Watcher
 from tests.peer import serving, until
-from tests.test_spoilt import Silent, read_request
+from tests.test_spoilt import NullLog, read_request
 
 WAIT_MS = 5000.0
 FAILURES = st.sampled_from(list(Failure))
@@ -411,7 +411,7 @@
         self.news: list[ListNews] = []
         limits = replace(Limits(), watch_ms=wait_ms)
         names = Names(("portal",), ("a",), ())
-        self.watcher = Watcher(discovery.address, names, 7, limits, self.put, Silent(), senders=LARGE)
+        self.watcher = Watcher(discovery.address, names, 7, limits, self.put, NullLog(), senders=LARGE)
         self.watcher.watch(True)
 
     def put(self, event: CoreEvent) -> None:
