--- a/tests/test_last_byte.py
+++ b/tests/test_last_byte.py
@@ -14,7 +14,7 @@
 from springspread.core.types import Attempt, AttemptEnd, Call, CoreEvent, Endpoint, Result, clock
 from springspread.net.endpoints import Workers
 from tests.peer import serving, until
-from tests.test_spoilt import GOOD, Free, NullLog, read_request
+from tests.test_spoilt import GOOD, NullLog, PermissiveClearance, read_request
 
 RESET = struct.pack("ii", 1, 0)
 LAST = b"!"
@@ -58,7 +58,7 @@
         sock.sendall(GOOD)
 
 
-class Barred(Free):
+class Barred(PermissiveClearance):
     """Lets a call begin, and hears of a wait before its last byte."""
 
     def barred_ms(self, endpoint: Endpoint) -> float:
@@ -79,7 +79,9 @@
 
 
 class Rig:
-    def __init__(self, endpoint: RawEndpoint, clearance: Free, limits: Limits | None = None) -> None:
+    def __init__(
+        self, endpoint: RawEndpoint, clearance: PermissiveClearance, limits: Limits | None = None
+    ) -> None:
         self.endpoint, self.ends = endpoint, list[CoreEvent]()
         self.workers = Workers(limits or Limits(), 1, (), clearance, self.ends.append, NullLog())
         self.target = Endpoint(1, "s-1", "127.0.0.1", endpoint.port, 7, True, 1)
@@ -107,7 +109,7 @@
     endpoints: list[RawEndpoint], then: Callable[[socket.socket], None]
 ) -> None:
     endpoints.append(RawEndpoint(then))
-    rig = Rig(endpoints[0], Free(), PATIENT)
+    rig = Rig(endpoints[0], PermissiveClearance(), PATIENT)
     assert rig.call(safe=False) is Result.DELIVERED
     assert rig.call(safe=False) is Result.DELIVERED  # over a new connection, as it had not begun
     assert len(endpoints[0].took) == 2
@@ -118,13 +120,13 @@
     endpoints: list[RawEndpoint],
 ) -> None:
     endpoints.append(RawEndpoint(serve_on, first=reset_at_a_byte))
-    rig = Rig(endpoints[0], Free(), PATIENT)
+    rig = Rig(endpoints[0], PermissiveClearance(), PATIENT)
     assert rig.call(safe=False) is Result.NOT_CONNECTED
 
 
 def test_a_connection_that_breaks_after_the_last_byte_proves_nothing(endpoints: list[RawEndpoint]) -> None:
     endpoints.append(RawEndpoint(serve_on, first=reset_after_the_last_byte))
-    rig = Rig(endpoints[0], Free())
+    rig = Rig(endpoints[0], PermissiveClearance())
     assert rig.call(safe=False) is Result.BROKEN  # it may have run
 
 
@@ -137,7 +139,7 @@
 
 def test_holding_the_last_byte_back_costs_some_milliseconds(endpoints: list[RawEndpoint]) -> None:
     endpoints.append(RawEndpoint(serve_on))
-    rig = Rig(endpoints[0], Free())
+    rig = Rig(endpoints[0], PermissiveClearance())
     for safe in (True, False):
         rig.call(safe=safe)  # the connection is there
     begun = time.monotonic()
--- a/tests/test_slow_endpoints.py
+++ b/tests/test_slow_endpoints.py
@@ -15,7 +15,7 @@
 from springspread.core.types import Attempt, AttemptEnd, Call, CoreEvent, Endpoint, Result, clock
 from springspread.net.endpoints import Workers
 from tests.peer import until
-from tests.test_spoilt import Free, NullLog
+from tests.test_spoilt import NullLog, PermissiveClearance
 
 LIMITS = replace(Limits(), endpoint_write_ms=300.0, answer_rest_ms=300.0)
 Habit = Callable[[socket.socket], None]
@@ -80,7 +80,7 @@
     serve: Callable[[Habit], Endpoint], safe: bool
 ) -> None:
     ends: list[CoreEvent] = []
-    workers = Workers(LIMITS, 1, (), Free(), ends.append, NullLog())
+    workers = Workers(LIMITS, 1, (), PermissiveClearance(), ends.append, NullLog())
     workers.start(call(serve(reads_nothing), 9, 700_000, safe))  # more than the system's buffers take
     until(lambda: len(ends) == 9, "the ends")
     assert {end.result for end in ends if isinstance(end, AttemptEnd)} == {Result.NOT_CONNECTED}
@@ -90,7 +90,7 @@
     serve: Callable[[Habit], Endpoint],
 ) -> None:
     ends: list[CoreEvent] = []
-    workers = Workers(LIMITS, 8, (), Free(), ends.append, NullLog())
+    workers = Workers(LIMITS, 8, (), PermissiveClearance(), ends.append, NullLog())
     usual = serve(answers)
     for habit in (drips, drips, drips, reads_nothing, reads_nothing, reads_nothing):
         workers.start(call(serve(habit), 9 if habit is reads_nothing else 1, 700_000))
--- a/tests/test_spoilt.py
+++ b/tests/test_spoilt.py
@@ -21,7 +21,7 @@
 HEAD = b"HTTP/1.1 200 OK\r\n"
 
 
-class Free(Clearance):
+class PermissiveClearance(Clearance):
     """Lets every call out, on no record."""
 
     def __init__(self) -> None:
@@ -84,7 +84,7 @@
     def __init__(self) -> None:
         self.endpoint = RawEndpoint()
         self.ends: list[CoreEvent] = []
-        self.workers = Workers(Limits(), 2, ("x0", "x1"), Free(), self.ends.append, NullLog())
+        self.workers = Workers(Limits(), 2, ("x0", "x1"), PermissiveClearance(), self.ends.append, NullLog())
         self.target = Endpoint(1, "s-1", "127.0.0.1", self.endpoint.port, 7, True, 5)
 
     def call(self, answer: bytes, count: int = 1, wait_ms: float = 5000.0) -> tuple[list[Result], float]:
--- a/tests/test_whole_call.py
+++ b/tests/test_whole_call.py
@@ -16,7 +16,7 @@
 from springspread.net.endpoints import Workers
 from springspread.policy import AIM_PART, ALIKE, Dispatcher
 from tests.peer import until
-from tests.test_spoilt import Free, NullLog, read_request
+from tests.test_spoilt import NullLog, PermissiveClearance, read_request
 
 NOTE = i.ClassSpec("note", 1000.0, 8000.0, 1.0, 0.1, i.Effect.SAFE)
 PAY = i.ClassSpec("pay", 4000.0, 28_000.0, 2.0, 0.5, i.Effect.UNSAFE)
@@ -51,7 +51,7 @@
     endpoint = Endpoint(1, "s-1", "127.0.0.1", port, 7, True, 5)
     now = clock()
     runs = tuple(Attempt(n, 0, f"m{n}", b"x", now + 200.0 + 3000.0 * n, True) for n in range(3))
-    Workers(Limits(), 1, (), Free(), put, NullLog()).start(Call(endpoint, runs, now))
+    Workers(Limits(), 1, (), PermissiveClearance(), put, NullLog()).start(Call(endpoint, runs, now))
     until(lambda: len(ends) == 3, "an end for each")
     assert all(closed and end.result is Result.TIMED_OUT for closed, end in ends)
     assert ends[-1][1].at < now + 1500.0  # by the first one's time, not each by its own
