--- a/tests/faults/test_crowded_discovery.py
+++ b/tests/faults/test_crowded_discovery.py
@@ -12,7 +12,7 @@
 
 from springspread.core.types import clock
 from tests.faults.test_late_calls import GRACE_MS, NOTIFIED_MS, NOTIFIED_WAIT_MS, World
-from tests.list_service import Asked, Behavior, Line, wait_for
+from tests.list_service import Asked, Behavior, RequestQueue, wait_for
 
 SENDERS = 6
 TURN_MS = 400.0  # as the evidence of incident 40 shows it
@@ -58,7 +58,7 @@
 def test_six_senders_whose_watches_fall_silent_together_know_of_a_drain_in_time(
     worlds: Callable[[int], list[World]], patience_ms: float
 ) -> None:
-    fleet, line = worlds(SENDERS), Line(TURN_MS, patience_ms)
+    fleet, line = worlds(SENDERS), RequestQueue(TURN_MS, patience_ms)
     for world in fleet:
         world.start(senders=SENDERS)
         world.load()
@@ -79,7 +79,7 @@
     world.start(senders=SENDERS)
     world.load()
     world.new_watch()
-    world.service.line = Line(turn_ms)
+    world.service.line = RequestQueue(turn_ms)
     assert not late(world, silenced(world))
 
 
--- a/tests/late_call_day.py
+++ b/tests/late_call_day.py
@@ -21,7 +21,7 @@
 
 from springspread.core.types import clock
 from springspread.faults.failing_calls import VARIABLE, Fault, encoded
-from tests.list_service import Asked, Behavior, CallLog, Line, ListService, wait_for
+from tests.list_service import Asked, Behavior, CallLog, ListService, RequestQueue, wait_for
 from tests.peer import Program
 from tests.test_config import SETTINGS
 
@@ -127,7 +127,11 @@
             at(draw.uniform(500.0, LENGTH_MS), "held up", self._hold_up)
         if not self._pushed:  # an agent answers at once
             begin, turn_ms = self._crowd.uniform(500.0, LENGTH_MS), self._crowd.uniform(300.0, 1500.0)
-            at(begin, f"crowded: {turn_ms:.0f} ms a turn", partial(self._serve_in_turn, Line(turn_ms)))
+            at(
+                begin,
+                f"crowded: {turn_ms:.0f} ms a turn",
+                partial(self._serve_in_turn, RequestQueue(turn_ms)),
+            )
             at(begin + self._crowd.uniform(3000.0, 8000.0), "crowded no more", self._serve_in_turn)
         return sorted(steps, key=lambda step: step.at)
 
@@ -153,7 +157,7 @@
         for service in self.services:
             service.plan = list(plan)
 
-    def _serve_in_turn(self, line: Line | None = None) -> None:
+    def _serve_in_turn(self, line: RequestQueue | None = None) -> None:
         for service in self.services:
             service.line = line
 
--- a/tests/list_service.py
+++ b/tests/list_service.py
@@ -98,7 +98,7 @@
 CONTINUES_MS = 200.0  # a watch goes on where its next request comes within this of the last answer
 
 
-class Line:
+class RequestQueue:
     """Requests are served in turn, by one discovery that several stand-ins share.
 
     A request that would wait for longer than ``patience_ms`` is refused at once; one that is given up by its
@@ -132,7 +132,7 @@
     finals: list[dict[str, Any]] = field(default_factory=list)
     down: Behavior | None = None  # what becomes of every request while it is down
     slow_ms: float = 0.0  # an answer takes so long
-    line: Line | None = None  # requests that go on with no watch wait here
+    line: RequestQueue | None = None  # requests that go on with no watch wait here
 
     def __post_init__(self) -> None:
         self._silences = 0
