--- a/tests/faults/test_crowded_discovery.py
+++ b/tests/faults/test_crowded_discovery.py
@@ -12,7 +12,7 @@
 
 from springspread.core.types import clock
 from tests.faults.test_late_calls import GRACE_MS, NOTIFIED_MS, NOTIFIED_WAIT_MS, World
-from tests.list_service import Asked, Behavior, RequestQueue, wait_for
+from tests.list_service import Behavior, ListRequest, RequestQueue, wait_for
 
 SENDERS = 6
 TURN_MS = 400.0  # as the evidence of incident 40 shows it
@@ -34,7 +34,7 @@
         one.close()
 
 
-def open_watch(world: World) -> Asked | None:
+def open_watch(world: World) -> ListRequest | None:
     """The watch that waits now, if one does."""
     last = world.service.asked[-1]
     return last if last.wait_ms > NOTIFIED_MS / 10 and not last.answered_at else None
--- a/tests/faults/test_late_calls.py
+++ b/tests/faults/test_late_calls.py
@@ -13,7 +13,7 @@
 
 from springspread.core.types import clock
 from springspread.faults.failing_calls import VARIABLE, Fault, encoded
-from tests.list_service import Asked, Behavior, CallLog, ListService, wait_for
+from tests.list_service import Behavior, CallLog, ListRequest, ListService, wait_for
 from tests.peer import Program
 from tests.test_config import SETTINGS
 
@@ -61,7 +61,7 @@
         self._client.start()
         wait_for(lambda: len(self.endpoint.calls) > 5, "calls")
 
-    def new_watch(self) -> Asked:
+    def new_watch(self) -> ListRequest:
         """Have the open watch answered, so that another begins."""
         seen = len(self.service.asked)
         self.service.change("s-0", "Ready")
--- a/tests/late_call_day.py
+++ b/tests/late_call_day.py
@@ -21,7 +21,7 @@
 
 from springspread.core.types import clock
 from springspread.faults.failing_calls import VARIABLE, Fault, encoded
-from tests.list_service import Asked, Behavior, CallLog, ListService, RequestQueue, wait_for
+from tests.list_service import Behavior, CallLog, ListRequest, ListService, RequestQueue, wait_for
 from tests.peer import Program
 from tests.test_config import SETTINGS
 
@@ -248,7 +248,7 @@
 
     # Judging
 
-    def _answered(self) -> Iterator[Asked]:
+    def _answered(self) -> Iterator[ListRequest]:
         return (one for service in self.services for one in list(service.asked) if one.answered_at)
 
     def notified_by(self, change: Leaving) -> float:
--- a/tests/list_service.py
+++ b/tests/list_service.py
@@ -81,7 +81,7 @@
 
 
 @dataclass
-class Asked:
+class ListRequest:
     """A request for the list: when it came, what for, what became of it; when its answer was written."""
 
     at: float
@@ -128,7 +128,7 @@
     members: dict[str, dict[str, Any]]
     version: int = 1
     plan: list[Behavior] = field(default_factory=list)
-    asked: list[Asked] = field(default_factory=list)
+    asked: list[ListRequest] = field(default_factory=list)
     finals: list[dict[str, Any]] = field(default_factory=list)
     down: Behavior | None = None  # what becomes of every request while it is down
     slow_ms: float = 0.0  # an answer takes so long
@@ -210,7 +210,7 @@
         with self._news:
             behavior = self.down or (self.plan.pop(0) if self.plan else Behavior.ANSWER)
             wait_ms = float(query.get("timeout_ms", ["0"])[0])
-            entry = Asked(request.first_byte_at, since, behavior, sock, wait_ms)
+            entry = ListRequest(request.first_byte_at, since, behavior, sock, wait_ms)
             self.asked.append(entry)
         if behavior is Behavior.SILENT:
             return False
@@ -239,13 +239,13 @@
         sock.sendall(answer)
         return True
 
-    def _goes_on(self, entry: Asked) -> bool:
+    def _goes_on(self, entry: ListRequest) -> bool:
         """Whether a request goes on with a watch on its connection."""
         with self._news:
             answers = [one.answered_at for one in self.asked if one.sock is entry.sock and one.answered_at]
         return bool(answers) and entry.at - answers[-1] <= CONTINUES_MS
 
-    def _awaited(self, entry: Asked) -> dict[str, Any] | None:
+    def _awaited(self, entry: ListRequest) -> dict[str, Any] | None:
         """What an answer holds, once there is news or its wait is over; none where it fell silent."""
         since = entry.since
         with self._news:
