--- a/tests/faults/test_crowded_discovery.py
+++ b/tests/faults/test_crowded_discovery.py
@@ -36,7 +36,7 @@
 
 def open_watch(world: World) -> ListRequest | None:
     """The watch that waits now, if one does."""
-    last = world.service.asked[-1]
+    last = world.service.list_requests[-1]
     return last if last.wait_ms > NOTIFIED_MS / 10 and not last.answered_at else None
 
 
@@ -44,7 +44,7 @@
     """Have the open watch fall silent and then the endpoint drain: when that counts as notified (ms)."""
     wait_for(lambda: open_watch(world), "an open watch")
     silent_at = world.service.silence()
-    watch = next(one for one in reversed(world.service.asked) if one.silent_at)
+    watch = next(one for one in reversed(world.service.list_requests) if one.silent_at)
     world.service.change("s-0", "Terminating")
     return max(silent_at + NOTIFIED_MS, watch.at + watch.wait_ms + NOTIFIED_WAIT_MS)
 
@@ -94,7 +94,9 @@
     world.new_watch()
     notified = silenced(world)
     world.service.down = then
-    wait_for(lambda: world.service.asked[-1].at > notified + GRACE_MS + 500.0, "a request after the grace")
+    wait_for(
+        lambda: world.service.list_requests[-1].at > notified + GRACE_MS + 500.0, "a request after the grace"
+    )
     world.service.down = None
     assert not late(world, notified)
 
--- a/tests/faults/test_late_calls.py
+++ b/tests/faults/test_late_calls.py
@@ -42,7 +42,7 @@
         self._monkeypatch.setitem(SETTINGS, "balancers", senders)
         lines = self.service.snapshot()
         self.program = Program(self.folder, self.service, known=lines, module=MODULE)
-        wait_for(lambda: self.service.asked, "the first list request")
+        wait_for(lambda: self.service.list_requests, "the first list request")
 
     def gate(self, name: str) -> Path:
         """A file that puts a fault in force while it exists."""
@@ -63,14 +63,16 @@
 
     def new_watch(self) -> ListRequest:
         """Have the open watch answered, so that another begins."""
-        seen = len(self.service.asked)
+        seen = len(self.service.list_requests)
         self.service.change("s-0", "Ready")
-        wait_for(lambda: len(self.service.asked) > seen, "the next watch")
-        return self.service.asked[seen]
+        wait_for(lambda: len(self.service.list_requests) > seen, "the next watch")
+        return self.service.list_requests[seen]
 
     def in_force(self, version: int) -> None:
         """Wait until the sender has a version, and asks for what is newer."""
-        wait_for(lambda: any(one.since and one.since >= version for one in list(self.service.asked)), "it")
+        wait_for(
+            lambda: any(one.since and one.since >= version for one in list(self.service.list_requests)), "it"
+        )
 
     def close(self) -> None:
         self._stop.set()
@@ -126,7 +128,7 @@
     moved_to = ListService({"s-0": world.endpoint.line("s-0", status="Terminating")}, version=2, plan=[first])
     moved_at = clock()
     world.program.move(moved_to)
-    wait_for(lambda: any(one.since == 2 for one in list(moved_to.asked)), "its list is in force")
+    wait_for(lambda: any(one.since == 2 for one in list(moved_to.list_requests)), "its list is in force")
     moved_to.close()
     assert not world.endpoint.after(moved_at + MOVED_MS + GRACE_MS)
 
@@ -172,7 +174,7 @@
     world.service.change("s-0", "Terminating")
     drained = world.service.version
     wait_for(lambda: world.service.answered(drained), "the drain's answer")
-    written = next(one.answered_at for one in world.service.asked if one.version >= drained)
+    written = next(one.answered_at for one in world.service.list_requests if one.version >= drained)
     wait_for(lambda: clock() >= written + GRACE_MS - 50.0, "the last of the grace")
     connecting.unlink()
     wait_for(lambda: world.endpoint.calls or world.service.finals, "its end")
--- a/tests/late_call_day.py
+++ b/tests/late_call_day.py
@@ -249,7 +249,7 @@
     # Judging
 
     def _answered(self) -> Iterator[ListRequest]:
-        return (one for service in self.services for one in list(service.asked) if one.answered_at)
+        return (one for service in self.services for one in list(service.list_requests) if one.answered_at)
 
     def notified_by(self, change: Leaving) -> float:
         """From when on a change counts as notified, by the page (ms)."""
@@ -267,7 +267,7 @@
 
     def _missed_by(self, change: Leaving, counted: float) -> Iterator[float]:
         """From when on what silent watches missed counts as notified."""
-        for one in (one for service in self.services for one in list(service.asked)):
+        for one in (one for service in self.services for one in list(service.list_requests)):
             silent = one.silent_at or (one.at if one.behavior is Behavior.SILENT else 0.0)
             told = max(silent + NOTIFIED_MS, one.at + one.wait_ms + AFTER_WAIT_MS)
             again = any(silent < other.answered_at <= change.at for other in self._answered())
--- a/tests/list_service.py
+++ b/tests/list_service.py
@@ -128,7 +128,7 @@
     members: dict[str, dict[str, Any]]
     version: int = 1
     plan: list[Behavior] = field(default_factory=list)
-    asked: list[ListRequest] = field(default_factory=list)
+    list_requests: list[ListRequest] = field(default_factory=list)
     finals: list[dict[str, Any]] = field(default_factory=list)
     down: Behavior | None = None  # what becomes of every request while it is down
     slow_ms: float = 0.0  # an answer takes so long
@@ -163,7 +163,7 @@
         """Every open watch falls silent: what it waits for never comes; when that was (ms)."""
         with self._news:
             self._silences += 1
-            for one in self.asked:
+            for one in self.list_requests:
                 waits = one.behavior is Behavior.ANSWER and not one.answered_at and not one.silent_at
                 if waits and one.sock in self._sockets:
                     one.silent_at = clock()
@@ -173,7 +173,7 @@
     def reset_watches(self) -> float:
         """Break every connection; when that was (ms)."""
         with self._news:
-            for one in self.asked:
+            for one in self.list_requests:
                 if one.sock in self._sockets and not one.reset_at:
                     one.reset_at = clock()
             for sock in self._sockets:
@@ -183,7 +183,7 @@
 
     def answered(self, version: int) -> bool:
         """Whether an answer with this version or a newer one has been written."""
-        return any(one.answered_at and one.version >= version for one in list(self.asked))
+        return any(one.answered_at and one.version >= version for one in list(self.list_requests))
 
     def close(self) -> None:
         """End it."""
@@ -211,7 +211,7 @@
             behavior = self.down or (self.plan.pop(0) if self.plan else Behavior.ANSWER)
             wait_ms = float(query.get("timeout_ms", ["0"])[0])
             entry = ListRequest(request.first_byte_at, since, behavior, sock, wait_ms)
-            self.asked.append(entry)
+            self.list_requests.append(entry)
         if behavior is Behavior.SILENT:
             return False
         if behavior is Behavior.RESET:
@@ -242,7 +242,9 @@
     def _goes_on(self, entry: ListRequest) -> bool:
         """Whether a request goes on with a watch on its connection."""
         with self._news:
-            answers = [one.answered_at for one in self.asked if one.sock is entry.sock and one.answered_at]
+            answers = [
+                one.answered_at for one in self.list_requests if one.sock is entry.sock and one.answered_at
+            ]
         return bool(answers) and entry.at - answers[-1] <= CONTINUES_MS
 
     def _awaited(self, entry: ListRequest) -> dict[str, Any] | None:
