--- a/tests/faults/test_crowded_discovery.py
+++ b/tests/faults/test_crowded_discovery.py
@@ -65,7 +65,7 @@
     for world in fleet:
         world.new_watch()  # news of all reach all at once, and their watches begin together
     for world in fleet:
-        world.service.line = line
+        world.service.queue = line
     notified = [silenced(world) for world in fleet]
     assert [late(world, at) for world, at in zip(fleet, notified, strict=True)] == [[]] * SENDERS
 
@@ -79,7 +79,7 @@
     world.start(senders=SENDERS)
     world.load()
     world.new_watch()
-    world.service.line = RequestQueue(turn_ms)
+    world.service.queue = RequestQueue(turn_ms)
     assert not late(world, silenced(world))
 
 
--- a/tests/late_call_day.py
+++ b/tests/late_call_day.py
@@ -159,7 +159,7 @@
 
     def _serve_in_turn(self, line: RequestQueue | None = None) -> None:
         for service in self.services:
-            service.line = line
+            service.queue = line
 
     def _down(self, how: Behavior) -> None:
         for service in self.services:
--- a/tests/list_service.py
+++ b/tests/list_service.py
@@ -132,7 +132,7 @@
     finals: list[dict[str, Any]] = field(default_factory=list)
     down: Behavior | None = None  # what becomes of every request while it is down
     slow_ms: float = 0.0  # an answer takes so long
-    line: RequestQueue | None = None  # requests that go on with no watch wait here
+    queue: RequestQueue | None = None  # requests that go on with no watch wait here
 
     def __post_init__(self) -> None:
         self._silences = 0
@@ -221,7 +221,7 @@
             sock.sendall(REFUSED)
             return True
         time.sleep(self.slow_ms / 1000.0)
-        if self.line is not None and not self._goes_on(entry) and not self.line.served():
+        if self.queue is not None and not self._goes_on(entry) and not self.queue.served():
             sock.sendall(REFUSED)
             return True
         body = self._awaited(entry)
