--- a/tests/test_client_shutdown.py
+++ b/tests/test_client_shutdown.py
@@ -234,7 +234,7 @@
     from springspread.config import Limits
     from springspread.net.listener import Listener, listening_socket
     from springspread.platform.intake import Intake
-    from tests.test_spoilt import NullLog
+    from tests.test_malformed_answers import NullLog
 
     listener = Listener(
         listening_socket(("127.0.0.1", 0), Limits()), Intake(lambda _: None), Limits(), NullLog()
@@ -258,7 +258,7 @@
     from springspread.config import Limits
     from springspread.net.listener import Listener, listening_socket
     from springspread.platform.intake import Intake
-    from tests.test_spoilt import NullLog
+    from tests.test_malformed_answers import NullLog
 
     listener = Listener(
         listening_socket(("127.0.0.1", 0), Limits()), Intake(lambda _: None), Limits(), NullLog()
@@ -282,7 +282,7 @@
     from springspread.config import Limits
     from springspread.net.listener import Listener, listening_socket
     from springspread.platform.intake import Intake
-    from tests.test_spoilt import NullLog
+    from tests.test_malformed_answers import NullLog
 
     limits = replace(Limits(), client_connections=2, client_spares=4, client_idle_ms=60_000.0)
     listener = Listener(listening_socket(("127.0.0.1", 0), limits), Intake(lambda _: None), limits, NullLog())
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -37,7 +37,7 @@
 from springspread.net.exchange import Connection
 from springspread.net.notices import Notifier
 from tests.peer import WAIT_S, Peer, Program, serving, until
-from tests.test_spoilt import NullLog, read_request
+from tests.test_malformed_answers import NullLog, read_request
 
 OK = b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n"
 RESET = b"\1\0\0\0\0\0\0\0"
--- a/tests/test_grown_fleet.py
+++ b/tests/test_grown_fleet.py
@@ -17,8 +17,8 @@
 from springspread.policy import Dispatcher
 from springspread.settings import SettingsError, parse_lines, read_settings
 from tests.peer import WAIT_S
+from tests.test_malformed_answers import NullLog
 from tests.test_rules import SAFE, make_settings
-from tests.test_spoilt import NullLog
 from tests.test_wire import SETTINGS as WIRE_SETTINGS
 
 ENTRY = i.RouteEntry(10, 0, 0, 1, i.RouteState.READY, 20.0)
--- a/tests/test_last_byte.py
+++ b/tests/test_last_byte.py
@@ -14,7 +14,7 @@
 from springspread.core.types import Attempt, AttemptEnd, Call, CoreEvent, Endpoint, Result, clock
 from springspread.net.endpoints import Workers
 from tests.peer import serving, until
-from tests.test_spoilt import GOOD, NullLog, PermissiveClearance, read_request
+from tests.test_malformed_answers import GOOD, NullLog, PermissiveClearance, read_request
 
 RESET = struct.pack("ii", 1, 0)
 LAST = b"!"
--- a/tests/test_slow_endpoints.py
+++ b/tests/test_slow_endpoints.py
@@ -15,7 +15,7 @@
 from springspread.core.types import Attempt, AttemptEnd, Call, CoreEvent, Endpoint, Result, clock
 from springspread.net.endpoints import Workers
 from tests.peer import until
-from tests.test_spoilt import NullLog, PermissiveClearance
+from tests.test_malformed_answers import NullLog, PermissiveClearance
 
 LIMITS = replace(Limits(), endpoint_write_ms=300.0, answer_rest_ms=300.0)
 Habit = Callable[[socket.socket], None]
--- a/tests/test_watch.py
+++ b/tests/test_watch.py
@@ -34,7 +34,7 @@
 from springspread.net import exchange
 from springspread.net.discovery import Watcher
 from tests.peer import serving, until
-from tests.test_spoilt import NullLog, read_request
+from tests.test_malformed_answers import NullLog, read_request
 
 WAIT_MS = 5000.0
 FAILURES = st.sampled_from(list(Failure))
--- a/tests/test_whole_call.py
+++ b/tests/test_whole_call.py
@@ -16,7 +16,7 @@
 from springspread.net.endpoints import Workers
 from springspread.policy import AIM_PART, ALIKE, Dispatcher
 from tests.peer import until
-from tests.test_spoilt import NullLog, PermissiveClearance, read_request
+from tests.test_malformed_answers import NullLog, PermissiveClearance, read_request
 
 NOTE = i.ClassSpec("note", 1000.0, 8000.0, 1.0, 0.1, i.Effect.SAFE)
 PAY = i.ClassSpec("pay", 4000.0, 28_000.0, 2.0, 0.5, i.Effect.UNSAFE)
