--- a/tests/test_client_shutdown.py
+++ b/tests/test_client_shutdown.py
@@ -16,7 +16,7 @@
 
 from springspread.http1.shutdown import TRANSITIONS, Event, InvalidTransition, Shutdown, State
 from tests.peer import WAIT_S, Peer, Program, until
-from tests.test_rude import LINES, START
+from tests.test_bad_clients import LINES, START
 
 
 class ConnectionModel(RuleBasedStateMachine):
