--- a/springspread/net/endpoints.py
+++ b/springspread/net/endpoints.py
@@ -149,7 +149,7 @@
         self._limits, self._report, self._clearance = limits, report, clearance
         self._put, self._log = put, log
         self._jobs: SimpleQueue[Call] = SimpleQueue()
-        self._kept = ConnectionPool(limits, self._figures)
+        self._pool = ConnectionPool(limits, self._figures)
         self._lock = threading.Lock()
         self._open: dict[Call, Connection] = {}
         self._threads = 0
@@ -175,14 +175,14 @@
 
     def close_idle(self, endpoint: Endpoint) -> None:
         """Close the kept connections to an endpoint."""
-        self._kept.drop(endpoint)
+        self._pool.drop(endpoint)
 
     def _work(self) -> None:
         while True:
             try:
                 call = self._jobs.get(timeout=SWEEP_S)
             except Empty:
-                self._kept.sweep()
+                self._pool.sweep()
                 continue
             try:
                 self._carry(call) if call.attempts else self._probe(call)
@@ -208,7 +208,7 @@
             self._end(call, run, result, wait_ms)
 
     def _connect(self, call: Call, until: float) -> Connection | None:
-        connection = self._kept.take(call.endpoint, call.once)
+        connection = self._pool.take(call.endpoint, call.once)
         return connection or self._new(call, until)
 
     def _new(self, call: Call, until: float) -> Connection | None:
@@ -243,9 +243,9 @@
             with self._lock:
                 del self._open[call]
             if keep:
-                self._kept.give(call.endpoint, connection)
+                self._pool.give(call.endpoint, connection)
             else:
-                self._kept.close(connection, Closed.FINISHED)
+                self._pool.close(connection, Closed.FINISHED)
         return True
 
     def _exchange(self, call: Call, connection: Connection) -> bool:
@@ -281,7 +281,7 @@
             self._figures.count(Figure.ATTEMPTS, run.cls)
         try:
             answer = connection.read(call.until)
-            self._kept.heard(call.endpoint, connection.idle_ms, False)
+            self._pool.heard(call.endpoint, connection.idle_ms, False)
             reading = delivery.read_answer(call, answer, self._report)
             self._read(call, reading)
             return connection.reusable and not reading.fault
@@ -315,7 +315,7 @@
         soon = clock() - written < self._limits.break_ms
         if not soon or connection.heard or not self._clear(call):
             return False
-        self._kept.heard(call.endpoint, connection.idle_ms, True)
+        self._pool.heard(call.endpoint, connection.idle_ms, True)
         return True
 
     def _clear(self, call: Call) -> bool:
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -261,7 +261,7 @@
     it = bench(script)
     it.start(safe=False)
     assert it.result() is Result.DELIVERED
-    (kept,) = [line[0] for line in it.workers._kept._idle.values()]
+    (kept,) = [line[0] for line in it.workers._pool._idle.values()]
     alive = kept.alive
 
     def looked() -> bool:
