--- a/springspread/net/endpoints.py
+++ b/springspread/net/endpoints.py
@@ -79,7 +79,7 @@
             if endpoint.state is not EndpointState.GONE:  # nothing is kept of what is gone
                 self._reuse.note(endpoint.number, idle_ms, broke, clock())
 
-    def give(self, endpoint: Endpoint, connection: Connection) -> None:
+    def release(self, endpoint: Endpoint, connection: Connection) -> None:
         """Keep a connection, unless its endpoint is gone.
 
         Where two events cross: whoever lets go of an endpoint marks it first, then drops what is kept under
@@ -243,7 +243,7 @@
             with self._lock:
                 del self._open[call]
             if keep:
-                self._pool.give(call.endpoint, connection)
+                self._pool.release(call.endpoint, connection)
             else:
                 self._pool.close(connection, Closed.FINISHED)
         return True
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -307,7 +307,7 @@
     if first == "it goes":
         kept._lock = CrossingLock(lock, goes)  # type: ignore[assignment]
     connection = Connection(address, clock() + 1000.0, Limits())
-    kept.give(endpoint, connection)
+    kept.release(endpoint, connection)
     if first == "it is given back":
         goes()
     assert not kept._idle and connection.sock.fileno() < 0
