--- a/springspread/net/endpoints.py
+++ b/springspread/net/endpoints.py
@@ -313,7 +313,7 @@
     def _broke(self, call: Call, connection: Connection, written: float) -> bool:
         """Note a connection that ended soon, without a byte of an answer, and not by our own hand."""
         soon = clock() - written < self._limits.break_ms
-        if not soon or connection.heard or not self._clear(call):
+        if not soon or connection.received or not self._clear(call):
             return False
         self._pool.heard(call.endpoint, connection.idle_ms, True)
         return True
--- a/springspread/net/exchange.py
+++ b/springspread/net/exchange.py
@@ -56,7 +56,7 @@
         self._machine = ClientConnection(limits, optional)
         self.idle_since = clock()
         self.idle_ms: float | None = None  # how long it stood idle before the present call; None: it is new
-        self.heard = False  # whether a byte of the present call's answer has come
+        self.received = False  # whether a byte of the present call's answer has come
 
     @property
     def reusable(self) -> bool:
@@ -94,7 +94,7 @@
         is written if ``clear`` still says that it may be.
         """
         data = self._machine.request(method, target, headers, body)
-        self.heard = False
+        self.received = False
         until = min(until, clock() + self._limits.endpoint_write_ms)
         self.sock.settimeout(seconds(until))
         if clear is None:
@@ -140,7 +140,7 @@
                 raise Malformed("the answer does not end")
             if data is None:
                 continue
-            self.heard = self.heard or bool(data)
+            self.received = self.received or bool(data)
             answer = self._machine.feed(data) if data else self._machine.end()
             if answer is not None:
                 self.idle_since = clock()
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -189,7 +189,7 @@
     call = it.start()
     if first == "the bytes":
         assert wrote.wait(WAIT_S)
-        until(lambda: it.workers._open[call].heard or not sent, "they are read")
+        until(lambda: it.workers._open[call].received or not sent, "they are read")
     else:
         until(lambda: it.endpoint.requests, "the request is there")
     it.workers.cancel(call)
