--- a/springspread/net/__init__.py
+++ b/springspread/net/__init__.py
@@ -1,1 +1,1 @@
-"""Drivers: threads on blocking sockets that feed the machines and the core."""
+"""Socket drivers: threads that feed the connection state machines and the core."""
--- a/springspread/net/discovery.py
+++ b/springspread/net/discovery.py
@@ -1,4 +1,4 @@
-"""The watch on discovery's list: one thread and one connection, without gaps while it goes well."""
+"""Watches discovery's list of endpoints: one thread and one connection, one long poll after another."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 from springspread.core.watch import Ask, Failure, State, Watch, pace
 from springspread.http1.client import Answer
 from springspread.http1.message import Malformed
-from springspread.net.exchange import FAILURES, Caller, ConnectError, LateError, MovedError
+from springspread.net.exchange import FAILURES, Caller, ConnectError, DeadlineExceededError, MovedError
 from springspread.net.threads import spawn
 from springspread.platform import catalog
 
@@ -31,29 +31,29 @@
         errno.ENOMEM,
     }
 )
-"""Errors by which this machine says that it could not make the call."""
+"""System errors on this machine's side: they say nothing about discovery."""
 
 
-def _kind(exc: Exception) -> Failure:
-    """What a connection that did not come up, or broke, says of discovery."""
+def _classify(exc: Exception) -> Failure:
+    """The kind of failure, for a connection that could not be established or broke."""
     if isinstance(exc, OSError) and exc.errno in LOCAL_ERRORS:
         return Failure.LOCAL
     return Failure.UNREACHED if isinstance(exc, ConnectError) else Failure.BROKEN
 
 
 class RefusedError(Exception):
-    """Discovery turned a call away."""
+    """Discovery answered with a status other than 200."""
 
 
 def _rounded(ms: float) -> float | None:
-    """A time for the log; none where there is no end to it, which JSON can't tell."""
+    """A duration for the log; None for infinity, which JSON can't represent."""
     return round(ms, 1) if isfinite(ms) else None
 
 
 class Watcher:
-    """Carries out what ``core.watch`` decides; after a failure it waits until it is told to watch again.
+    """Makes the list requests that ``core.watch`` decides on; after a failure it waits for ``watch``.
 
-    Moved to another address, it watches there at once.
+    After ``move`` it watches at the new address at once.
     """
 
     def __init__(
@@ -70,34 +70,34 @@
         pushed: bool = False,
         seed: int = 0,
     ) -> None:
-        """``senders``: how many share this discovery, unless lists are ``pushed`` to an agent of its own."""
+        """``senders``: how many share this discovery, unless lists are ``pushed`` to a local agent."""
         self._figures = figures or Figures(())
         self._caller = Caller(address, limits)
         self._names, self._put, self._log = names, put, log
         self._lock = threading.Lock()
         sharing = 1 if pushed else senders
         wait_ms = min(limits.watch_ms, pace(sharing).wait_ms)
-        self._machine = Watch(version, wait_ms, sharing, Random(seed), lapses=not pushed)
+        self._watch = Watch(version, wait_ms, sharing, Random(seed), lapses=not pushed)
         self._wake = threading.Event()
         spawn("discovery", self._run, log)
 
     def watch(self, active: bool) -> None:
-        """Begin or end the watch; a running one goes on."""
+        """Start or stop watching; a request in progress is not interrupted."""
         with self._lock:
-            self._machine.want(active)
+            self._watch.want(active)
         self._wake.set()
 
     def fetch(self) -> None:
-        """Ask once for the whole list."""
+        """Request the whole list once."""
         with self._lock:
-            self._machine.fetch()
+            self._watch.fetch()
         self._wake.set()
 
     def move(self, address: Address) -> None:
-        """Ask another address from now on, also what was cut off at the old one."""
+        """Use another address from now on, also for the request that this aborts."""
         self._caller.move(address)
         with self._lock:
-            self._machine.moved(clock())
+            self._watch.moved(clock())
         self._wake.set()
 
     def _run(self) -> None:
@@ -108,29 +108,29 @@
                 try:
                     self._put_news(ask, self._ask(ask))
                 except MovedError as exc:
-                    self._log.info("discovery moved", cut_off=str(exc))
-                    self._put_leaving(exc.answer)
+                    self._log.info("discovery address changed", cut_off=str(exc))
+                    self._put_withdrawn(exc.answer)
                 except RefusedError as exc:
                     self._failed(ask, Failure.REFUSED, exc)
-                except (LateError, catalog.Unreadable, Malformed) as exc:
-                    # Also an answer that does not end or can't be read.
+                except (DeadlineExceededError, catalog.Unreadable, Malformed) as exc:
+                    # No complete, readable answer in time.
                     self._failed(ask, Failure.SILENT, exc)
                 except FAILURES as exc:
-                    self._failed(ask, _kind(exc), exc)
+                    self._failed(ask, _classify(exc), exc)
 
     def _begin(self) -> Ask | None:
         with self._lock:
-            return self._machine.begin(clock())
+            return self._watch.begin(clock())
 
     def _put_news(self, ask: Ask, news: ListNews) -> None:
         with self._lock:
-            before, due_at = self._machine.state(news.notified_at), self._machine.due_at
-            believed = self._machine.answered(news.version)
+            before, due_at = self._watch.state(news.notified_at), self._watch.due_at
+            accepted = self._watch.answered(news.version)
         late_ms = news.notified_at - due_at
         if late_ms > 0.0:
             self._figures.occurred(Occurrence.LISTS_LATE, before)
-        tell = self._log.info if news.members or before is not State.CURRENT else self._log.debug
-        tell(
+        log = self._log.info if news.members or before is not State.CURRENT else self._log.debug
+        log(
             "list received",
             request=ask.number,
             scope=news.scope.value,
@@ -141,16 +141,16 @@
             state=before.value,
             due_in_ms=_rounded(-late_ms),
         )
-        if believed:
+        if accepted:
             self._put(news)
         else:
-            self._log.warning("an older list left out", version=news.version)
+            self._log.warning("outdated list ignored", version=news.version)
 
-    def _put_leaving(self, answer: Answer | None) -> None:
-        """Take from an answer of the address of before what drains or is gone, and nothing else.
+    def _put_withdrawn(self, answer: Answer | None) -> None:
+        """Apply only the draining and gone endpoints of an answer from the previous address.
 
-        Where two events cross: SIGHUP and an answer that is written by then, and counts as notified. What it
-        says is ready is left to the new address, which is asked for its whole list.
+        The answer may have been written before SIGHUP changed the address, and then counts as a notification.
+        Ready endpoints are left to the new address, which is asked for its whole list.
         """
         if answer is None or answer.status != 200:
             return
@@ -158,19 +158,21 @@
             news = catalog.read_list(answer.body, self._names, clock())
         except catalog.Unreadable:
             return
-        leaving = tuple(one for one in news.members if one.state is not EndpointState.READY)
-        if not leaving:
+        withdrawn = tuple(member for member in news.members if member.state is not EndpointState.READY)
+        if not withdrawn:
             return
         with self._lock:
-            self._machine.doubt()
-        self._log.info("left as the old address says", version=news.version, lines=len(leaving))
-        self._put(replace(news, scope=Scope.CHANGES, members=leaving))
+            self._watch.doubt()
+        self._log.info(
+            "endpoints withdrawn by the previous address", version=news.version, lines=len(withdrawn)
+        )
+        self._put(replace(news, scope=Scope.CHANGES, members=withdrawn))
 
     def _failed(self, ask: Ask, failure: Failure, exc: Exception) -> None:
         with self._lock:
             now = clock()
-            ask_by = self._machine.failed(failure, now)
-            state, due_at, lapse = self._machine.state(now), self._machine.due_at, self._machine.lapse
+            ask_by = self._watch.failed(failure, now)
+            state, due_at, lapse = self._watch.state(now), self._watch.due_at, self._watch.lapse
         self._figures.occurred(Occurrence.LIST_FAILURES, failure)
         self._log.warning(
             "discovery failed",
@@ -188,9 +190,9 @@
 
     def _ask(self, ask: Ask) -> ListNews:
         with self._lock:
-            state, due_at = self._machine.state(ask.begun_at), self._machine.due_at
-        tell = self._log.debug if state is State.CURRENT else self._log.info
-        tell(
+            state, due_at = self._watch.state(ask.begun_at), self._watch.due_at
+        log = self._log.debug if state is State.CURRENT else self._log.info
+        log(
             "list request",
             request=ask.number,
             since=ask.since,
--- a/springspread/net/endpoints.py
+++ b/springspread/net/endpoints.py
@@ -1,4 +1,4 @@
-"""Calls to server endpoints: worker threads, and the connections that are kept for the next call."""
+"""Calls to endpoints: worker threads and the pool of idle connections."""
 
 from __future__ import annotations
 
@@ -26,30 +26,30 @@
     clock,
 )
 from springspread.http1.message import Malformed
-from springspread.net.exchange import BrokenError, Connection, LateError
+from springspread.net.exchange import Connection, ConnectionLostError, DeadlineExceededError
 from springspread.net.threads import spawn
 from springspread.platform import delivery
 
-SWEEP_S = 0.25
-PROBE_MS = 1_500.0
+SWEEP_INTERVAL_S = 0.25
+PROBE_TIMEOUT_MS = 1_500.0
 
 
 class StaleError(Exception):
-    """A kept connection was dead before a call's last byte: the call has not begun."""
+    """A pooled connection broke before the call's last byte was written: the call has not begun."""
 
 
-class Closed(Enum):
+class CloseReason(Enum):
     """Why a connection to an endpoint was closed."""
 
-    FINISHED = "finished"  # its call left it in no state for another one
+    FINISHED = "finished"  # not reusable after its call
     IDLE = "idle"
-    STALE = "stale"  # found dead, or too likely to be, as it was to be used again
-    SURPLUS = "surplus"  # more were kept than there may be
+    STALE = "stale"  # found dead, or connected to another address, when it was to be reused
+    SURPLUS = "surplus"  # the pool was full
     ENDPOINT_GONE = "endpoint gone"
 
 
 class ConnectionPool:
-    """Idle connections by endpoint, the last used first."""
+    """Idle connections by endpoint, the most recently used first."""
 
     def __init__(self, limits: Limits, figures: Figures) -> None:
         self._limits, self._figures = limits, figures
@@ -57,8 +57,8 @@
         self._lock = threading.Lock()
         self._idle: dict[int, list[Connection]] = {}
 
-    def take(self, endpoint: Endpoint, once: bool) -> Connection | None:
-        """A connection that is still good, and good enough for a call that may run once, or for others."""
+    def acquire(self, endpoint: Endpoint, once: bool) -> Connection | None:
+        """A usable idle connection that is unlikely to be stale; ``once``: the call may run only once."""
         while True:
             with self._lock:
                 idle, now = self._idle.get(endpoint.number), clock()
@@ -66,87 +66,86 @@
                     return None
                 connection = idle.pop()
                 connection.idle_ms = now - connection.idle_since
-            # Guards unsafe messages: a request on a connection that the other side has closed is a reset.
-            young = clock() - connection.idle_since < self._limits.idle_ms
+            # A request on a connection that the peer has closed would be reset.
+            fresh = clock() - connection.idle_since < self._limits.idle_ms
             same = connection.address == (endpoint.host, endpoint.port)
-            if young and same and connection.alive():
+            if fresh and same and connection.alive():
                 return connection
-            self.close(connection, Closed.STALE if young else Closed.IDLE)
+            self.close(connection, CloseReason.STALE if fresh else CloseReason.IDLE)
 
-    def heard(self, endpoint: Endpoint, idle_ms: float | None, broke: bool) -> None:
-        """A call's connection has broken or served; ``idle_ms`` is how long it had stood idle, if at all."""
+    def record_use(self, endpoint: Endpoint, idle_ms: float | None, broke: bool) -> None:
+        """Record whether a call's connection broke; ``idle_ms``: its idle time before, None for a new one."""
         with self._lock:
-            if endpoint.state is not EndpointState.GONE:  # nothing is kept of what is gone
+            if endpoint.state is not EndpointState.GONE:  # statistics of a gone endpoint are dropped
                 self._reuse.note(endpoint.number, idle_ms, broke, clock())
 
     def release(self, endpoint: Endpoint, connection: Connection) -> None:
-        """Keep a connection, unless its endpoint is gone.
+        """Return a connection to the pool, or close it if its endpoint is gone.
 
-        Where two events cross: whoever lets go of an endpoint marks it first, then drops what is kept under
-        the lock under which its state is looked at here.
+        An endpoint is marked as gone before ``drop`` takes the lock, so no connection to it stays behind.
         """
         surplus: Connection | None = connection
-        reason = Closed.ENDPOINT_GONE
+        reason = CloseReason.ENDPOINT_GONE
         with self._lock:
             if endpoint.state is not EndpointState.GONE:
-                reason = Closed.SURPLUS
+                reason = CloseReason.SURPLUS
                 self._idle.setdefault(endpoint.number, []).append(connection)
                 surplus = None
                 if sum(map(len, self._idle.values())) > self._limits.idle_connections:
-                    lines = [line for line in self._idle.values() if line]
-                    surplus = min(lines, key=lambda line: line[0].idle_since).pop(0)
+                    pools = [idle for idle in self._idle.values() if idle]
+                    surplus = min(pools, key=lambda idle: idle[0].idle_since).pop(0)
         if surplus is not None:
             self.close(surplus, reason)
 
     def sweep(self) -> None:
-        """Close what has stood idle for long."""
+        """Close connections that have been idle for too long."""
         now = clock()
         with self._lock:
-            old = [
+            expired = [
                 connection
-                for line in self._idle.values()
-                for connection in line
+                for idle in self._idle.values()
+                for connection in idle
                 if now - connection.idle_since >= self._limits.idle_ms
             ]
-            lines = {
-                number: [connection for connection in line if connection not in old]
-                for number, line in self._idle.items()
+            remaining = {
+                number: [connection for connection in idle if connection not in expired]
+                for number, idle in self._idle.items()
             }
-            self._idle = {number: line for number, line in lines.items() if line}
-        for connection in old:
-            self.close(connection, Closed.IDLE)
+            self._idle = {number: idle for number, idle in remaining.items() if idle}
+        for connection in expired:
+            self.close(connection, CloseReason.IDLE)
 
-    def close(self, connection: Connection, reason: Closed) -> None:
-        """Close a connection and count why."""
+    def close(self, connection: Connection, reason: CloseReason) -> None:
+        """Close a connection and count the reason."""
         self._figures.occurred(Occurrence.CONNECTIONS_CLOSED, reason)
         connection.close()
 
     def drop(self, endpoint: Endpoint) -> None:
-        """Close all that is kept for an endpoint."""
+        """Close all idle connections to an endpoint."""
         with self._lock:
             idle = self._idle.pop(endpoint.number, [])
             if endpoint.state is EndpointState.GONE:
                 self._reuse.forget(endpoint.number)
-        reason = Closed.ENDPOINT_GONE if endpoint.state is EndpointState.GONE else Closed.IDLE
+        reason = CloseReason.ENDPOINT_GONE if endpoint.state is EndpointState.GONE else CloseReason.IDLE
         for connection in idle:
             self.close(connection, reason)
 
 
 class Workers:
-    """Carries out calls, one a thread at a time."""
+    """Threads that carry out calls, one at a time each."""
 
     def __init__(
         self,
         limits: Limits,
         slots: int,
-        report: tuple[str, ...],
+        load_fields: tuple[str, ...],
         clearance: Clearance,
         put: Callable[[CoreEvent], None],
         log: Log,
         figures: Figures | None = None,
     ) -> None:
         self._figures = figures or Figures(())
-        self._limits, self._report, self._clearance = limits, report, clearance
+        self._limits, self._load_fields, self._clearance = limits, load_fields, clearance
         self._put, self._log = put, log
         self._jobs: SimpleQueue[Call] = SimpleQueue()
         self._pool = ConnectionPool(limits, self._figures)
@@ -156,62 +155,62 @@
         self.grow(slots)
 
     def grow(self, slots: int) -> None:
-        """Have as many workers as there are slots, and one more, so that a probe need not wait."""
+        """Start threads up to one per slot, and one more for probes."""
         while self._threads < min(slots, self._limits.workers) + 1:
             spawn(f"worker-{self._threads}", self._work, self._log)
             self._threads += 1
 
     def start(self, call: Call) -> None:
-        """Begin a call, or a probe where it has no attempts."""
+        """Queue a call; one without attempts is a probe."""
         self._jobs.put(call)
 
     def cancel(self, call: Call) -> None:
-        """Close the call's connection."""
+        """Cancel a call and abort its connection."""
         call.cancelled.set()
         with self._lock:
             connection = self._open.get(call)
         if connection is not None:
-            connection.cut()
+            connection.abort()
 
     def close_idle(self, endpoint: Endpoint) -> None:
-        """Close the kept connections to an endpoint."""
+        """Close the idle connections to an endpoint."""
         self._pool.drop(endpoint)
 
     def _work(self) -> None:
         while True:
             try:
-                call = self._jobs.get(timeout=SWEEP_S)
+                call = self._jobs.get(timeout=SWEEP_INTERVAL_S)
             except Empty:
                 self._pool.sweep()
                 continue
             try:
-                self._carry(call) if call.attempts else self._probe(call)
-            except Exception as exc:  # an end must come of every call, and the thread must live on
+                self._call(call) if call.attempts else self._probe(call)
+            except Exception as exc:  # every call must end, and the thread must go on
                 self._log.error("call failed", endpoint=call.endpoint.name, error=repr(exc), exc_info=True)
                 self._end_all(call, Result.BROKEN)
 
     def _end(
         self,
         call: Call,
-        run: Attempt,
+        attempt: Attempt,
         result: Result,
         wait_ms: float = 0.0,
         load: Load | None = None,
         over: bool = False,
     ) -> None:
-        if not run.done:
-            run.done = True
-            self._put(AttemptEnd(call, run, result, clock(), wait_ms, load or Load(), over))
+        if not attempt.done:
+            attempt.done = True
+            self._put(AttemptEnd(call, attempt, result, clock(), wait_ms, load or Load(), over))
 
     def _end_all(self, call: Call, result: Result, wait_ms: float = 0.0) -> None:
-        for run in call.attempts:
-            self._end(call, run, result, wait_ms)
+        for attempt in call.attempts:
+            self._end(call, attempt, result, wait_ms)
 
     def _connect(self, call: Call, until: float) -> Connection | None:
-        connection = self._pool.take(call.endpoint, call.once)
-        return connection or self._new(call, until)
+        connection = self._pool.acquire(call.endpoint, call.once)
+        return connection or self._open_connection(call, until)
 
-    def _new(self, call: Call, until: float) -> Connection | None:
+    def _open_connection(self, call: Call, until: float) -> Connection | None:
         until = min(until, call.sent_at + self._limits.connect_ms)
         self._log.debug("connecting", endpoint=call.endpoint.name, group=call.endpoint.group)
         try:
@@ -220,18 +219,18 @@
         except OSError:
             return None
 
-    def _carry(self, call: Call) -> None:
+    def _call(self, call: Call) -> None:
         connection = self._connect(call, call.until)
-        if connection is not None and not self._over(call, connection):
-            # Nothing of the call has begun: it goes over a new connection, as if none had been kept.
-            connection = self._new(call, call.until)
+        if connection is not None and not self._call_over(call, connection):
+            # The call has not begun: repeat it over a new connection.
+            connection = self._open_connection(call, call.until)
             if connection is not None:
-                self._over(call, connection)
+                self._call_over(call, connection)
         if connection is None:
             self._end_all(call, Result.NOT_CONNECTED)
 
-    def _over(self, call: Call, connection: Connection) -> bool:
-        """Carry a call over a connection; false where that was kept, and dead before the call's last byte."""
+    def _call_over(self, call: Call, connection: Connection) -> bool:
+        """Make a call over a connection; false if that was a pooled one and broke before the last byte."""
         with self._lock:
             self._open[call] = connection
         keep = False
@@ -245,7 +244,7 @@
             if keep:
                 self._pool.release(call.endpoint, connection)
             else:
-                self._pool.close(connection, Closed.FINISHED)
+                self._pool.close(connection, CloseReason.FINISHED)
         return True
 
     def _exchange(self, call: Call, connection: Connection) -> bool:
@@ -253,98 +252,100 @@
         if refused is not None:
             self._withhold(call, refused)
             return refused.result is not Result.CANCELLED
-        out = delivery.write_call(call, clock())
-        clear = partial(self._clear, call) if call.once else None
-        written = clock()
+        request = delivery.write_call(call, clock())
+        may_finish = partial(self._may_finish, call) if call.once else None
+        written_at = clock()
         self._log.debug(
             "begins",
             endpoint=call.endpoint.name,
             state=call.endpoint.state.value,
-            ids=[run.id for run in call.attempts],
+            ids=[attempt.id for attempt in call.attempts],
             policy=call.policy,
-            at=written,
+            at=written_at,
         )
         try:
-            connection.write(out.method, out.target, out.headers, out.body, call.until, clear)
+            connection.write(
+                request.method, request.target, request.headers, request.body, call.until, may_finish
+            )
         except OSError:
-            if self._broke(call, connection, written) and connection.idle_ms is not None:
+            if self._record_break(call, connection, written_at) and connection.idle_ms is not None:
                 raise StaleError from None
             if call.cancelled.is_set():
                 self._end_all(call, Result.CANCELLED)
             elif (wait := self._clearance.barred_ms(call.endpoint)) > 0.0:
-                # Guards the partner: a call stopped by a told wait does not say that it is unreachable.
+                # Stopped by a retry-after received meanwhile: no sign that the endpoint is unreachable.
                 self._end_all(call, Result.REJECTED, wait)
             else:
                 self._end_all(call, Result.NOT_CONNECTED)
             return False
-        for run in call.attempts:
-            self._figures.count(Figure.ATTEMPTS, run.cls)
+        for attempt in call.attempts:
+            self._figures.count(Figure.ATTEMPTS, attempt.cls)
         try:
             answer = connection.read(call.until)
-            self._pool.heard(call.endpoint, connection.idle_ms, False)
-            reading = delivery.read_answer(call, answer, self._report)
-            self._read(call, reading)
+            self._pool.record_use(call.endpoint, connection.idle_ms, False)
+            reading = delivery.read_answer(call, answer, self._load_fields)
+            self._apply(call, reading)
             return connection.reusable and not reading.fault
-        except LateError:
-            connection.cut()  # before the slot is free again, so that the endpoint sees it first
+        except DeadlineExceededError:
+            connection.abort()  # before the slot is released, so that the endpoint sees the end first
             self._end_all(call, delivery.read_part(call, connection.status, Result.TIMED_OUT))
-        except (BrokenError, Malformed) as exc:
-            self._broke(call, connection, written)
+        except (ConnectionLostError, Malformed) as exc:
+            self._record_break(call, connection, written_at)
             result = Result.BROKEN
             if isinstance(exc, Malformed):
-                self._log.warning("bad answer", endpoint=call.endpoint.name, fault=str(exc))
+                self._log.warning("malformed answer", endpoint=call.endpoint.name, fault=str(exc))
                 result = Result.SPOILT
             result = Result.CANCELLED if call.cancelled.is_set() else result
             self._end_all(call, delivery.read_part(call, connection.status, result))
         return False
 
     def _withhold(self, call: Call, refused: Refusal) -> None:
-        """End a call that may not go out, and tell why."""
+        """End a call that may not be sent, and log the reason."""
         self._figures.occurred(Occurrence.CALLS_WITHHELD, refused.reason)
         self._log.debug(
             "call withheld",
             reason=refused.reason.value,
             endpoint=call.endpoint.name,
-            ids=[run.id for run in call.attempts],
+            ids=[attempt.id for attempt in call.attempts],
             wait_ms=round(refused.wait_ms, 1),
         )
         self._end_all(call, refused.result, refused.wait_ms)
 
-    def _broke(self, call: Call, connection: Connection, written: float) -> bool:
-        """Note a connection that ended soon, without a byte of an answer, and not by our own hand."""
-        soon = clock() - written < self._limits.break_ms
-        if not soon or connection.received or not self._clear(call):
+    def _record_break(self, call: Call, connection: Connection, written_at: float) -> bool:
+        """Record a connection that broke soon after the write, unanswered and not aborted by us."""
+        soon = clock() - written_at < self._limits.break_ms
+        if not soon or connection.received or not self._may_finish(call):
             return False
-        self._pool.heard(call.endpoint, connection.idle_ms, True)
+        self._pool.record_use(call.endpoint, connection.idle_ms, True)
         return True
 
-    def _clear(self, call: Call) -> bool:
+    def _may_finish(self, call: Call) -> bool:
         """Whether the last byte of a call may still be written."""
         return not call.cancelled.is_set() and self._clearance.barred_ms(call.endpoint) <= 0.0
 
-    def _read(self, call: Call, reading: delivery.Reading) -> None:
+    def _apply(self, call: Call, reading: delivery.Reading) -> None:
         if reading.wait_ms > 0:
             self._clearance.bar(call.endpoint, reading.wait_ms)
         if reading.fault:
-            self._log.warning("odd answer", endpoint=call.endpoint.name, fault=reading.fault)
+            self._log.warning("unexpected answer", endpoint=call.endpoint.name, fault=reading.fault)
         for end in reading.ends:
             self._end(call, end.attempt, end.result, reading.wait_ms, reading.load, end.over)
 
     def _probe(self, call: Call) -> None:
-        until = call.sent_at + PROBE_MS
+        until = call.sent_at + PROBE_TIMEOUT_MS
         result, load = Result.NOT_CONNECTED, Load()
         connection = self._connect(call, until)
         if connection is not None:
-            out = delivery.write_call(call, clock())
+            request = delivery.write_call(call, clock())
             try:
-                connection.write(out.method, out.target, out.headers, out.body, until)
+                connection.write(request.method, request.target, request.headers, request.body, until)
                 result = Result.BROKEN
                 answer = connection.read(until)
                 result = Result.DELIVERED if answer.status == 200 else Result.REJECTED
-                load = delivery.read_load(answer.headers, self._report)
-            except LateError:
+                load = delivery.read_load(answer.headers, self._load_fields)
+            except DeadlineExceededError:
                 result = Result.TIMED_OUT
-            except (OSError, BrokenError, Malformed):
+            except (OSError, ConnectionLostError, Malformed):
                 pass
             connection.close()
         self._put(ProbeEnd(call.endpoint, result, clock() - call.sent_at, load))
--- a/springspread/net/exchange.py
+++ b/springspread/net/exchange.py
@@ -1,4 +1,4 @@
-"""A thin driver for connections that this program opens: it reads and writes for the machine."""
+"""Outgoing connections: blocking socket I/O around ``ClientConnection``."""
 
 from __future__ import annotations
 
@@ -14,22 +14,22 @@
 from springspread.http1.message import Malformed
 
 
-class LateError(Exception):
-    """The answer did not come in time."""
+class DeadlineExceededError(Exception):
+    """The answer was not complete at the call's deadline."""
 
 
 class ConnectError(OSError):
-    """No connection came up; ``errno`` tells why, where the system named a reason."""
+    """The connection could not be established; ``errno`` is the system's reason, if it gave one."""
 
 
-class BrokenError(Exception):
-    """The connection ended before the answer was whole."""
+class ConnectionLostError(Exception):
+    """The connection ended before the answer was complete."""
 
 
 class MovedError(Exception):
-    """The call was cut off as its caller moved to another address: it may be made again there.
+    """The caller moved to another address during the call, which may be repeated there.
 
-    ``answer``: of the address of before, where one came all the same.
+    ``answer``: what the previous address answered, if it did.
     """
 
     def __init__(self, text: str, answer: Answer | None = None) -> None:
@@ -37,39 +37,39 @@
         self.answer = answer
 
 
-def seconds(until: float) -> float:
-    """A socket's time-out for a point of the clock; never 0, which would not block at all."""
+def timeout_s(until: float) -> float:
+    """The socket timeout for a deadline; never 0, which would make the socket non-blocking."""
     return max((until - clock()) / 1000.0, 0.001)
 
 
 class Connection:
-    """One connection out."""
+    """One outgoing connection."""
 
     def __init__(
         self, address: Address, until: float, limits: Limits, optional: frozenset[str] = frozenset()
     ) -> None:
         self.address, self._limits = address, limits
         begun = clock()
-        self.sock = socket.create_connection(address, timeout=seconds(until))
+        self.sock = socket.create_connection(address, timeout=timeout_s(until))
         self.round_trip_ms = clock() - begun
         self.sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
         self._machine = ClientConnection(limits, optional)
         self.idle_since = clock()
-        self.idle_ms: float | None = None  # how long it stood idle before the present call; None: it is new
-        self.received = False  # whether a byte of the present call's answer has come
+        self.idle_ms: float | None = None  # idle time before the current call; None: the connection is new
+        self.received = False  # whether a byte of the current call's answer has arrived
 
     @property
     def reusable(self) -> bool:
-        """Whether another request may go over it."""
+        """Whether another request may be sent over it."""
         return self._machine.phase is Phase.IDLE
 
     @property
     def status(self) -> int:
-        """What the first line of the answer that is being read says; 0 while that is not known."""
+        """The status of the answer being read; 0 until its status line is complete."""
         return self._machine.status
 
     def alive(self) -> bool:
-        """Whether nothing has come on an idle connection: no end, and no bytes that nobody asked for."""
+        """Whether an idle connection is usable: not closed by the peer, and without unexpected bytes."""
         try:
             self.sock.settimeout(0)
             self.sock.recv(1, socket.MSG_PEEK)
@@ -86,58 +86,57 @@
         headers: Mapping[str, str],
         body: bytes,
         until: float,
-        clear: Callable[[], bool] | None = None,
+        may_finish: Callable[[], bool] | None = None,
     ) -> None:
-        """Write a request, whole; raises ``OSError`` where its last byte was not written.
+        """Write a complete request; raises ``OSError`` if its last byte was not written.
 
-        With ``clear`` the last byte is held back for a round trip, in which a dead connection says so, and
-        is written if ``clear`` still says that it may be.
+        With ``may_finish`` the last byte is held back for a round trip, in which a dead connection is
+        reset, and then written only if ``may_finish()`` is true.
         """
         data = self._machine.request(method, target, headers, body)
         self.received = False
         until = min(until, clock() + self._limits.endpoint_write_ms)
-        self.sock.settimeout(seconds(until))
-        if clear is None:
+        self.sock.settimeout(timeout_s(until))
+        if may_finish is None:
             self.sock.sendall(data)
             return
         self.sock.sendall(data[:-1])
-        self._listen(until)
-        if not clear():
-            raise ConnectionAbortedError("called off before its last byte")
-        self.sock.settimeout(seconds(until))
+        self._hold_last_byte(until)
+        if not may_finish():
+            raise ConnectionAbortedError("cancelled before its last byte")
+        self.sock.settimeout(timeout_s(until))
         self.sock.sendall(data[-1:])
 
-    def _listen(self, until: float) -> None:
-        # Guards what may run only once: a call begins with its last byte, so whatever breaks before that
-        # byte is written proves that it never ran, and only then.
-        least, most = self._limits.hold_least_ms, self._limits.hold_most_ms
-        hold = min(max(1.5 * self.round_trip_ms, least), most)
-        self.sock.settimeout(seconds(min(until, clock() + hold)))
+    def _hold_last_byte(self, until: float) -> None:
+        # A call begins with its last byte: a break before that proves that it never ran.
+        min_ms, max_ms = self._limits.hold_least_ms, self._limits.hold_most_ms
+        hold_ms = min(max(1.5 * self.round_trip_ms, min_ms), max_ms)
+        self.sock.settimeout(timeout_s(min(until, clock() + hold_ms)))
         try:
             if not self.sock.recv(1, socket.MSG_PEEK):
-                raise ConnectionResetError("ended before its last byte")
+                raise ConnectionResetError("closed by the peer before the last byte")
         except TimeoutError:
             pass
 
     def read(self, until: float) -> Answer:
-        """Read the answer. ``LateError`` leaves the connection as it is, for another read."""
-        rest = inf
+        """Read the answer. After ``DeadlineExceededError`` the read may be repeated."""
+        finish_by = inf
         while True:
             if until <= clock():
-                raise LateError
+                raise DeadlineExceededError
             if self._machine.answer_begun:
-                rest = min(rest, clock() + self._limits.answer_rest_ms)
-            self.sock.settimeout(seconds(min(until, rest)))
+                finish_by = min(finish_by, clock() + self._limits.answer_rest_ms)
+            self.sock.settimeout(timeout_s(min(until, finish_by)))
             try:
                 data = self.sock.recv(self._limits.read_bytes)
             except TimeoutError:
                 data = None
             except OSError as exc:
-                raise BrokenError(str(exc)) from exc
-            if clock() >= rest:
-                # Guards the slot: a head without end, or less of a body than its length says.
+                raise ConnectionLostError(str(exc)) from exc
+            if clock() >= finish_by:
+                # An answer that has begun but never ends must not occupy the slot until the deadline.
                 self._machine.abandon()
-                raise Malformed("the answer does not end")
+                raise Malformed("answer not completed in time")
             if data is None:
                 continue
             self.received = self.received or bool(data)
@@ -146,22 +145,22 @@
                 self.idle_since = clock()
                 return answer
             if not data:
-                raise BrokenError("ended before the answer was whole")
+                raise ConnectionLostError("closed by the peer before the answer was complete")
 
-    def cut(self) -> None:
-        """End it from another thread: a read that waits on it returns."""
+    def abort(self) -> None:
+        """Shut the connection down from another thread: a blocked read returns."""
         with contextlib.suppress(OSError):
             self.sock.shutdown(socket.SHUT_RDWR)
 
     def close(self) -> None:
-        """Close it."""
+        """Close the socket."""
         self.sock.close()
 
 
 class Caller:
-    """One kept connection to one address, opened anew where it is no longer good.
+    """Calls one address over a persistent connection, which is reopened when it is no longer usable.
 
-    One thread calls; another may move it to a new address meanwhile.
+    One thread calls; another may change the address meanwhile.
     """
 
     def __init__(self, address: Address, limits: Limits) -> None:
@@ -170,11 +169,11 @@
         self._lock = threading.Lock()
 
     def move(self, address: Address) -> None:
-        """Call another address from now on; a call that is out is cut off."""
+        """Call another address from now on; a call in progress is aborted."""
         with self._lock:
             self._address = address
             if self._connection is not None:
-                self._connection.cut()
+                self._connection.abort()
 
     def call(
         self,
@@ -186,18 +185,18 @@
         *,
         current: bool = False,
     ) -> Answer:
-        """Make a call; whatever goes wrong closes the connection and is raised.
+        """Make a call; any failure closes the connection and is raised.
 
-        With ``current`` an answer of an address that it was moved from meanwhile is none.
+        With ``current`` an answer from an address that was replaced meanwhile raises ``MovedError``.
         """
         address = self._address
         try:
-            connection = self._ready(address, until)
+            connection = self._connected(address, until)
             host = f"{address[0]}:{address[1]}"
             connection.write(method, target, {"Host": host, **headers}, body, until)
             answer = connection.read(until)
             if current and address != self._address:
-                raise MovedError("answered by the address of before", answer)
+                raise MovedError("answered by the previous address", answer)
             return answer
         except FAILURES as exc:
             self.close()
@@ -205,20 +204,20 @@
                 raise MovedError(repr(exc)) from exc
             raise
 
-    def _ready(self, address: Address, until: float) -> Connection:
+    def _connected(self, address: Address, until: float) -> Connection:
         kept = self._connection
         if kept is not None and kept.address == address and kept.reusable and kept.alive():
             return kept
         self.close()
         try:
-            made = Connection(address, min(until, clock() + self._limits.connect_ms), self._limits)
+            opened = Connection(address, min(until, clock() + self._limits.connect_ms), self._limits)
         except OSError as exc:
             raise ConnectError(exc.errno, exc.strerror or str(exc)) from exc
         with self._lock:
-            self._connection = made
-            if address != self._address:  # moved while it connected: nobody else cuts this one off
-                made.cut()
-        return made
+            self._connection = opened
+            if address != self._address:  # moved while connecting: ``move`` has not seen this connection
+                opened.abort()
+        return opened
 
     def close(self) -> None:
         """Close the connection."""
@@ -228,5 +227,5 @@
             self._connection = None
 
 
-FAILURES = (OSError, BrokenError, LateError, MovedError, Malformed)
-"""All that a call may raise."""
+FAILURES = (OSError, ConnectionLostError, DeadlineExceededError, MovedError, Malformed)
+"""Everything that a call may raise."""
--- a/springspread/net/notices.py
+++ b/springspread/net/notices.py
@@ -1,4 +1,4 @@
-"""Tells the platform the ends of messages that were not delivered, until it has taken them."""
+"""Sends the platform notices of undelivered messages, with retries until it accepts them."""
 
 from __future__ import annotations
 
@@ -10,24 +10,24 @@
 from springspread.config import Address, Limits
 from springspread.core.types import CoreEvent, Log, Notice, NoticeHeard, clock
 from springspread.http1.client import Answer
-from springspread.net.exchange import FAILURES, Caller, LateError, MovedError
+from springspread.net.exchange import FAILURES, Caller, DeadlineExceededError, MovedError
 from springspread.net.threads import spawn
 from springspread.platform import finals
 
-LONGEST_DOUBLINGS = 2  # of the time that a call is given: each silent one is followed by one with twice that
+MAX_TIMEOUT_DOUBLINGS = 2  # of a call's timeout, one for each consecutive call that timed out
 
 
-class PostEnd(Enum):
-    """How one call to the platform ended."""
+class PostOutcome(Enum):
+    """Outcome of one call to the platform."""
 
-    TAKEN = "taken"
-    NOT_TAKEN = "not taken"  # answered by another status than 204
-    SILENT = "silent"
-    NOT_REACHED = "not reached"  # no connection, or it broke
+    ACCEPTED = "accepted"
+    REFUSED = "refused"  # answered with a status other than 204
+    TIMEOUT = "timeout"
+    UNREACHABLE = "unreachable"  # no connection, or it broke
 
 
 class Notifier:
-    """One thread. What the platform did not take goes to the end of the line; what it turned away, alone."""
+    """One thread and a queue; what fails is queued again, and sent one by one after a refusal."""
 
     def __init__(
         self,
@@ -37,68 +37,67 @@
         log: Log,
         settle: Callable[[], None],
     ) -> None:
-        """``settle`` waits until what is on record is on disk, or raises ``OSError``."""
+        """``settle`` waits until the journal is on disk, or raises ``OSError``."""
         self._settle = settle
         self._caller = Caller(address, limits)
         self._limits, self._put, self._log = limits, put, log
-        self._line: SimpleQueue[Notice] = SimpleQueue()
-        self._silences = 0  # calls in a row that were given up without an answer
+        self._queue: SimpleQueue[Notice] = SimpleQueue()
+        self._timeouts = 0  # consecutive calls without an answer
         spawn("notices", self._run, log)
 
     def tell(self, notice: Notice) -> None:
-        """Tell it until the platform has taken it."""
-        self._line.put(notice)
+        """Queue a notice; it is sent until the platform accepts it."""
+        self._queue.put(notice)
 
     def move(self, address: Address) -> None:
-        """Tell another address from now on, also what the old one did not take."""
+        """Send to another address from now on, including what the old one did not accept."""
         self._caller.move(address)
 
     def _run(self) -> None:
-        most = self._limits.notices_in_call
+        batch_limit = self._limits.notices_in_call
         while True:
-            batch = [self._line.get()]
-            while len(batch) < most:
+            batch = [self._queue.get()]
+            while len(batch) < batch_limit:
                 try:
-                    batch.append(self._line.get_nowait())
+                    batch.append(self._queue.get_nowait())
                 except Empty:
                     break
-            end = self._post(batch)
-            if end is PostEnd.TAKEN:
+            outcome = self._post(batch)
+            if outcome is PostOutcome.ACCEPTED:
                 self._put(NoticeHeard(tuple(notice.number for notice in batch)))
-                most, self._silences = self._limits.notices_in_call, 0
+                batch_limit, self._timeouts = self._limits.notices_in_call, 0
                 continue
-            if end is PostEnd.NOT_TAKEN:
-                # Guards the rest against one that the platform can't read: they go on one by one.
-                most = 1
-            self._silences += end is PostEnd.SILENT
+            if outcome is PostOutcome.REFUSED:
+                # One notice that the platform can't read must not block the others: send them one by one.
+                batch_limit = 1
+            self._timeouts += outcome is PostOutcome.TIMEOUT
             for notice in batch:
-                self._line.put(notice)
+                self._queue.put(notice)
             time.sleep(self._limits.notice_retry_ms / 1000.0)
 
     def _call(self, headers: Mapping[str, str], body: bytes) -> Answer:
         while True:
             try:
-                # Guards against a platform that takes longer than the first call is given: it would never be
-                # heard.
-                patience = self._limits.notice_ms * float(2 ** min(self._silences, LONGEST_DOUBLINGS))
-                until = clock() + patience
+                # Each timeout doubles the next, so that a platform slower than the first gets to answer.
+                timeout_ms = self._limits.notice_ms * float(2 ** min(self._timeouts, MAX_TIMEOUT_DOUBLINGS))
+                until = clock() + timeout_ms
                 return self._caller.call("POST", finals.PATH, headers, body, until)
             except MovedError as exc:
-                self._log.info("platform moved", cut_off=str(exc))
+                self._log.info("platform address changed", cut_off=str(exc))
 
-    def _post(self, batch: list[Notice]) -> PostEnd:
+    def _post(self, batch: list[Notice]) -> PostOutcome:
         headers = {"Content-Type": "application/x-ndjson"}
         body = finals.write_notices(batch)
         try:
-            self._settle()  # guards an end against another one after a power loss
+            self._settle()  # a power loss must not lead to a second, different outcome
         except OSError as exc:
-            self._log.warning("told before it is on disk", count=len(batch), error=str(exc))
+            self._log.warning("notice sent before the journal was synced", count=len(batch), error=str(exc))
         try:
             answer = self._call(headers, body)
         except FAILURES as exc:
-            self._log.warning("notice not told", count=len(batch), error=repr(exc))
-            return PostEnd.SILENT if isinstance(exc, LateError) else PostEnd.NOT_REACHED
+            self._log.warning("notice not sent", count=len(batch), error=repr(exc))
+            return PostOutcome.TIMEOUT if isinstance(exc, DeadlineExceededError) else PostOutcome.UNREACHABLE
         if answer.status != 204:
-            self._log.warning("notice not taken", count=len(batch), status=answer.status)
-            return PostEnd.NOT_TAKEN
-        return PostEnd.TAKEN
+            self._log.warning("notice refused", count=len(batch), status=answer.status)
+            return PostOutcome.REFUSED
+        return PostOutcome.ACCEPTED
--- a/springspread/net/threads.py
+++ b/springspread/net/threads.py
@@ -1,4 +1,4 @@
-"""Threads that don't die unheard."""
+"""Background threads whose failure is logged and, by default, ends the process."""
 
 from __future__ import annotations
 
@@ -10,22 +10,22 @@
 
 from springspread.core.types import Log
 
-CRASHED = 70
+EXIT_THREAD_FAILED = 70
 
 
-def spawn(name: str, work: Callable[[], None], log: Log, *, vital: bool = True) -> threading.Thread:
-    """Start a thread. One that fails is logged; a vital one ends the process, so that it is started anew."""
+def spawn(name: str, target: Callable[[], None], log: Log, *, vital: bool = True) -> threading.Thread:
+    """Start a daemon thread. Its failure is logged; that of a ``vital`` thread ends the process as well."""
 
     def run() -> None:
         try:
-            work()
-        except Exception as exc:  # the thread's last line: whatever it was must be told
+            target()
+        except Exception as exc:  # no failure may go unreported
             log.error("thread failed", thread=name, error=repr(exc), exc_info=True)
             if vital:
-                # Straight out: the process ends before the log's own thread may have written.
+                # Written directly: the process ends before the log's thread may have flushed.
                 sys.stderr.write(f"springspread: thread {name} failed\n{traceback.format_exc()}")
                 sys.stderr.flush()
-                os._exit(CRASHED)
+                os._exit(EXIT_THREAD_FAILED)
 
     thread = threading.Thread(target=run, name=name, daemon=True)
     thread.start()
