--- a/springspread/net/listener.py
+++ b/springspread/net/listener.py
@@ -1,4 +1,4 @@
-"""Where clients connect: one thread polls them all, and does what the listener's admission decides."""
+"""Listener for clients: one thread polls all connections and does what ``Admission`` decides."""
 
 from __future__ import annotations
 
@@ -21,57 +21,69 @@
 from springspread.net.threads import spawn
 from springspread.platform.intake import Reply
 
-TELL_MS = 1000.0
-ACCEPTS = 64  # a turn, so that those who are here are heard in between
-PAUSE_MS = 50.0  # after the system gave no descriptor
-FULL = b"HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\nConnection: close\r\n\r\n"
+EVICTION_LOG_INTERVAL_MS = 1000.0
+MAX_ACCEPTS = 64  # per turn of the loop, so that connected clients are served in between
+ACCEPT_PAUSE_MS = 50.0  # accepting pauses for this long at most
+OVERLOADED = b"HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\nConnection: close\r\n\r\n"
 NONE, READ, WRITE = 0, selectors.EVENT_READ, selectors.EVENT_WRITE
-SILENT = (Standing.NEW, Standing.IDLE, Standing.KEPT)
+BETWEEN_REQUESTS = (Standing.NEW, Standing.IDLE, Standing.KEPT)
 
 
-class Front(Protocol):
-    """What answers requests."""
+class RequestHandler(Protocol):
+    """Answers the requests of a listener's clients."""
 
-    def respond(self, request: Request, begun: float, told: Callable[[Message], None]) -> Reply | Message:
-        """Answer one request, or name its message: ``told`` is called, from any thread, at the verdict.
+    def respond(
+        self, request: Request, begun: float, on_verdict: Callable[[Message], None]
+    ) -> Reply | Message:
+        """Answer a request, or return its message and call ``on_verdict``, from any thread, at the verdict.
 
-        ``begun``: when its first byte was here (ms).
+        ``begun``: when the request's first byte arrived (ms).
         """
 
     def verdict(self, message: Message) -> Reply:
-        """The answer to a message whose verdict has come; without one, the client's time is up."""
+        """The answer to a message after its verdict, or without one after the verdict timeout."""
 
     def gone(self, message: Message) -> None:
-        """The client left before it heard that its message was taken on."""
+        """The client disconnected before it learnt that its message was accepted."""
 
 
 class Client:
     """One client's connection."""
 
-    __slots__ = ("sock", "place", "machine", "message", "telling", "out", "mask", "left", "shutdown")
+    __slots__ = (
+        "sock",
+        "place",
+        "machine",
+        "message",
+        "acknowledging",
+        "output",
+        "interest",
+        "linger_bytes",
+        "shutdown",
+    )
 
     def __init__(self, sock: socket.socket, place: Place, limits: Limits) -> None:
         self.sock, self.place = sock, place
         self.machine = ServerConnection(limits)
-        self.message: Message | None = None  # what the core is asked
-        self.telling: Message | None = None  # what the answer being written takes on
-        self.out = b""
-        self.mask = NONE  # what the selector looks for
-        self.left = limits.linger_bytes
+        self.message: Message | None = None  # awaiting its verdict
+        self.acknowledging: Message | None = None  # accepted by the answer being written
+        self.output = b""
+        self.interest = NONE  # registered with the selector
+        self.linger_bytes = limits.linger_bytes
         self.shutdown = Shutdown()
 
     @property
     def open(self) -> bool:
-        """Whether it has a socket still."""
+        """Whether its socket is still open."""
         return self.shutdown.state is not State.CLOSED
 
 
 def listening_socket(address: Address, limits: Limits) -> socket.socket:
-    """A socket that clients connect to; raises ``OSError`` where the address can't be used."""
+    """A listening socket; raises ``OSError`` if the address can't be used."""
     sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
     try:
         sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
-        sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)  # accepted ones have it from here
+        sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)  # inherited by accepted sockets
         sock.bind(address)
         sock.listen(limits.backlog)
     except OSError:
@@ -81,116 +93,116 @@
 
 
 class Listener:
-    """Accepts clients until it is closed; then ends their connections between requests."""
+    """Accepts clients until it is closed, then ends their connections between requests."""
 
-    def __init__(self, sock: socket.socket, front: Front, limits: Limits, log: Log) -> None:
-        """``sock`` listens already, for this process alone or for others, too."""
-        self._front, self._limits, self._log = front, limits, log
+    def __init__(self, sock: socket.socket, handler: RequestHandler, limits: Limits, log: Log) -> None:
+        """``sock`` is listening already, and may be shared with other processes."""
+        self._handler, self._limits, self._log = handler, limits, log
         self._admission = Admission(limits)
         self._clients: dict[Place, Client] = {}
         self._verdicts: SimpleQueue[tuple[Client, Message]] = SimpleQueue()
         self._woken = self._closing = False
-        self._let_go_at = inf  # when clients' connections are ended, as an operator sends them away
+        self._drain_at = inf  # when an operator's drain ends idle connections
         self._closed, self._emptied = threading.Event(), threading.Event()
-        self._listening = False
-        self._listen_at = -inf
-        self._ended, self._told_at = 0, -inf  # to make room, since the log's last word on it
+        self._accepting = False
+        self._resume_at = -inf
+        self._evicted, self._logged_at = 0, -inf  # evictions since the last log line about them
         self._selector = selectors.DefaultSelector()
-        self._bell, self._ear = socket.socketpair()
-        self._ear.setblocking(False)
-        self._selector.register(self._ear, READ, None)
+        self._wake_sender, self._wake_receiver = socket.socketpair()
+        self._wake_receiver.setblocking(False)
+        self._selector.register(self._wake_receiver, READ, None)
         self._sock = sock
         self._sock.setblocking(False)
         self.address: Address = self._sock.getsockname()
-        self._listen(True)
+        self._set_accepting(True)
         spawn("listener", self._run, log)
 
     def close(self) -> None:
-        """Accept what has connected, then no more, and end the connections that stand between requests."""
+        """Accept the pending connections, then stop accepting, and end connections between requests."""
         self._closing = True
-        self._ring()
+        self._wake()
         self._closed.wait(self._limits.client_write_ms / 1000.0)
 
     def emptied(self, within_ms: float) -> bool:
-        """Whether, after ``close``, each client has heard what it was owed and its connection has ended."""
+        """Wait after ``close`` until every client is answered and disconnected; false after ``within_ms``."""
         return self._emptied.wait(max(within_ms, 0.0) / 1000.0)
 
     def drain(self, active: bool) -> None:
-        """Send clients away, a while after they have been told at their front, or take them again."""
-        self._let_go_at = clock() + self._limits.drain_let_go_ms if active else inf
-        self._ring()
+        """Start or end a drain, which ends idle connections after ``drain_let_go_ms``."""
+        self._drain_at = clock() + self._limits.drain_let_go_ms if active else inf
+        self._wake()
 
     @property
-    def _lets_go(self) -> bool:
-        return self._closing or clock() >= self._let_go_at
+    def _disconnecting(self) -> bool:
+        return self._closing or clock() >= self._drain_at
 
-    def _ring(self) -> None:
+    def _wake(self) -> None:
         if not self._woken:
             self._woken = True
             with contextlib.suppress(OSError):
-                self._bell.send(b"\0")
+                self._wake_sender.send(b"\0")
 
-    def _told(self, client: Client, message: Message) -> None:
-        """A verdict has come; called from the core's thread."""
+    def _on_verdict(self, client: Client, message: Message) -> None:
+        """Queue a verdict; called from the core's thread."""
         self._verdicts.put((client, message))
-        self._ring()
+        self._wake()
 
     def _run(self) -> None:
         while True:
             now = clock()
-            # Guards a stop: one that has closed its socket never listens again, and would not wait at all.
-            listens = self._listening or self._closing
-            until = min(self._admission.next_due(), inf if listens else self._listen_at)
+            # A closing listener does not resume accepting: a past resume time would make it spin.
+            listens = self._accepting or self._closing
+            until = min(self._admission.next_due(), inf if listens else self._resume_at)
             if not self._admission.closing:
-                until = min(until, self._let_go_at)
+                until = min(until, self._drain_at)
             ready = self._selector.select(None if until == inf else max(until - now, 0.0) / 1000.0)
-            knocked = False
+            connecting = False
             for key, events in ready:
                 client = key.data
                 if client is not None:
                     if client.open:
-                        self._ready(client, events)
+                        self._on_ready(client, events)
                 elif key.fileobj is self._sock:
-                    knocked = True
+                    connecting = True
                 else:
-                    self._ear.recv(4096)
+                    self._wake_receiver.recv(4096)
                     self._woken = False
-            self._answers()
-            self._admission.closing = self._closed.is_set() or clock() >= self._let_go_at
-            self._due()
-            if knocked:  # last: whoever is here has been heard
-                self._accept(ACCEPTS)
+            self._answer_verdicts()
+            self._admission.closing = self._closed.is_set() or clock() >= self._drain_at
+            self._expire()
+            if connecting:  # last: connected clients are served first
+                self._accept(MAX_ACCEPTS)
             if self._closing and not self._closed.is_set():
-                self._shut()
+                self._stop_accepting()
             if self._closed.is_set() and not self._clients:
                 self._emptied.set()
-            if not self._listening and not self._closing and clock() >= self._listen_at:
-                self._listen(True)
+            if not self._accepting and not self._closing and clock() >= self._resume_at:
+                self._set_accepting(True)
 
-    def _listen(self, active: bool) -> None:
-        if active and not self._listening:
+    def _set_accepting(self, active: bool) -> None:
+        if active and not self._accepting:
             self._selector.register(self._sock, READ, None)
-        elif self._listening and not active:
+        elif self._accepting and not active:
             self._selector.unregister(self._sock)
-        self._listening = active
+        self._accepting = active
 
-    def _pause(self, until: float) -> None:
-        self._listen(False)
-        self._listen_at = min(until, clock() + PAUSE_MS)
+    def _pause_accepting(self, until: float) -> None:
+        self._set_accepting(False)
+        self._resume_at = min(until, clock() + ACCEPT_PAUSE_MS)
 
-    def _shut(self) -> None:
-        # Guards what stands in the system's line: closing the socket would reset it.
+    def _stop_accepting(self) -> None:
+        # Closing the socket would reset the connections in its backlog.
         self._accept(self._limits.backlog)
-        self._listen(False)
+        self._set_accepting(False)
         self._sock.close()
         self._admission.closing = True
         self._closed.set()
 
-    # Letting in and making room
+    # Accepting and evicting
 
-    def _accept(self, most: int) -> None:
-        for _ in range(most):
-            admit = self._room()
+    def _accept(self, limit: int) -> None:
+        for _ in range(limit):
+            admit = self._may_accept()
             if admit is None:
                 return
             try:
@@ -199,10 +211,10 @@
                 return
             except ConnectionError:
                 continue
-            except OSError as exc:  # out of descriptors, say
+            except OSError as exc:  # for example, out of descriptors
                 self._log.warning("accept failed", error=str(exc))
-                self._make_room_once()
-                self._pause(clock() + PAUSE_MS)
+                self._evict_one()
+                self._pause_accepting(clock() + ACCEPT_PAUSE_MS)
                 return
             sock.setblocking(False)
             now = clock()
@@ -210,68 +222,68 @@
             client = self._clients[place] = Client(sock, place, self._limits)
             self._watch(client, READ)
             if admit:
-                self._read(client)  # its request has mostly come with it
+                self._read(client)  # its request has usually arrived as well
             else:
-                self._finish(client, FULL)
+                self._finish(client, OVERLOADED)
 
-    def _room(self) -> bool | None:
-        """Whether the next newcomer may be let in, or only turned away; ``None``: it waits in line."""
+    def _may_accept(self) -> bool | None:
+        """Whether to admit the next connection or to refuse it; ``None``: leave it in the backlog."""
         while True:
             now = clock()
             room = self._admission.room(now)
             if room.admit:
                 return True
             if room.ends is not None:
-                if not self._knocks():
-                    return None  # guards those who rest: the last newcomer has been let in by now
-                self._make_room(self._clients[room.ends])
+                if not self._connection_pending():
+                    return None  # evict nobody unless a connection is pending
+                self._evict(self._clients[room.ends])
                 continue
             if room.at - now > 2 * self._limits.client_speak_ms and self._admission.may_turn_away():
                 return False
             if not self._closing:
-                self._pause(room.at)
+                self._pause_accepting(room.at)
                 return None
             return False if self._admission.may_turn_away() else None
 
-    def _knocks(self) -> bool:
+    def _connection_pending(self) -> bool:
         return any(key.fileobj is self._sock for key, _ in self._selector.select(0.0))
 
-    def _make_room_once(self) -> None:
+    def _evict_one(self) -> None:
         room = self._admission.room(clock())
         if room.ends is not None:
-            self._make_room(self._clients[room.ends])
+            self._evict(self._clients[room.ends])
 
-    def _make_room(self, client: Client) -> None:
+    def _evict(self, client: Client) -> None:
         if client.place.standing in (Standing.READING, Standing.LAGGING):
             self._refuse(client, 503)
-        elif client.place.standing not in SILENT:
-            self._spent(client)
-        elif not self._heard_last(client):
+        elif client.place.standing not in BETWEEN_REQUESTS:
+            self._close_at_limit(client)
+        elif not self._read_pending(client):
             self._finish(client)
             if client.open and self._admission.count(Standing.LEAVING) > self._limits.client_spares:
-                self._spent(client)  # the descriptors for those who linger are used up
-        self._ended += 1
-        if clock() - self._told_at >= TELL_MS:  # guards the log: such clients come by the hundred
-            self._log.info("made room", count=self._ended, clients=len(self._admission))
-            self._ended, self._told_at = 0, clock()
-
-    def _heard_last(self, client: Client) -> bool:
-        # Guards the message of one that speaks just now: what has come is read before it is ended.
+                self._close_at_limit(client)  # no more descriptors for lingering connections
+        self._evicted += 1
+        if clock() - self._logged_at >= EVICTION_LOG_INTERVAL_MS:  # at most one line per interval
+            self._log.info("connections evicted", count=self._evicted, clients=len(self._admission))
+            self._evicted, self._logged_at = 0, clock()
+
+    def _read_pending(self, client: Client) -> bool:
+        # A request that has just arrived is read before its connection is closed.
         self._read(client)
-        return not client.open or client.place.standing not in SILENT
+        return not client.open or client.place.standing not in BETWEEN_REQUESTS
 
     # Reading
 
-    def _ready(self, client: Client, events: int) -> None:
-        if events & WRITE and client.out:
+    def _on_ready(self, client: Client, events: int) -> None:
+        if events & WRITE and client.output:
             if client.place.standing is Standing.LEAVING:
                 self._write_last(client)
             else:
                 self._flush(client)
         elif events & READ:
             if client.place.standing in (Standing.WAITING, Standing.ANSWERED):
-                # Guards memory: nothing more is read of a client that is owed an answer.
-                self._watch(client, client.mask & ~READ)
+                # Bounds memory: a client is not read while it waits for an answer.
+                self._watch(client, client.interest & ~READ)
             else:
                 self._read(client)
 
@@ -281,23 +293,23 @@
         except BlockingIOError:
             return
         except OSError:
-            self._broke(client)  # what it was owed has been withdrawn
+            self._on_broken(client)  # it can't be answered any more
             return
         if not data:
             half = client.place.standing in (Standing.READING, Standing.LAGGING)
             if client.shutdown.step(Event.PEER_CLOSED) is State.CLOSED:
                 self._close(client)
             elif client.place.standing is not Standing.LEAVING:
-                # One that has ended its side may still read: it receives the error for its half request.
+                # A half-closed client may still read: it receives the error for its incomplete request.
                 self._refuse(client, 400) if half else self._finish(client)
             else:
-                self._watch(client, WRITE)  # its last answer is not written whole
+                self._watch(client, WRITE)  # its last answer is not written yet
         elif client.shutdown.state.accepts_requests:
             self._feed(client, data)
         else:
-            client.left -= len(data)
-            if client.left <= 0:
-                self._spent(client)
+            client.linger_bytes -= len(data)
+            if client.linger_bytes <= 0:
+                self._close_at_limit(client)
 
     def _feed(self, client: Client, data: bytes) -> None:
         try:
@@ -305,20 +317,20 @@
         except Malformed as exc:
             self._refuse(client, exc.status)
             return
-        self._go_on(client, request)
+        self._handle(client, request)
 
-    def _go_on(self, client: Client, request: Request | None) -> None:
-        """A request has come whole, or more of one; several may have come at once."""
+    def _handle(self, client: Client, request: Request | None) -> None:
+        """Handle a request and those pipelined behind it, or record the progress of an incomplete one."""
         place = client.place
         while request is not None:
             begun = self._admission.heard(place, clock())
-            answer = self._front.respond(request, begun, partial(self._told, client))
+            answer = self._handler.respond(request, begun, partial(self._on_verdict, client))
             if isinstance(answer, Message):
                 client.message = answer
                 return
             if not self._reply(client, answer):
                 return
-            request = self._next(client)
+            request = self._next_request(client)
         if client.machine.phase is Phase.READING:
             if place.standing not in (Standing.READING, Standing.LAGGING):
                 self._admission.step(place, Standing.READING, clock())
@@ -331,25 +343,25 @@
 
     # Answering
 
-    def _answers(self) -> None:
+    def _answer_verdicts(self) -> None:
         while True:
             try:
                 client, message = self._verdicts.get_nowait()
             except Empty:
                 return
             if client.open and client.message is message:
-                self._answer(client, message)
+                self._answer_message(client, message)
 
-    def _answer(self, client: Client, message: Message) -> None:
+    def _answer_message(self, client: Client, message: Message) -> None:
         client.message = None
-        if self._reply(client, self._front.verdict(message)):
-            self._go_on(client, self._next(client))
+        if self._reply(client, self._handler.verdict(message)):
+            self._handle(client, self._next_request(client))
 
     def _reply(self, client: Client, reply: Reply) -> bool:
-        """Write an answer; whether it is written whole and the connection goes on."""
-        client.telling = reply.message
-        close = self._lets_go or reply.close
-        client.out += client.machine.answer(reply.status, reply.headers, close=close, body=reply.body)
+        """Write an answer; true if all of it is written and the connection stays open."""
+        client.acknowledging = reply.message
+        close = self._disconnecting or reply.close
+        client.output += client.machine.answer(reply.status, reply.headers, close=close, body=reply.body)
         if client.machine.phase is Phase.CLOSED:
             client.shutdown.step(Event.LAST_ANSWER)
         self._admission.step(client.place, Standing.ANSWERED, clock())
@@ -357,17 +369,17 @@
 
     def _write(self, client: Client) -> bool:
         try:
-            # Also to one that has ended its side: it may still read, and then its message is taken on.
-            client.out = client.out[client.sock.send(client.out) :]
+            # Also to a half-closed client: it may still read, and then its message counts as accepted.
+            client.output = client.output[client.sock.send(client.output) :]
         except BlockingIOError:
             pass
         except OSError:
-            self._broke(client)
+            self._on_broken(client)
             return False
-        if client.out:
+        if client.output:
             self._watch(client, WRITE)
             return False
-        client.telling = None
+        client.acknowledging = None
         if client.machine.phase is Phase.CLOSED:
             self._finish(client)
             return False
@@ -376,10 +388,10 @@
 
     def _flush(self, client: Client) -> None:
         if self._write(client):
-            self._go_on(client, self._next(client))
+            self._handle(client, self._next_request(client))
 
-    def _next(self, client: Client) -> Request | None:
-        """Look at what came ahead while the last request was answered."""
+    def _next_request(self, client: Client) -> Request | None:
+        """The next pipelined request, if it is complete."""
         try:
             return client.machine.resume()
         except Malformed as exc:
@@ -387,8 +399,8 @@
             return None
 
     def _refuse(self, client: Client, status: int) -> None:
-        """Tell an error about a request that could not be read, and end the connection."""
-        self._log.debug("request turned away", status=status, standing=client.place.standing.value)
+        """Answer a request that can't be read or is refused with an error, and end the connection."""
+        self._log.debug("request refused", status=status, standing=client.place.standing.value)
         if client.machine.phase is not Phase.ANSWERING:
             client.machine.expire()
         self._finish(client, client.machine.answer(status, close=True))
@@ -396,22 +408,22 @@
     # Shutdown
 
     def _finish(self, client: Client, last: bytes = b"") -> None:
-        """Write the last that it accepts_requests, end our side, and read on for a while."""
+        """Write the last answer, shut down our side, and drop input until the peer closes its side."""
         if client.place.standing is not Standing.LEAVING:
             self._admission.step(client.place, Standing.LEAVING, clock())
-        client.out += last
+        client.output += last
         client.shutdown.step(Event.LAST_ANSWER)
         self._write_last(client)
 
     def _write_last(self, client: Client) -> None:
         try:
-            client.out = client.out[client.sock.send(client.out) :] if client.out else b""
+            client.output = client.output[client.sock.send(client.output) :] if client.output else b""
         except BlockingIOError:
             pass
         except OSError:
-            self._broke(client)
+            self._on_broken(client)
             return
-        if client.out:
+        if client.output:
             self._watch(client, READ | WRITE if client.shutdown.state is State.DRAINING else WRITE)
             return
         if client.shutdown.step(Event.FLUSHED) is State.CLOSED:
@@ -420,11 +432,11 @@
         try:
             client.sock.shutdown(socket.SHUT_WR)
         except OSError:
-            self._broke(client)
+            self._on_broken(client)
             return
         self._watch(client, READ)
 
-    def _due(self) -> None:
+    def _expire(self) -> None:
         now = clock()
         while (place := self._admission.due(now)) is not None:
             client = self._clients[place]
@@ -435,36 +447,36 @@
                     self._refuse(client, 408)
                 case Standing.WAITING:
                     message, client.message = client.message, None
-                    assert message is not None  # whoever waits has asked
-                    self._answer(client, message)
-                case standing if standing in SILENT:
-                    if not self._heard_last(client):
+                    assert message is not None  # a waiting client has sent a message
+                    self._answer_message(client, message)
+                case standing if standing in BETWEEN_REQUESTS:
+                    if not self._read_pending(client):
                         self._finish(client)
                 case _:
-                    self._spent(client)
+                    self._close_at_limit(client)
 
-    def _watch(self, client: Client, mask: int) -> None:
-        if mask == client.mask:
+    def _watch(self, client: Client, interest: int) -> None:
+        if interest == client.interest:
             return
-        if not client.mask:
-            self._selector.register(client.sock, mask, client)
-        elif not mask:
+        if not client.interest:
+            self._selector.register(client.sock, interest, client)
+        elif not interest:
             self._selector.unregister(client.sock)
         else:
-            self._selector.modify(client.sock, mask, client)
-        client.mask = mask
+            self._selector.modify(client.sock, interest, client)
+        client.interest = interest
 
-    def _spent(self, client: Client) -> None:
-        """Its time, bytes or room are used up: it does not read what is written, or does not end its side."""
+    def _close_at_limit(self, client: Client) -> None:
+        """Close a connection that does not read its answer or does not end its side within its limits."""
         if client.shutdown.state is State.OPEN:
             client.shutdown.step(Event.LAST_ANSWER)
         client.shutdown.step(Event.LIMIT_REACHED)
         self._close(client)
 
-    def _broke(self, client: Client) -> None:
-        pending = client.message or client.telling
+    def _on_broken(self, client: Client) -> None:
+        pending = client.message or client.acknowledging
         self._log.debug(
-            "client connection broke",
+            "client connection broken",
             standing=client.place.standing.value,
             id=pending.id if pending is not None else None,
         )
@@ -476,11 +488,11 @@
             "client closed",
             last=client.shutdown.last.value if client.shutdown.last is not None else None,
             standing=client.place.standing.value,
-            unanswered=[one.id for one in (client.telling, client.message) if one is not None],
+            unanswered=[one.id for one in (client.acknowledging, client.message) if one is not None],
         )
-        for message in (client.telling, client.message):
+        for message in (client.acknowledging, client.message):
             if message is not None:
-                self._front.gone(message)
+                self._handler.gone(message)
         self._watch(client, NONE)
         client.sock.close()
         self._admission.leave(client.place)
--- a/tests/test_bad_clients.py
+++ b/tests/test_bad_clients.py
@@ -11,7 +11,7 @@
 
 import pytest
 
-from springspread.net.listener import FULL
+from springspread.net.listener import OVERLOADED
 from tests.peer import WAIT_S, Peer, Program, until
 
 OWED_S = 3.0
@@ -113,7 +113,7 @@
     assert held < 192
     for opened, sock in silent:
         sock.settimeout(max(opened + OWED_S - time.monotonic(), 0.01))
-        assert read_to_end(sock) in (b"", FULL)
+        assert read_to_end(sock) in (b"", OVERLOADED)
         sock.close()
     until(lambda: len(os.listdir(f"/proc/{program.process.pid}/fd")) < 40, "descriptors as at the start")
 
