--- a/tests/fleet/test_daemon.py
+++ b/tests/fleet/test_daemon.py
@@ -68,7 +68,7 @@
     made = Place(tmp_path)
     until(lambda: made.serving() == ["n000", "n001"], "both serve")
     yield made
-    made.peer.hold.set()
+    made.peer.answer_calls.set()
     for row in made.rows().values():
         if row["in_fleet"]:
             os.kill(row["pid"], signal.SIGKILL)  # an orderly end takes a second, and is not tested here
@@ -77,23 +77,23 @@
 
 
 def test_a_killed_instance_is_started_again_and_tells_what_it_owes(place: Place) -> None:
-    place.peer.hold.clear()
+    place.peer.answer_calls.clear()
     assert place.hand_in("n000", "owed-1") in (200, 202)
     before = place.rows()["n000"]
     os.kill(before["pid"], signal.SIGKILL)
     until(lambda: place.rows()["n000"]["epoch"] == before["epoch"] + 1, "its next start")
     until(lambda: place.serving() == ["n000", "n001"], "both serve again")
-    place.peer.hold.set()
+    place.peer.answer_calls.set()
     until(lambda: any(id == "owed-1" for _, id, _ in place.peer.calls), "its message goes out")
     assert place.rows()["n000"]["deaths"] == 1
 
 
 def test_one_that_leaves_has_what_it_owes_delivered_and_is_gone(place: Place) -> None:
-    place.peer.hold.clear()
+    place.peer.answer_calls.clear()
     assert place.hand_in("n001", "owed-2") in (200, 202)
     os.kill(place.rows()["n001"]["pid"], signal.SIGKILL)
     place.daemon.order({"do": "scale", "count": 1})
-    place.peer.hold.set()
+    place.peer.answer_calls.set()
     until(lambda: set(place.rows()) == {"n000"}, "it is gone")
     assert "owed-2" in {id for _, id, _ in place.peer.calls}
     assert not (place.daemon.folder / "n001").exists()
@@ -150,7 +150,7 @@
 
 
 def test_an_adopter_that_is_killed_is_followed_by_another(place: Place) -> None:
-    place.peer.hold.clear()
+    place.peer.answer_calls.clear()
     assert place.hand_in("n001", "owed-3") in (200, 202)
     os.kill(place.rows()["n001"]["pid"], signal.SIGKILL)
     place.daemon.order({"do": "drain", "name": "n001"})
@@ -163,7 +163,7 @@
     until(emptied, "its folder is being emptied")
     os.kill(place.rows()["n001"]["pid"], signal.SIGKILL)
     until(lambda: place.rows()["n001"]["epoch"] > epoch + 1, "another process empties it")
-    place.peer.hold.set()
+    place.peer.answer_calls.set()
     until(lambda: "n001" not in place.rows(), "it is gone")
     assert "owed-3" in {id for _, id, _ in place.peer.calls}
 
--- a/tests/peer.py
+++ b/tests/peer.py
@@ -58,8 +58,8 @@
         self.hold_watch = threading.Event()  # while clear, watches hang
         self.hold_watch.set()
         self.hanging = 0  # how many watches hung
-        self.hold = threading.Event()  # while clear, calls hang
-        self.hold.set()
+        self.answer_calls = threading.Event()  # while clear, calls hang
+        self.answer_calls.set()
         self.server = ThreadingHTTPServer(("127.0.0.1", 0), type("Handler", (Handler,), {"peer": self}))
         self.server.daemon_threads = True
         self.port = self.server.server_address[1]
@@ -99,7 +99,7 @@
         return found
 
     def close(self) -> None:
-        self.hold.set()
+        self.answer_calls.set()
         self.hold_watch.set()
         self.server.shutdown()
         self.server.server_close()
@@ -148,7 +148,7 @@
         with self.peer.lock:
             self.peer.calls.append((self.path, self.headers.get("X-Correlation-Id", ""), body))
             status, headers = self.peer.answers.pop(0) if self.peer.answers else (200, {})
-        self.peer.hold.wait(WAIT_S)
+        self.peer.answer_calls.wait(WAIT_S)
         answer = b""
         if self.path == "/events/bundle":
             answer = json.dumps([{"id": item["id"], "state": "done"} for item in json.loads(body)]).encode()
--- a/tests/rollout/test_fleet.py
+++ b/tests/rollout/test_fleet.py
@@ -96,7 +96,7 @@
     fleet = Fleet(tmp_path)
     yield fleet
     fleet.load_stopped.set()
-    fleet.peer.hold.set()
+    fleet.peer.answer_calls.set()
     for row in fleet.rows().values():
         if row["pid"]:
             os.kill(row["pid"], signal.SIGKILL)
@@ -120,7 +120,7 @@
 
 
 def test_a_policy_that_one_can_not_use_takes_hold_nowhere(fleet: Fleet) -> None:
-    fleet.peer.hold.clear()  # n000 holds a message of class pay
+    fleet.peer.answer_calls.clear()  # n000 holds a message of class pay
     until(lambda: fleet.hand_in("n000", "paid", "pay") in (200, 202), "it is taken on")
     base = json.loads((fleet.folder / "sender.json").read_text())
     rest = [spec for spec in base["settings"]["classes"] if spec["name"] != "pay"]
@@ -133,7 +133,7 @@
     assert answer["state"] == "refused" and answer["version"] == 2
     assert answer["fault"].startswith("n000: settings.classes: pay: messages of it are held here")
     assert fleet.propose(kinds=["other"])["fault"].startswith("settings.kinds: serves a start")
-    fleet.peer.hold.set()
+    fleet.peer.answer_calls.set()
     until(lambda: fleet.all_act_under(1), "all go on under what holds")
     fleet.settle()
     assert {call.policy for call in begun(fleet.daemon.folder)} == {1}
--- a/tests/test_bad_clients.py
+++ b/tests/test_bad_clients.py
@@ -130,7 +130,7 @@
 
 
 def test_another_clients_id_and_a_place_that_does_not_exist(program: Program, peer: Peer) -> None:
-    peer.hold.clear()
+    peer.answer_calls.clear()
     assert program.hand_in("mine", body=b"mine") == 202
     assert program.hand_in("mine", body=b"other") == 409
     with connect(program) as sock:  # the same once more, from a client that leaves at once
@@ -143,6 +143,6 @@
             return sock.recv(65536)
 
     until(lambda: answer().startswith(b"HTTP/1.1 400 "), "a refusal once the list is told")
-    peer.hold.set()
+    peer.answer_calls.set()
     until(lambda: program.hand_in("mine", body=b"mine") == 200, "its delivery")
     assert [body for _, _, body in peer.calls] == [b"mine"] and not peer.notices
--- a/tests/test_lanes.py
+++ b/tests/test_lanes.py
@@ -58,14 +58,14 @@
     both: tuple[Program, Program], peer: Peer
 ) -> None:
     old, new = both
-    peer.hold.clear()
+    peer.answer_calls.clear()
     assert old.hand_in("pay", cls="pay") == 202
     until(lambda: peer.ids() == ["pay"], "it is called")
     assert new.hand_in("pay", cls="pay") == 202  # owed already
     assert new.hand_in("pay", cls="pay", body=b"other") == 409
     old.end(signal.SIGKILL)  # while its call is out: it may have run
     until(lambda: [one["id"] for one in peer.notices] == ["pay"], "it is told as undeliverable")
-    peer.hold.set()
+    peer.answer_calls.set()
     assert peer.notices[0]["status"] != "deferred" and peer.ids() == ["pay"]
 
 
--- a/tests/test_operators.py
+++ b/tests/test_operators.py
@@ -88,7 +88,7 @@
     assert [figures[f'sender_attempts_total{{class="{cls}"}}'] for cls in ("note", "pay")] == [1, 1]
     assert figures['sender_refused_total{class="note"}'] == figures["sender_in_flight"] == 0
     assert figures["sender_endpoints_known"] == 1
-    peer.hold.clear()
+    peer.answer_calls.clear()
     program.hand_in("c")
     until(lambda: program.figures()["sender_in_flight"] == 1, "it is in flight")
     # Its call begins a little after it is in flight; until it ends there is no other.
@@ -100,14 +100,14 @@
     kept = program.connect()
     kept.request("GET", "/_health")
     assert kept.getresponse().read() == b"" and program.health() == 200
-    peer.hold.clear()
+    peer.answer_calls.clear()
     assert program.hand_in("a") == 202
     assert program.operator("POST", "/drain")[0] == program.operator("POST", "/drain")[0] == 200
     assert program.health() == 503 and kept.sock is not None
     kept.sock.settimeout(WAIT_S)
     assert kept.sock.recv(1) == b""  # let go of
     assert program.operator("GET", "/ready")[0] == 200
-    peer.hold.set()
+    peer.answer_calls.set()
     until(lambda: program.figures()['sender_served_total{class="note"}'] == 1, "what it took is delivered")
     assert program.operator("POST", "/undrain")[0] == 200
     assert program.health() == 200 and program.hand_in("b") == 202
--- a/tests/test_power.py
+++ b/tests/test_power.py
@@ -109,14 +109,14 @@
     before(program)
     program.end(signal.SIGKILL)
     peer.calls.clear()
-    peer.hold.set()
+    peer.answer_calls.set()
     program.start()
     return program
 
 
 @pytest.mark.parametrize("durability", ["power", "process"])
 def test_what_was_answered_202_outlasts_a_power_loss(tmp_path: Path, peer: Peer, durability: str) -> None:
-    peer.hold.clear()
+    peer.answer_calls.clear()
     ids = [f"m{n}" for n in range(12)]
 
     def hand_in(program: Program) -> None:
@@ -135,7 +135,7 @@
 
 @pytest.mark.parametrize("durability", ["power", "process"])
 def test_an_unsafe_call_that_was_out_is_not_made_again(tmp_path: Path, peer: Peer, durability: str) -> None:
-    peer.hold.clear()
+    peer.answer_calls.clear()
 
     def call(program: Program) -> None:
         assert program.hand_in("paid", "pay", left=8000) == 202
--- a/tests/test_program.py
+++ b/tests/test_program.py
@@ -80,12 +80,12 @@
 
 
 def test_messages_of_one_moment_share_a_call(program: Program, peer: Peer) -> None:
-    peer.hold.clear()
+    peer.answer_calls.clear()
     assert program.hand_in("first") == 202
     until(lambda: len(peer.calls) == 1, "the first call")
     for n in range(3):
         assert program.hand_in(f"more-{n}") == 202
-    peer.hold.set()
+    peer.answer_calls.set()
     until(lambda: any(path == "/events/bundle" for path, _, _ in peer.calls), "a bundle")
     until(lambda: program.hand_in("more-2") == 200, "the delivery of all")
 
@@ -115,17 +115,17 @@
 
 
 def test_kill_while_calls_are_out(program: Program, peer: Peer) -> None:
-    peer.hold.clear()
+    peer.answer_calls.clear()
     assert program.hand_in("safe") == 202
     until(lambda: len(peer.calls) == 1, "the safe call")
-    peer.hold.set()
+    peer.answer_calls.set()
     until(lambda: program.hand_in("safe") == 200, "its delivery: the window opens")
-    peer.hold.clear()
+    peer.answer_calls.clear()
     assert program.hand_in("safe-2") == 202 and program.hand_in("pay-2", "pay") == 202
     until(lambda: {"safe-2", "pay-2"} <= set(peer.ids()), "both calls")
     program.end(signal.SIGKILL)
     peer.calls.clear()
-    peer.hold.set()
+    peer.answer_calls.set()
     program.start()
     until(lambda: peer.ids() == ["safe-2"], "the safe one again")
     until(lambda: program.hand_in("safe-2") == 200, "its end on record")
@@ -153,7 +153,7 @@
 
 def test_a_term_finishes_what_is_out_and_keeps_the_rest(program: Program, peer: Peer) -> None:
     idle = socket.create_connection(program.address, timeout=WAIT_S)
-    peer.hold.clear()
+    peer.answer_calls.clear()
     assert program.hand_in("out", "pay") == 202
     until(lambda: peer.calls, "the call")
     program.process.send_signal(signal.SIGTERM)
@@ -161,7 +161,7 @@
     assert program.hand_in("still", "pay") == 202  # the window is one: it waits
     assert idle.recv(1) == b""  # ended between requests, after a while
     assert time.monotonic() - start > 0.3
-    peer.hold.set()
+    peer.answer_calls.set()
     assert program.process.wait(WAIT_S) == 0
     assert time.monotonic() - start < 3.7
     assert not peer.notices
@@ -171,13 +171,13 @@
 
 
 def test_a_term_ends_in_time_with_calls_that_hang(program: Program, peer: Peer) -> None:
-    peer.hold.clear()
+    peer.answer_calls.clear()
     assert program.hand_in("hang", "pay") == 202
     until(lambda: peer.calls, "the call")
     start = time.monotonic()
     assert program.end(signal.SIGTERM) == 0
     assert time.monotonic() - start < 3.7
-    peer.hold.set()
+    peer.answer_calls.set()
     program.start()
     until(lambda: peer.notices, "the notice")
     assert peer.notices == [{"id": "hang", "status": "undeliverable"}] and len(peer.calls) == 1
@@ -267,7 +267,7 @@
 
 
 def test_a_message_in_pieces_is_ended_in_its_client_s_time(program: Program, peer: Peer) -> None:
-    peer.hold.clear()
+    peer.answer_calls.clear()
     head = b"POST /api HTTP/1.1\r\nX-Correlation-Id: slow\r\nX-Service-Class: note\r\nX-Consignee: dest=7\r\n"
     begun = time.monotonic()
     with socket.create_connection(program.address, timeout=WAIT_S) as sock:
