--- a/tests/peer.py
+++ b/tests/peer.py
@@ -55,8 +55,8 @@
         self.watch_bodies: list[bytes] = []
         self.watches = 0
         self.asked: list[str] = []  # targets of what was asked of discovery
-        self.hold_watch = threading.Event()  # while clear, watches hang
-        self.hold_watch.set()
+        self.answer_watches = threading.Event()  # while clear, watches hang
+        self.answer_watches.set()
         self.hanging = 0  # how many watches hung
         self.answer_calls = threading.Event()  # while clear, calls hang
         self.answer_calls.set()
@@ -100,7 +100,7 @@
 
     def close(self) -> None:
         self.answer_calls.set()
-        self.hold_watch.set()
+        self.answer_watches.set()
         self.server.shutdown()
         self.server.server_close()
 
@@ -127,8 +127,8 @@
             body = self.peer.watch_bodies.pop(0) if self.peer.watch_bodies else b""
         if not body:
             time.sleep(0.05)
-            self.peer.hanging += not self.peer.hold_watch.is_set()
-            self.peer.hold_watch.wait(WAIT_S)
+            self.peer.hanging += not self.peer.answer_watches.is_set()
+            self.peer.answer_watches.wait(WAIT_S)
             body = json.dumps({"index": 1, "snapshot": False, "endpoints": []}).encode()
         self.reply(200, body)
 
--- a/tests/test_reload.py
+++ b/tests/test_reload.py
@@ -58,18 +58,18 @@
 ) -> None:
     old, new = peers
     until(lambda: old.watches, "a watch at the old address")
-    old.hold_watch.clear()
+    old.answer_watches.clear()
     until(lambda: old.hanging, "a watch that hangs")
     program.move(new)
     until(lambda: new.watches > 1, "the watch at the new address")
     assert not events(program, "discovery failed")
-    old.hold_watch.set()
+    old.answer_watches.set()
 
 
 def test_a_list_that_counts_anew_is_asked_for_whole(program: Program, peers: list[Peer]) -> None:
     old, new = peers
     with old.lock:
-        old.hold_watch.clear()
+        old.answer_watches.clear()
         old.watch_bodies = [json.dumps({**old.members(), "index": 40}).encode()]
     until(lambda: not old.watch_bodies and "since=40" in old.asked[-1], "it is heard")
     program.move(new)
