--- a/tests/peer.py
+++ b/tests/peer.py
@@ -54,7 +54,7 @@
         self.notice_answers: list[int] = []
         self.watch_bodies: list[bytes] = []
         self.watches = 0
-        self.asked: list[str] = []  # targets of what was asked of discovery
+        self.list_targets: list[str] = []  # targets of what was asked of discovery
         self.answer_watches = threading.Event()  # while clear, watches hang
         self.answer_watches.set()
         self.hanging = 0  # how many watches hung
@@ -123,7 +123,7 @@
     def do_GET(self) -> None:
         with self.peer.lock:
             self.peer.watches += 1
-            self.peer.asked.append(self.path)
+            self.peer.list_targets.append(self.path)
             body = self.peer.watch_bodies.pop(0) if self.peer.watch_bodies else b""
         if not body:
             time.sleep(0.05)
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -366,7 +366,7 @@
 ) -> None:
     with peer.lock:
         peer.watch_bodies = [json.dumps(peer.members("Terminating", 2)).encode()]
-    until(lambda: not peer.watch_bodies and "since=2" in peer.asked[-1], "the drain is in force")
+    until(lambda: not peer.watch_bodies and "since=2" in peer.list_targets[-1], "the drain is in force")
     assert [program.hand_in("safe"), program.hand_in("once", "pay")] == [202, 202]
     program.end(how)
     assert not peer.calls and not peer.notices
--- a/tests/test_reload.py
+++ b/tests/test_reload.py
@@ -71,9 +71,9 @@
     with old.lock:
         old.answer_watches.clear()
         old.watch_bodies = [json.dumps({**old.members(), "index": 40}).encode()]
-    until(lambda: not old.watch_bodies and "since=40" in old.asked[-1], "it is heard")
+    until(lambda: not old.watch_bodies and "since=40" in old.list_targets[-1], "it is heard")
     program.move(new)
-    until(lambda: "/catalog/members" in new.asked, "the whole list")
+    until(lambda: "/catalog/members" in new.list_targets, "the whole list")
 
 
 @pytest.mark.parametrize(
