--- a/tests/fleet/test_orders.py
+++ b/tests/fleet/test_orders.py
@@ -27,7 +27,7 @@
 from springspread.rollout import document
 from springspread.rollout.document import MAX_POLICY_BYTES, Policy
 from tests.fleet.test_allocator_server import Quiet
-from tests.peer import serving, until
+from tests.peer import serve_connections, until
 from tests.test_config import make
 
 TOML = """folder = "fleet"
@@ -153,7 +153,7 @@
             sock.sendall(b'{"ok": true')
             sock.close()
 
-        serving(listener, answer_in_part)
+        serve_connections(listener, answer_in_part)
         with pytest.raises(ConnectionError, match="broke off after 11 bytes"):
             send_order(tmp_path / "control", {"do": "status"})
 
--- a/tests/list_service.py
+++ b/tests/list_service.py
@@ -17,7 +17,7 @@
 from urllib.parse import parse_qs, urlsplit
 
 from springspread.core.types import clock
-from tests.peer import serving
+from tests.peer import serve_connections
 
 NO_CONTENT = b"HTTP/1.1 204 No Content\r\n\r\n"
 REFUSED = b"HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n"
@@ -143,7 +143,7 @@
         self._sockets: list[socket.socket] = []
         self._listener = socket.create_server(("127.0.0.1", 0))
         self.port: int = self._listener.getsockname()[1]
-        serving(self._listener, self._serve)
+        serve_connections(self._listener, self._serve)
 
     def snapshot(self) -> dict[str, Any]:
         """The whole list, as discovery writes it."""
@@ -289,7 +289,7 @@
         self.ids: list[str] = []
         self._listener = socket.create_server(("127.0.0.1", 0), backlog=128)
         self.port: int = self._listener.getsockname()[1]
-        serving(self._listener, self._serve)
+        serve_connections(self._listener, self._serve)
 
     def line(self, name: str, group: int = 7, status: str = "Ready") -> dict[str, Any]:
         """Its line in discovery's list."""
--- a/tests/peer.py
+++ b/tests/peer.py
@@ -29,7 +29,7 @@
         time.sleep(0.01)
 
 
-def serving(sock: socket.socket, serve: Callable[[socket.socket], None]) -> None:
+def serve_connections(sock: socket.socket, serve: Callable[[socket.socket], None]) -> None:
     """Serve each connection that comes, on a thread of its own, until the listening socket is closed."""
 
     def accept() -> None:
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -36,7 +36,7 @@
 from springspread.net.endpoints import ConnectionPool, Workers
 from springspread.net.exchange import Connection
 from springspread.net.notices import Notifier
-from tests.peer import WAIT_S, Peer, Program, serving, until
+from tests.peer import WAIT_S, Peer, Program, serve_connections, until
 from tests.test_malformed_answers import NullLog, read_request
 
 OK = b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n"
@@ -51,7 +51,7 @@
         self.sock = socket.create_server(("127.0.0.1", 0))
         self.requests: list[bytes] = []
         self.rest: list[bytes] = []  # what came on a connection after the script, up to its end
-        serving(self.sock, self.serve)
+        serve_connections(self.sock, self.serve)
 
     def serve(self, sock: socket.socket) -> None:
         data = b""
--- a/tests/test_last_byte.py
+++ b/tests/test_last_byte.py
@@ -13,7 +13,7 @@
 from springspread.config import Limits
 from springspread.core.types import Attempt, AttemptEnd, Call, CoreEvent, Endpoint, Result, clock
 from springspread.net.endpoints import Workers
-from tests.peer import serving, until
+from tests.peer import serve_connections, until
 from tests.test_malformed_answers import GOOD, NullLog, PermissiveClearance, read_request
 
 RESET = struct.pack("ii", 1, 0)
@@ -31,7 +31,7 @@
     def __post_init__(self) -> None:
         self.sock = socket.create_server(("127.0.0.1", 0))
         self.port = self.sock.getsockname()[1]
-        serving(self.sock, self._serve)
+        serve_connections(self.sock, self._serve)
 
     def _serve(self, sock: socket.socket) -> None:
         if self.first is not None:
--- a/tests/test_malformed_answers.py
+++ b/tests/test_malformed_answers.py
@@ -15,7 +15,7 @@
 from springspread.core.types import Attempt, AttemptEnd, Call, CoreEvent, Endpoint, Result, clock
 from springspread.net.endpoints import Workers
 from springspread.policy import Dispatcher
-from tests.peer import serving, until
+from tests.peer import serve_connections, until
 
 GOOD = b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\nX-Backend-Load: x0=0.5,x1=9\r\n\r\nok"
 HEAD = b"HTTP/1.1 200 OK\r\n"
@@ -66,7 +66,7 @@
         self.port = self.sock.getsockname()[1]
         self.opened: list[socket.socket] = []
         self.ended = 0
-        serving(self.sock, self.serve)
+        serve_connections(self.sock, self.serve)
 
     def serve(self, sock: socket.socket) -> None:
         self.opened.append(sock)
--- a/tests/test_watch.py
+++ b/tests/test_watch.py
@@ -33,7 +33,7 @@
 )
 from springspread.net import exchange
 from springspread.net.discovery import Watcher
-from tests.peer import serving, until
+from tests.peer import serve_connections, until
 from tests.test_malformed_answers import NullLog, read_request
 
 WAIT_MS = 5000.0
@@ -356,7 +356,7 @@
     def __post_init__(self) -> None:
         self.asked: SimpleQueue[tuple[float, str]] = SimpleQueue()
         self.open: list[socket.socket] = []
-        serving(self.sock, self.serve)
+        serve_connections(self.sock, self.serve)
 
     def serve(self, sock: socket.socket) -> None:
         self.open.append(sock)
