--- a/tests/list_service.py
+++ b/tests/list_service.py
@@ -1,5 +1,5 @@
-"""Stand-ins on loopback for tests of the list of endpoints: a discovery service that can fall silent, refuse
-and reset, and an endpoint that notes when the first byte of each call came.
+"""Stand-ins for tests of the list of endpoints: a discovery service that can hang, refuse and reset, and an
+endpoint that records when the first byte of each call arrived.
 """
 
 from __future__ import annotations
@@ -24,17 +24,17 @@
 OK = b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n"
 
 
-def wait_for(holds: Callable[[], object], what: str, within_s: float = 25.0) -> None:
-    """Wait on a condition."""
-    end = time.monotonic() + within_s
-    while not holds():
-        assert time.monotonic() < end, f"not in time: {what}"
+def wait_for(condition: Callable[[], object], what: str, within_s: float = 25.0) -> None:
+    """Wait until a condition holds."""
+    deadline = time.monotonic() + within_s
+    while not condition():
+        assert time.monotonic() < deadline, f"timed out waiting for {what}"
         time.sleep(0.005)
 
 
 @dataclass
 class Request:
-    """One request, with when its first byte came (ms, monotonic)."""
+    """One request and when its first byte arrived (ms, monotonic)."""
 
     method: str
     target: str
@@ -44,7 +44,7 @@
 
 
 def read_request(sock: socket.socket) -> Request | None:
-    """The next request on a connection; none where it ends."""
+    """The next request on a connection; None at its end."""
     data, first = b"", 0.0
     while b"\r\n\r\n" not in data:
         try:
@@ -65,24 +65,24 @@
         except OSError:
             return None
         if not part:
-            return None  # given up before its last byte: it never began
+            return None  # incomplete: the call never began
         body += part
     return Request(method, target, headers, body, first)
 
 
 class Behavior(Enum):
-    """What becomes of one request for the list."""
+    """What the stand-in does with one list request."""
 
     ANSWER = "answer"
-    SILENT = "silent"  # nothing more is ever heard on its connection
+    SILENT = "silent"  # nothing more is sent on its connection
     REFUSE = "refuse"
     RESET = "reset"
-    CUT = "cut"  # half an answer, and nothing more
+    CUT = "cut"  # half an answer, then nothing
 
 
 @dataclass
 class ListRequest:
-    """A request for the list: when it came, what for, what became of it; when its answer was written."""
+    """A list request: when it arrived, what it asked for, and how and when it was answered."""
 
     at: float
     since: int | None
@@ -91,54 +91,54 @@
     wait_ms: float = 0.0
     answered_at: float = 0.0
     version: int = 0
-    silent_at: float = 0.0  # when its watch fell silent
-    reset_at: float = 0.0  # when its connection was reset from this side
+    silent_at: float = 0.0  # when it was silenced
+    reset_at: float = 0.0  # when its connection was reset
 
 
-CONTINUES_MS = 200.0  # a watch goes on where its next request comes within this of the last answer
+WATCH_GAP_MS = 200.0  # a request within this of the last answer on its connection continues a watch
 
 
 class RequestQueue:
-    """Requests are served in turn, by one discovery that several stand-ins share.
+    """Serves requests one at a time, for several stand-ins that share one discovery.
 
-    A request that would wait for longer than ``patience_ms`` is refused at once; one that is given up by its
-    sender while it waits is worked through all the same.
+    A request that would wait for longer than ``max_wait_ms`` is refused at once; one whose sender gives up
+    while it waits still takes its time.
     """
 
-    def __init__(self, turn_ms: float, patience_ms: float = inf) -> None:
-        self._turn_ms, self._patience_ms = turn_ms, patience_ms
+    def __init__(self, service_ms: float, max_wait_ms: float = inf) -> None:
+        self._service_ms, self._max_wait_ms = service_ms, max_wait_ms
         self._free_at = 0.0
         self._lock = threading.Lock()
 
     def served(self) -> bool:
-        """Wait for the end of its turn; false where it is refused."""
+        """Wait until a request is served; false if it is refused."""
         with self._lock:
             begin = max(clock(), self._free_at)
-            if begin - clock() > self._patience_ms:
+            if begin - clock() > self._max_wait_ms:
                 return False
-            self._free_at = end = begin + self._turn_ms
+            self._free_at = end = begin + self._service_ms
         time.sleep(max(end - clock(), 0.0) / 1000.0)
         return True
 
 
 @dataclass
 class ListService:
-    """Discovery and the platform. ``plan`` holds what becomes of the coming list requests; then: answered."""
+    """Discovery and the platform. ``plan``: what to do with the next list requests; after those, answer."""
 
     members: dict[str, dict[str, Any]]
     version: int = 1
     plan: list[Behavior] = field(default_factory=list)
     list_requests: list[ListRequest] = field(default_factory=list)
     finals: list[dict[str, Any]] = field(default_factory=list)
-    down: Behavior | None = None  # what becomes of every request while it is down
-    slow_ms: float = 0.0  # an answer takes so long
-    queue: RequestQueue | None = None  # requests that go on with no watch wait here
+    down: Behavior | None = None  # what to do with every list request; None: follow the plan
+    answer_delay_ms: float = 0.0
+    queue: RequestQueue | None = None  # of requests that do not continue a watch
 
     def __post_init__(self) -> None:
         self._silences = 0
         self.history: list[tuple[str, str, int]] = []  # name, status, version of each change
         self._changed = dict.fromkeys(self.members, self.version)
-        self._news = threading.Condition()
+        self._condition = threading.Condition()
         self._open = True
         self._sockets: list[socket.socket] = []
         self._listener = socket.create_server(("127.0.0.1", 0))
@@ -150,29 +150,29 @@
         return {"index": self.version, "snapshot": True, "endpoints": list(self.members.values())}
 
     def change(self, name: str, status: str) -> float:
-        """Change an endpoint's status; when that was (ms)."""
-        with self._news:
+        """Change an endpoint's status; returns when (ms)."""
+        with self._condition:
             self.version += 1
             self.members[name] = {**self.members[name], "status": status}
             self._changed[name] = self.version
             self.history.append((name, status, self.version))
-            self._news.notify_all()
+            self._condition.notify_all()
             return clock()
 
     def silence(self) -> float:
-        """Every open watch falls silent: what it waits for never comes; when that was (ms)."""
-        with self._news:
+        """Silence every open watch: it is never answered; returns when (ms)."""
+        with self._condition:
             self._silences += 1
             for one in self.list_requests:
                 waits = one.behavior is Behavior.ANSWER and not one.answered_at and not one.silent_at
                 if waits and one.sock in self._sockets:
                     one.silent_at = clock()
-            self._news.notify_all()
+            self._condition.notify_all()
             return clock()
 
     def reset_watches(self) -> float:
-        """Break every connection; when that was (ms)."""
-        with self._news:
+        """Reset every connection; returns when (ms)."""
+        with self._condition:
             for one in self.list_requests:
                 if one.sock in self._sockets and not one.reset_at:
                     one.reset_at = clock()
@@ -186,15 +186,15 @@
         return any(one.answered_at and one.version >= version for one in list(self.list_requests))
 
     def close(self) -> None:
-        """End it."""
-        with self._news:
+        """Stop the stand-in."""
+        with self._condition:
             self._open = False
-            self._news.notify_all()
+            self._condition.notify_all()
         self._listener.close()
         self.reset_watches()
 
     def _serve(self, sock: socket.socket) -> None:
-        with self._news:
+        with self._condition:
             self._sockets.append(sock)
         with contextlib.suppress(OSError):
             while (request := read_request(sock)) is not None:
@@ -207,7 +207,7 @@
     def _list(self, sock: socket.socket, request: Request) -> bool:
         query = parse_qs(urlsplit(request.target).query)
         since = int(query["since"][0]) if "since" in query else None
-        with self._news:
+        with self._condition:
             behavior = self.down or (self.plan.pop(0) if self.plan else Behavior.ANSWER)
             wait_ms = float(query.get("timeout_ms", ["0"])[0])
             entry = ListRequest(request.first_byte_at, since, behavior, sock, wait_ms)
@@ -220,11 +220,11 @@
         if behavior is Behavior.REFUSE:
             sock.sendall(REFUSED)
             return True
-        time.sleep(self.slow_ms / 1000.0)
-        if self.queue is not None and not self._goes_on(entry) and not self.queue.served():
+        time.sleep(self.answer_delay_ms / 1000.0)
+        if self.queue is not None and not self._continues_watch(entry) and not self.queue.served():
             sock.sendall(REFUSED)
             return True
-        body = self._awaited(entry)
+        body = self._await_answer(entry)
         if body is None:
             return False
         data = json.dumps(body).encode()
@@ -232,29 +232,29 @@
         if behavior is Behavior.CUT:
             sock.sendall(answer[: len(answer) // 2])
             return False
-        with self._news:
+        with self._condition:
             if sock not in self._sockets or _ended(sock):
-                return False  # reset meanwhile, or given up: nothing is written to the sender
+                return False  # reset or closed meanwhile: nothing is written to the sender
             entry.answered_at, entry.version = clock(), body["index"]
         sock.sendall(answer)
         return True
 
-    def _goes_on(self, entry: ListRequest) -> bool:
-        """Whether a request goes on with a watch on its connection."""
-        with self._news:
+    def _continues_watch(self, entry: ListRequest) -> bool:
+        """Whether a request continues a watch on its connection."""
+        with self._condition:
             answers = [
                 one.answered_at for one in self.list_requests if one.sock is entry.sock and one.answered_at
             ]
-        return bool(answers) and entry.at - answers[-1] <= CONTINUES_MS
+        return bool(answers) and entry.at - answers[-1] <= WATCH_GAP_MS
 
-    def _awaited(self, entry: ListRequest) -> dict[str, Any] | None:
-        """What an answer holds, once there is news or its wait is over; none where it fell silent."""
+    def _await_answer(self, entry: ListRequest) -> dict[str, Any] | None:
+        """Wait for a change or the poll's timeout, and return the answer; None if the watch was silenced."""
         since = entry.since
-        with self._news:
+        with self._condition:
             if since is None:
                 return self.snapshot()
             silences = self._silences
-            self._news.wait_for(
+            self._condition.wait_for(
                 lambda: self.version > since or self._silences > silences or not self._open,
                 entry.wait_ms / 1000.0,
             )
@@ -265,7 +265,7 @@
 
 
 def _ended(sock: socket.socket) -> bool:
-    """Whether the other side has ended its connection."""
+    """Whether the peer has closed its connection."""
     try:
         return not sock.recv(1, socket.MSG_PEEK | socket.MSG_DONTWAIT)
     except BlockingIOError:
@@ -282,7 +282,7 @@
 
 
 class CallLog:
-    """An endpoint that serves every call at once and notes when the first byte of each came (ms)."""
+    """An endpoint that serves every call at once and records when its first byte arrived (ms)."""
 
     def __init__(self) -> None:
         self.calls: list[float] = []
@@ -292,17 +292,17 @@
         serve_connections(self._listener, self._serve)
 
     def line(self, name: str, group: int = 7, status: str = "Ready") -> dict[str, Any]:
-        """Its line in discovery's list."""
+        """Its entry in discovery's list."""
         address = f"127.0.0.1:{self.port}"
         kind = {"zone": "a", "type": "dealer", "group": group, "weight": 1000.0, "since_ms": 0}
         return {"name": name, "address": address, "status": status, **kind}
 
     def after(self, limit: float) -> list[float]:
-        """By how much calls began later than a moment (ms)."""
+        """How long after a point in time each later call began (ms)."""
         return [round(at - limit, 1) for at in list(self.calls) if at > limit]
 
     def close(self) -> None:
-        """End it."""
+        """Stop the stand-in."""
         self._listener.close()
 
     def _serve(self, sock: socket.socket) -> None:
--- a/tests/peer.py
+++ b/tests/peer.py
@@ -1,4 +1,4 @@
-"""The other side for tests of the whole program: endpoint, discovery and platform in one small server."""
+"""For tests of the whole program: a stand-in for endpoint, discovery and platform, and the sender process."""
 
 from __future__ import annotations
 
@@ -21,43 +21,43 @@
 WAIT_S = 10.0
 
 
-def until(holds: Callable[[], object], what: str) -> None:
-    """Wait on a condition."""
-    end = time.monotonic() + WAIT_S
-    while not holds():
-        assert time.monotonic() < end, f"not in time: {what}"
+def until(condition: Callable[[], object], what: str) -> None:
+    """Wait until a condition holds."""
+    deadline = time.monotonic() + WAIT_S
+    while not condition():
+        assert time.monotonic() < deadline, f"timed out waiting for {what}"
         time.sleep(0.01)
 
 
 def serve_connections(sock: socket.socket, serve: Callable[[socket.socket], None]) -> None:
-    """Serve each connection that comes, on a thread of its own, until the listening socket is closed."""
+    """Serve each connection on a thread of its own, until the listening socket is closed."""
 
     def accept() -> None:
         while True:
             try:
-                made = sock.accept()[0]
+                connection = sock.accept()[0]
             except OSError:
                 return
-            threading.Thread(target=serve, args=(made,), daemon=True).start()
+            threading.Thread(target=serve, args=(connection,), daemon=True).start()
 
     threading.Thread(target=accept, daemon=True).start()
 
 
 class Peer:
-    """Answers as told; takes down what came."""
+    """Endpoint, discovery and platform; answers as scripted and records what it receives."""
 
     def __init__(self) -> None:
         self.lock = threading.Lock()
         self.calls: list[tuple[str, str, bytes]] = []  # path, id, body
         self.notices: list[dict[str, Any]] = []
-        self.answers: list[tuple[int, dict[str, str]]] = []  # for the next calls; then 200
+        self.answers: list[tuple[int, dict[str, str]]] = []  # for the next calls; after those 200
         self.notice_answers: list[int] = []
         self.watch_bodies: list[bytes] = []
         self.watches = 0
-        self.list_targets: list[str] = []  # targets of what was asked of discovery
+        self.list_targets: list[str] = []  # targets of the list requests
         self.answer_watches = threading.Event()  # while clear, watches hang
         self.answer_watches.set()
-        self.hanging = 0  # how many watches hung
+        self.hanging = 0  # how many watches have hung
         self.answer_calls = threading.Event()  # while clear, calls hang
         self.answer_calls.set()
         self.server = ThreadingHTTPServer(("127.0.0.1", 0), type("Handler", (Handler,), {"peer": self}))
@@ -82,17 +82,17 @@
         return {"index": version, "snapshot": True, "endpoints": lines}
 
     def snapshot(self) -> dict[str, Any]:
-        """The whole list as it begins."""
+        """The whole list at the start."""
         return self.members()
 
     def ids(self) -> list[str]:
-        """The messages that came, those of bundles too."""
+        """The ids of the received messages, including those in bundles."""
         with self.lock:
             return self.ids_of(self.calls)
 
     @staticmethod
     def ids_of(calls: list[tuple[str, str, bytes]]) -> list[str]:
-        """The messages of some calls."""
+        """The ids of the messages in some calls."""
         found = []
         for path, id, body in calls:
             found += [item["id"] for item in json.loads(body)] if path == "/events/bundle" else [id]
@@ -135,7 +135,7 @@
     def do_POST(self) -> None:
         length = int(self.headers.get("Content-Length", "0"))
         body = self.rfile.read(length)
-        if len(body) < length:  # a call begins with its last byte: this one never did
+        if len(body) < length:  # a call begins with its last byte: ignore an incomplete one
             self.close_connection = True
             return
         if self.path == "/v2/finals":
@@ -159,16 +159,16 @@
 
 
 class ListSource(Protocol):
-    """Who stands for discovery and the platform."""
+    """A stand-in for discovery and the platform."""
 
     port: int
 
     def snapshot(self) -> dict[str, Any]:
-        """The whole list, as discovery writes it."""
+        """The whole list as discovery writes it."""
 
 
 class Program:
-    """The real sender as a process."""
+    """The sender as a process."""
 
     def __init__(
         self,
@@ -182,7 +182,7 @@
         durability: str = "process",
     ) -> None:
         self.module = module
-        self.tree = tree  # the checkout whose program is started; else this one
+        self.tree = tree  # checkout to run; None: this one
         self.state = folder / "state"
         self.state.mkdir(exist_ok=True)
         self.file = folder / "config.json"
@@ -218,19 +218,19 @@
             self.log.append(json.loads(line))
 
     def reload(self, text: str) -> None:
-        """Replace the file of the configuration and have it read again."""
+        """Replace the configuration file and reload it."""
         fresh = self.file.with_suffix(".new")
         fresh.write_text(text)
         fresh.replace(self.file)
         self.process.send_signal(signal.SIGHUP)
 
     def move(self, peer: ListSource) -> None:
-        """Name another peer as discovery and the platform."""
+        """Make another peer discovery and the platform."""
         raw = json.loads(self.file.read_text())
         self.reload(json.dumps({**raw, "discovery": f"127.0.0.1:{peer.port}"}))
 
     def known(self, lines: dict[str, Any]) -> None:
-        """What the next process holds as its list."""
+        """Set the list that the next process starts with."""
         raw = json.loads(self.file.read_text())
         self.file.write_text(json.dumps({**raw, "known": lines}))
 
