--- a/springspread/http1/shutdown.py
+++ b/springspread/http1/shutdown.py
@@ -6,7 +6,7 @@
 
     state        read     handled         written          left when
     open         yes      yes             yes              either side ends, or it breaks
-    half-closed  no more  what came whole yes              the last answer is written
+    half-closed  no more  complete ones   yes              the last answer is written
     draining     no       no              the last answer  that is written
     lingering    dropped  never           no               the peer ends, or the bound is reached
     closed       no       no              no               (never)
--- a/springspread/net/discovery.py
+++ b/springspread/net/discovery.py
@@ -106,7 +106,7 @@
             self._wake.clear()
             while (ask := self._begin()) is not None:
                 try:
-                    self._put_news(ask, self._ask(ask))
+                    self._process_answer(ask, self._ask(ask))
                 except MovedError as exc:
                     self._log.info("discovery address changed", cut_off=str(exc))
                     self._put_withdrawn(exc.answer)
@@ -122,29 +122,29 @@
         with self._lock:
             return self._watch.begin(clock())
 
-    def _put_news(self, ask: Ask, news: ListNews) -> None:
+    def _process_answer(self, ask: Ask, update: ListNews) -> None:
         with self._lock:
-            before, due_at = self._watch.state(news.notified_at), self._watch.due_at
-            accepted = self._watch.answered(news.version)
-        late_ms = news.notified_at - due_at
+            before, due_at = self._watch.state(update.notified_at), self._watch.due_at
+            accepted = self._watch.answered(update.version)
+        late_ms = update.notified_at - due_at
         if late_ms > 0.0:
             self._figures.occurred(Occurrence.LISTS_LATE, before)
-        log = self._log.info if news.members or before is not State.CURRENT else self._log.debug
+        log = self._log.info if update.members or before is not State.CURRENT else self._log.debug
         log(
             "list received",
             request=ask.number,
-            scope=news.scope.value,
+            scope=update.scope.value,
             since=ask.since,
-            version=news.version,
-            lines=len(news.members),
-            took_ms=round(news.notified_at - ask.begun_at, 1),
+            version=update.version,
+            lines=len(update.members),
+            took_ms=round(update.notified_at - ask.begun_at, 1),
             state=before.value,
             due_in_ms=_rounded(-late_ms),
         )
         if accepted:
-            self._put(news)
+            self._put(update)
         else:
-            self._log.warning("outdated list ignored", version=news.version)
+            self._log.warning("outdated list ignored", version=update.version)
 
     def _put_withdrawn(self, answer: Answer | None) -> None:
         """Apply only the draining and gone endpoints of an answer from the previous address.
@@ -155,18 +155,18 @@
         if answer is None or answer.status != 200:
             return
         try:
-            news = catalog.read_list(answer.body, self._names, clock())
+            update = catalog.read_list(answer.body, self._names, clock())
         except catalog.Unreadable:
             return
-        withdrawn = tuple(member for member in news.members if member.state is not EndpointState.READY)
+        withdrawn = tuple(member for member in update.members if member.state is not EndpointState.READY)
         if not withdrawn:
             return
         with self._lock:
             self._watch.doubt()
         self._log.info(
-            "endpoints withdrawn by the previous address", version=news.version, lines=len(withdrawn)
+            "endpoints withdrawn by the previous address", version=update.version, lines=len(withdrawn)
         )
-        self._put(replace(news, scope=Scope.CHANGES, members=withdrawn))
+        self._put(replace(update, scope=Scope.CHANGES, members=withdrawn))
 
     def _failed(self, ask: Ask, failure: Failure, exc: Exception) -> None:
         with self._lock:
@@ -205,5 +205,5 @@
         answer = self._caller.call("GET", target, {}, b"", ask.give_up_at, current=True)
         if answer.status != 200:
             raise RefusedError(f"status {answer.status}")
-        news = catalog.read_list(answer.body, self._names, clock())
-        return replace(news, date=answer.headers.get("Date"))
+        update = catalog.read_list(answer.body, self._names, clock())
+        return replace(update, date=answer.headers.get("Date"))
--- a/springspread/net/listener.py
+++ b/springspread/net/listener.py
@@ -22,7 +22,7 @@
 from springspread.platform.intake import Reply
 
 EVICTION_LOG_INTERVAL_MS = 1000.0
-MAX_ACCEPTS = 64  # per turn of the loop, so that connected clients are served in between
+MAX_ACCEPTS = 64  # per loop iteration, so that connected clients are served in between
 ACCEPT_PAUSE_MS = 50.0  # accepting pauses for this long at most
 OVERLOADED = b"HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\nConnection: close\r\n\r\n"
 NONE, READ, WRITE = 0, selectors.EVENT_READ, selectors.EVENT_WRITE
--- a/tests/list_service.py
+++ b/tests/list_service.py
@@ -48,25 +48,25 @@
     data, first = b"", 0.0
     while b"\r\n\r\n" not in data:
         try:
-            part = sock.recv(65536)
+            chunk = sock.recv(65536)
         except OSError:
             return None
-        if not part:
+        if not chunk:
             return None
         first = first or clock()
-        data += part
+        data += chunk
     head, _, body = data.partition(b"\r\n\r\n")
     lines = head.decode("latin-1").split("\r\n")
     method, target, _ = lines[0].split(" ")
     headers = {name.lower(): value for name, value in (line.split(": ", 1) for line in lines[1:])}
     while len(body) < int(headers.get("content-length", "0")):
         try:
-            part = sock.recv(65536)
+            chunk = sock.recv(65536)
         except OSError:
             return None
-        if not part:
+        if not chunk:
             return None  # incomplete: the call never began
-        body += part
+        body += chunk
     return Request(method, target, headers, body, first)
 
 
@@ -146,7 +146,7 @@
         serve_connections(self._listener, self._serve)
 
     def snapshot(self) -> dict[str, Any]:
-        """The whole list, as discovery writes it."""
+        """The whole list as discovery writes it."""
         return {"index": self.version, "snapshot": True, "endpoints": list(self.members.values())}
 
     def change(self, name: str, status: str) -> float:
--- a/tests/test_bad_clients.py
+++ b/tests/test_bad_clients.py
@@ -37,8 +37,8 @@
     """Read up to the end of the connection, or a reset."""
     data = b""
     try:
-        while part := sock.recv(65536):
-            data += part
+        while chunk := sock.recv(65536):
+            data += chunk
     except ConnectionResetError:
         pass
     return data
--- a/tests/test_client_shutdown.py
+++ b/tests/test_client_shutdown.py
@@ -151,8 +151,8 @@
 def read_to_close(sock: socket.socket) -> bytes:
     """Read up to the end of the connection; a reset raises."""
     data = b""
-    while part := sock.recv(65536):
-        data += part
+    while chunk := sock.recv(65536):
+        data += chunk
     return data
 
 
--- a/tests/test_http1.py
+++ b/tests/test_http1.py
@@ -43,9 +43,9 @@
     @precondition(lambda self: self.unfed)
     @rule(size=st.integers(1, 200))
     def bytes_arrive(self, size: int) -> None:
-        part, self.unfed = self.unfed[:size], self.unfed[size:]
+        piece, self.unfed = self.unfed[:size], self.unfed[size:]
         before = self.machine.phase
-        request = self.machine.feed(part)
+        request = self.machine.feed(piece)
         assert request is None or before in (server.Phase.IDLE, server.Phase.READING)
         self.record(request)
 
@@ -169,9 +169,9 @@
     machine.request("POST", "/events", {"Host": "x"}, b"body")
     answer = None
     for cut in [*cuts, len(data)]:
-        part, data = data[:cut], data[cut:]
-        assert answer is None or not part
-        answer = machine.feed(part) if part else answer
+        piece, data = data[:cut], data[cut:]
+        assert answer is None or not piece
+        answer = machine.feed(piece) if piece else answer
     assert answer is not None
     status, body, reuse = ANSWERS[next(d for d in ANSWERS if ANSWERS[d][:2] == (answer.status, answer.body))]
     assert (machine.phase is client.Phase.IDLE) == reuse
--- a/tests/test_malformed_answers.py
+++ b/tests/test_malformed_answers.py
@@ -48,8 +48,8 @@
 def read_request(sock: socket.socket) -> bytes:
     """One complete request; empty if the connection ended."""
     data = b""
-    while part := sock.recv(65536):
-        data += part
+    while chunk := sock.recv(65536):
+        data += chunk
         head, blank, body = data.partition(b"\r\n\r\n")
         length = re.search(rb"Content-Length: (\d+)", head)
         if blank and len(body) >= int(length[1] if length else 0):
