--- a/tests/test_client_shutdown.py
+++ b/tests/test_client_shutdown.py
@@ -31,7 +31,7 @@
         self.answered = 0  # requests whose answer the peer may read
         self.handled_in: list[State] = []  # the state in which each request was handled
         self.closed_over_unread = False
-        self.limit_reached = False
+        self.loss_allowed = False
 
     @precondition(lambda self: not self.peer_closed)
     @rule(size=st.integers(1, 3))
@@ -43,7 +43,7 @@
         self.peer_closed = True
 
     def close(self) -> None:
-        if self.inbound and not self.limit_reached:
+        if self.inbound and not self.loss_allowed:
             self.closed_over_unread = True
 
     @precondition(lambda self: self.shutdown.state is not State.CLOSED and self.inbound)
@@ -91,13 +91,13 @@
     @precondition(lambda self: self.shutdown.state in (State.DRAINING, State.LINGERING))
     @rule()
     def reached_limit(self) -> None:
-        self.limit_reached = True
+        self.loss_allowed = True
         self.shutdown.step(Event.LIMIT_REACHED)
 
     @precondition(lambda self: self.shutdown.state is not State.CLOSED)
     @rule()
     def broken(self) -> None:
-        self.limit_reached = True
+        self.loss_allowed = True
         self.shutdown.step(Event.BROKEN)
 
     @invariant()
