--- a/springspread/__main__.py
+++ b/springspread/__main__.py
@@ -31,8 +31,8 @@
 from springspread.logs import make_log
 from springspread.net.discovery import Watcher
 from springspread.net.endpoints import Workers
-from springspread.net.listener import Listener, listening
-from springspread.net.notices import Notices
+from springspread.net.listener import Listener, listening_socket
+from springspread.net.notices import Notifier
 from springspread.net.threads import spawn
 from springspread.platform.catalog import Unreadable, read_groups
 from springspread.platform.intake import Intake
@@ -56,7 +56,7 @@
         raise ConfigError(f"known: {exc}") from exc
 
 
-def reload(running: Config, consumers: Sequence[Watcher | Notices], log: Log) -> Config:
+def reload(running: Config, consumers: Sequence[Watcher | Notifier], log: Log) -> Config:
     """Reload the configuration and apply it; an invalid one changes nothing."""
     try:
         config = reload_config(running)
@@ -104,7 +104,12 @@
 
     limits = operator_limits(limits)
     try:
-        Listener(listening(address, limits), Management(intake, figures, sender, listener.drain), limits, log)
+        Listener(
+            listening_socket(address, limits),
+            Management(intake, figures, sender, listener.drain),
+            limits,
+            log,
+        )
     except OSError as exc:
         raise ConfigError(f"mgmt: {address[0]}:{address[1]}: {exc.strerror}") from exc
 
@@ -151,7 +156,7 @@
         pushed=not settings.must_ask,
         seed=config.seed,
     )
-    notices = Notices(config.discovery, limits, sender.put, log, journal.wait_synced)
+    notices = Notifier(config.discovery, limits, sender.put, log, journal.wait_synced)
     report = config.names.report
     workers = Workers(limits, settings.slots, report, clearance, sender.put, log, figures)
     sender.attach(workers, watcher, notices)
@@ -168,7 +173,9 @@
     SYSTEM.sleep(limits.settle_ms)
     intake = Intake(sender.put, limits.retry_after_s, figures)
     try:
-        listener = Listener(inherited_socket() or listening(config.listen, limits), intake, limits, log)
+        listener = Listener(
+            inherited_socket() or listening_socket(config.listen, limits), intake, limits, log
+        )
     except OSError as exc:
         raise ConfigError(f"listen: {config.listen[0]}:{config.listen[1]}: {exc.strerror}") from exc
     if config.mgmt is not None:
--- a/springspread/fleet/wire.py
+++ b/springspread/fleet/wire.py
@@ -56,9 +56,9 @@
 class Returning:
     """The progress of an instance's start, for information only.
 
-    ``gate``: the one that it waits at (``core.startup_stages``), ``since`` when (ms); ``owed``: how many of the
-    ``at_start`` messages that it had to deliver have no final state yet; ``damaged``: ranges of its journal
-    that could not be read.
+    ``gate``: the stage that it is in (``core.startup_stages``), ``since`` when (ms); ``owed``: how many of
+    the ``at_start`` messages that it had to deliver have no final state yet; ``damaged``: ranges of its
+    journal that could not be read.
     """
 
     gate: str
--- a/tests/faults/test_crowded_discovery.py
+++ b/tests/faults/test_crowded_discovery.py
@@ -12,7 +12,7 @@
 
 from springspread.core.types import clock
 from tests.faults.test_late_calls import GRACE_MS, NOTIFIED_MS, NOTIFIED_WAIT_MS, World
-from tests.list_service import Asked, Behavior, Line, wait_for
+from tests.list_service import Behavior, ListRequest, RequestQueue, wait_for
 
 SENDERS = 6
 TURN_MS = 400.0  # as the evidence of incident 40 shows it
@@ -34,9 +34,9 @@
         one.close()
 
 
-def open_watch(world: World) -> Asked | None:
+def open_watch(world: World) -> ListRequest | None:
     """The watch that waits now, if one does."""
-    last = world.service.asked[-1]
+    last = world.service.list_requests[-1]
     return last if last.wait_ms > NOTIFIED_MS / 10 and not last.answered_at else None
 
 
@@ -44,7 +44,7 @@
     """Have the open watch fall silent and then the endpoint drain: when that counts as notified (ms)."""
     wait_for(lambda: open_watch(world), "an open watch")
     silent_at = world.service.silence()
-    watch = next(one for one in reversed(world.service.asked) if one.silent_at)
+    watch = next(one for one in reversed(world.service.list_requests) if one.silent_at)
     world.service.change("s-0", "Terminating")
     return max(silent_at + NOTIFIED_MS, watch.at + watch.wait_ms + NOTIFIED_WAIT_MS)
 
@@ -58,14 +58,14 @@
 def test_six_senders_whose_watches_fall_silent_together_know_of_a_drain_in_time(
     worlds: Callable[[int], list[World]], patience_ms: float
 ) -> None:
-    fleet, line = worlds(SENDERS), Line(TURN_MS, patience_ms)
+    fleet, line = worlds(SENDERS), RequestQueue(TURN_MS, patience_ms)
     for world in fleet:
         world.start(senders=SENDERS)
         world.load()
     for world in fleet:
         world.new_watch()  # news of all reach all at once, and their watches begin together
     for world in fleet:
-        world.service.line = line
+        world.service.queue = line
     notified = [silenced(world) for world in fleet]
     assert [late(world, at) for world, at in zip(fleet, notified, strict=True)] == [[]] * SENDERS
 
@@ -79,7 +79,7 @@
     world.start(senders=SENDERS)
     world.load()
     world.new_watch()
-    world.service.line = Line(turn_ms)
+    world.service.queue = RequestQueue(turn_ms)
     assert not late(world, silenced(world))
 
 
@@ -94,7 +94,9 @@
     world.new_watch()
     notified = silenced(world)
     world.service.down = then
-    wait_for(lambda: world.service.asked[-1].at > notified + GRACE_MS + 500.0, "a request after the grace")
+    wait_for(
+        lambda: world.service.list_requests[-1].at > notified + GRACE_MS + 500.0, "a request after the grace"
+    )
     world.service.down = None
     assert not late(world, notified)
 
--- a/tests/fleet/test_allocator.py
+++ b/tests/fleet/test_allocator.py
@@ -210,7 +210,7 @@
                 self.allocator.report(self.now, owner, report.key, report.serial, report.made, report.last_at)
             self.allocator.set_demand(self.now, owner, KEY, lease_cache.demands(self.now).get(KEY, 0))
         for lease in self.allocator.allocate(self.now):
-            self.lease_caches[lease.owner].received(lease, self.now)
+            self.lease_caches[lease.owner].add_lease(lease, self.now)
 
     def max_in_span(self, span: float) -> int:
         times = [at for at, _ in self.made]
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -33,11 +33,11 @@
     Result,
     clock,
 )
-from springspread.net.endpoints import Kept, Workers
+from springspread.net.endpoints import ConnectionPool, Workers
 from springspread.net.exchange import Connection
-from springspread.net.notices import Notices
-from tests.peer import WAIT_S, Peer, Program, serving, until
-from tests.test_spoilt import Silent, read_request
+from springspread.net.notices import Notifier
+from tests.peer import WAIT_S, Peer, Program, serve_connections, until
+from tests.test_malformed_answers import NullLog, read_request
 
 OK = b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n"
 RESET = b"\1\0\0\0\0\0\0\0"
@@ -51,7 +51,7 @@
         self.sock = socket.create_server(("127.0.0.1", 0))
         self.requests: list[bytes] = []
         self.rest: list[bytes] = []  # received after the script, by connection
-        serving(self.sock, self.serve)
+        serve_connections(self.sock, self.serve)
 
     def serve(self, sock: socket.socket) -> None:
         data = b""
@@ -75,7 +75,7 @@
         self.ends: list[CoreEvent] = []
         self.journal = Journal(folder, 3_000_000)
         clearance = Clearance(self.journal, 450.0)
-        self.workers = Workers(Limits(), 1, (), clearance, self.ends.append, Silent())
+        self.workers = Workers(Limits(), 1, (), clearance, self.ends.append, NullLog())
         port = self.endpoint.sock.getsockname()[1]
         self.target = Endpoint(1, "s-1", "127.0.0.1", port, 7, True, 5)
 
@@ -189,7 +189,7 @@
     call = rig.start()
     if first == "the bytes":
         assert wrote.wait(WAIT_S)
-        until(lambda: rig.workers._open[call].heard or not sent, "they are read")
+        until(lambda: rig.workers._open[call].received or not sent, "they are read")
     else:
         until(lambda: rig.endpoint.requests, "the request")
     rig.workers.cancel(call)
@@ -264,7 +264,7 @@
     rig = make_rig(script)
     rig.start(safe=False)
     assert rig.result() is Result.DELIVERED
-    (kept,) = [line[0] for line in rig.workers._kept._idle.values()]
+    (kept,) = [line[0] for line in rig.workers._pool._idle.values()]
     alive = kept.alive
 
     def check_alive() -> bool:
@@ -299,7 +299,7 @@
 def test_a_connection_returned_while_its_endpoint_is_removed_is_not_kept(first: str) -> None:
     server = RawServer(sends(OK))
     address = ("127.0.0.1", server.sock.getsockname()[1])
-    endpoint, kept = Endpoint(1, "s-1", *address, 7, True, 5), Kept(Limits(), Figures(()))
+    endpoint, kept = Endpoint(1, "s-1", *address, 7, True, 5), ConnectionPool(Limits(), Figures(()))
     lock = kept._lock
 
     def remove() -> None:
@@ -310,7 +310,7 @@
     if first == "it is removed":
         kept._lock = RacingLock(lock, remove)  # type: ignore[assignment]
     connection = Connection(address, clock() + 1000.0, Limits())
-    kept.give(endpoint, connection)
+    kept.release(endpoint, connection)
     if first == "it is returned":
         remove()
     assert not kept._idle and connection.sock.fileno() < 0
@@ -323,7 +323,7 @@
     platform = RawServer(lambda sock: answers.pop(0)(sock))
     events: list[CoreEvent] = []
     address = ("127.0.0.1", platform.sock.getsockname()[1])
-    notices = Notices(address, Limits(), events.append, Silent(), lambda: None)
+    notices = Notifier(address, Limits(), events.append, NullLog(), lambda: None)
     notices.deliver(Notice(4, "late", False))
     until(lambda: events, "its answer")
     assert events == [NoticesDelivered((4,))]
@@ -342,7 +342,7 @@
     platform = RawServer(slow)
     events: list[CoreEvent] = []
     address = ("127.0.0.1", platform.sock.getsockname()[1])
-    notices = Notices(address, limits, events.append, Silent(), lambda: None)
+    notices = Notifier(address, limits, events.append, NullLog(), lambda: None)
     for number in range(10):
         notices.deliver(Notice(number, f"m{number}", False))
     until(lambda: sum(len(cast(NoticesDelivered, one).numbers) for one in events) == 10, "all of them")
@@ -369,7 +369,7 @@
 ) -> None:
     with peer.lock:
         peer.watch_bodies = [json.dumps(peer.members("Terminating", 2)).encode()]
-    until(lambda: not peer.watch_bodies and "since=2" in peer.asked[-1], "the drain is applied")
+    until(lambda: not peer.watch_bodies and "since=2" in peer.list_targets[-1], "the drain is applied")
     assert [program.hand_in("safe"), program.hand_in("once", "pay")] == [202, 202]
     program.end(how)
     assert not peer.calls and not peer.notices
--- a/tests/test_journal_ownership.py
+++ b/tests/test_journal_ownership.py
@@ -66,14 +66,14 @@
     processes: tuple[Program, Program], peer: Peer
 ) -> None:
     old, new = processes
-    peer.hold.clear()
+    peer.answer_calls.clear()
     assert old.hand_in("pay", cls="pay") == 202
     until(lambda: peer.ids() == ["pay"], "it is called")
     assert new.hand_in("pay", cls="pay") == 202  # already pending
     assert new.hand_in("pay", cls="pay", body=b"other") == 409
     old.end(signal.SIGKILL)  # during its call, which may have run
     until(lambda: [one["id"] for one in peer.notices] == ["pay"], "it is reported as undeliverable")
-    peer.hold.set()
+    peer.answer_calls.set()
     assert peer.notices[0]["status"] != "deferred" and peer.ids() == ["pay"]
 
 
--- a/tests/test_power.py
+++ b/tests/test_power.py
@@ -111,14 +111,14 @@
     before(program)
     program.end(signal.SIGKILL)
     peer.calls.clear()
-    peer.hold.set()
+    peer.answer_calls.set()
     program.start()
     return program
 
 
 @pytest.mark.parametrize("durability", ["power", "process"])
 def test_messages_answered_202_survive_a_power_loss(tmp_path: Path, peer: Peer, durability: str) -> None:
-    peer.hold.clear()
+    peer.answer_calls.clear()
     ids = [f"m{n}" for n in range(12)]
 
     def hand_in(program: Program) -> None:
@@ -139,7 +139,7 @@
 def test_unsafe_call_in_flight_at_a_power_loss_is_not_repeated(
     tmp_path: Path, peer: Peer, durability: str
 ) -> None:
-    peer.hold.clear()
+    peer.answer_calls.clear()
 
     def call(program: Program) -> None:
         assert program.hand_in("paid", "pay", left=8000) == 202
--- a/tests/test_reload.py
+++ b/tests/test_reload.py
@@ -54,22 +54,22 @@
 def test_watch_interrupted_by_a_reload_is_not_a_failure(program: Program, peers: list[Peer]) -> None:
     old, new = peers
     until(lambda: old.watches, "a watch at the old address")
-    old.hold_watch.clear()
+    old.answer_watches.clear()
     until(lambda: old.hanging, "a watch that hangs")
     program.move(new)
     until(lambda: new.watches > 1, "the watch at the new address")
     assert not events(program, "discovery failed")
-    old.hold_watch.set()
+    old.answer_watches.set()
 
 
 def test_list_of_the_new_address_is_fetched_whole(program: Program, peers: list[Peer]) -> None:
     old, new = peers
     with old.lock:
-        old.hold_watch.clear()
+        old.answer_watches.clear()
         old.watch_bodies = [json.dumps({**old.members(), "index": 40}).encode()]
-    until(lambda: not old.watch_bodies and "since=40" in old.asked[-1], "its list is read")
+    until(lambda: not old.watch_bodies and "since=40" in old.list_targets[-1], "its list is read")
     program.move(new)
-    until(lambda: "/catalog/members" in new.asked, "the whole list")
+    until(lambda: "/catalog/members" in new.list_targets, "the whole list")
 
 
 @pytest.mark.parametrize(
--- a/tests/test_watch.py
+++ b/tests/test_watch.py
@@ -33,8 +33,8 @@
 )
 from springspread.net import exchange
 from springspread.net.discovery import Watcher
-from tests.peer import serving, until
-from tests.test_spoilt import Silent, read_request
+from tests.peer import serve_connections, until
+from tests.test_malformed_answers import NullLog, read_request
 
 WAIT_MS = 5000.0
 FAILURES = st.sampled_from(list(Failure))
@@ -361,7 +361,7 @@
     def __post_init__(self) -> None:
         self.asked: SimpleQueue[tuple[float, str]] = SimpleQueue()
         self.open: list[socket.socket] = []
-        serving(self.sock, self.serve)
+        serve_connections(self.sock, self.serve)
 
     def serve(self, sock: socket.socket) -> None:
         self.open.append(sock)
@@ -416,7 +416,7 @@
         self.updates: list[ListUpdate] = []
         limits = replace(Limits(), watch_ms=wait_ms)
         names = Names(("portal",), ("a",), ())
-        self.watcher = Watcher(discovery.address, names, 7, limits, self.put, Silent(), senders=LARGE)
+        self.watcher = Watcher(discovery.address, names, 7, limits, self.put, NullLog(), senders=LARGE)
         self.watcher.watch(True)
 
     def put(self, event: CoreEvent) -> None:
