--- a/springspread/__main__.py
+++ b/springspread/__main__.py
@@ -34,7 +34,7 @@
 from springspread.net.listener import Listener, listening_socket
 from springspread.net.notices import Notifier
 from springspread.net.threads import spawn
-from springspread.platform.catalog import Unreadable, read_groups
+from springspread.platform.catalog import InvalidListError, read_groups
 from springspread.platform.intake import Intake
 
 if TYPE_CHECKING:
@@ -52,7 +52,7 @@
         return ListUpdate(Scope.CACHED)
     try:
         return read_groups(config.known, config.names, 0.0, cached=True)
-    except Unreadable as exc:
+    except InvalidListError as exc:
         raise ConfigError(f"known: {exc}") from exc
 
 
--- a/springspread/net/discovery.py
+++ b/springspread/net/discovery.py
@@ -112,7 +112,7 @@
                     self._put_withdrawn(exc.answer)
                 except RefusedError as exc:
                     self._failed(ask, Failure.REFUSED, exc)
-                except (DeadlineExceededError, catalog.Unreadable, Malformed) as exc:
+                except (DeadlineExceededError, catalog.InvalidListError, Malformed) as exc:
                     # No complete, readable answer in time.
                     self._failed(ask, Failure.SILENT, exc)
                 except FAILURES as exc:
@@ -156,7 +156,7 @@
             return
         try:
             update = catalog.read_list(answer.body, self._names, clock())
-        except catalog.Unreadable:
+        except catalog.InvalidListError:
             return
         withdrawn = tuple(member for member in update.members if member.state is not EndpointState.READY)
         if not withdrawn:
--- a/springspread/platform/catalog.py
+++ b/springspread/platform/catalog.py
@@ -17,7 +17,7 @@
 }
 
 
-class Unreadable(Exception):
+class InvalidListError(Exception):
     """An answer of discovery that makes no sense."""
 
 
@@ -31,17 +31,17 @@
     try:
         raw = json.loads(body)
     except (ValueError, RecursionError) as exc:
-        raise Unreadable(f"not JSON: {exc}") from exc
+        raise InvalidListError(f"not JSON: {exc}") from exc
     return read_groups(raw, names, notified_at)
 
 
 def read_groups(raw: object, names: Names, notified_at: float, *, cached: bool = False) -> ListUpdate:
     """Read the decoded form; one bad line makes the whole of it unreadable."""
     if not isinstance(raw, Mapping) or not isinstance(raw.get("endpoints"), list):
-        raise Unreadable("endpoints: must be a list")
+        raise InvalidListError("endpoints: must be a list")
     version = raw.get("index")
     if not isinstance(version, int) or isinstance(version, bool) or version < 0:
-        raise Unreadable(f"index: not a version: {version!r}")
+        raise InvalidListError(f"index: not a version: {version!r}")
     members = tuple(_member(n, item, names) for n, item in enumerate(raw["endpoints"]))
     whole = Scope.WHOLE if raw.get("snapshot") is True else Scope.CHANGES
     return ListUpdate(Scope.CACHED if cached else whole, version, members, notified_at)
@@ -49,16 +49,16 @@
 
 def _member(n: int, item: object, names: Names) -> Member:
     if not isinstance(item, Mapping):
-        raise Unreadable(f"endpoints[{n}]: must be an object")
+        raise InvalidListError(f"endpoints[{n}]: must be an object")
     name, (host, colon, port) = item.get("name"), str(item.get("address")).rpartition(":")
     if not isinstance(name, str) or not name:
-        raise Unreadable(f"endpoints[{n}].name: missing")
+        raise InvalidListError(f"endpoints[{n}].name: missing")
     # A state that is not known is one that wants nothing new.
     state = STATES.get(str(item.get("status")), EndpointState.DRAINING)
     if state is EndpointState.GONE:
         host, port = host or "gone", port if port.isdigit() else "1"  # never called: its address is no matter
     elif not colon or not host or not (port.isascii() and port.isdigit()) or not 0 < int(port) < 65536:
-        raise Unreadable(f"endpoints[{n}].address: {item.get('address')!r}")
+        raise InvalidListError(f"endpoints[{n}].address: {item.get('address')!r}")
     group = _number(n, item, "group", None)
     return Member(
         name=name,
@@ -76,7 +76,7 @@
 def _number(n: int, item: Mapping[str, object], key: str, default: float | None) -> float:
     value = item.get(key, default)
     if isinstance(value, bool) or not isinstance(value, (int, float)) or not isfinite(value):
-        raise Unreadable(f"endpoints[{n}].{key}: not a number: {value!r}")
+        raise InvalidListError(f"endpoints[{n}].{key}: not a number: {value!r}")
     return float(value)
 
 
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -190,7 +190,7 @@
     ],
 )
 def test_a_list_that_makes_no_sense_is_a_failure(body: bytes) -> None:
-    with pytest.raises(catalog.Unreadable):
+    with pytest.raises(catalog.InvalidListError):
         catalog.read_list(body, NAMES, 0.0)
 
 
--- a/tests/test_program.py
+++ b/tests/test_program.py
@@ -260,7 +260,7 @@
         "    for text in (b'[' * 90000, b'{\"a\":' * 90000):\n"
         "        try:\n"
         "            catalog.read_list(text, Names((), (), ()), 0.0)\n"
-        "        except catalog.Unreadable:\n"
+        "        except catalog.InvalidListError:\n"
         "            print('unreadable')\n"
         "thread = threading.Thread(target=read)\n"
         "thread.start()\n"
