--- a/springspread/__main__.py
+++ b/springspread/__main__.py
@@ -34,7 +34,7 @@
 from springspread.net.listener import Listener, listening_socket
 from springspread.net.notices import Notifier
 from springspread.net.threads import spawn
-from springspread.platform.catalog import InvalidListError, read_groups
+from springspread.platform.catalog import InvalidListError, read_decoded_list
 from springspread.platform.intake import Intake
 
 if TYPE_CHECKING:
@@ -51,7 +51,7 @@
     if config.known is None:
         return ListUpdate(Scope.CACHED)
     try:
-        return read_groups(config.known, config.names, 0.0, cached=True)
+        return read_decoded_list(config.known, config.names, 0.0, cached=True)
     except InvalidListError as exc:
         raise ConfigError(f"known: {exc}") from exc
 
--- a/springspread/platform/catalog.py
+++ b/springspread/platform/catalog.py
@@ -32,10 +32,10 @@
         raw = json.loads(body)
     except (ValueError, RecursionError) as exc:
         raise InvalidListError(f"not JSON: {exc}") from exc
-    return read_groups(raw, names, notified_at)
+    return read_decoded_list(raw, names, notified_at)
 
 
-def read_groups(raw: object, names: Names, notified_at: float, *, cached: bool = False) -> ListUpdate:
+def read_decoded_list(raw: object, names: Names, notified_at: float, *, cached: bool = False) -> ListUpdate:
     """Read the decoded form; one bad line makes the whole of it unreadable."""
     if not isinstance(raw, Mapping) or not isinstance(raw.get("endpoints"), list):
         raise InvalidListError("endpoints: must be a list")
