--- a/springspread/net/endpoints.py
+++ b/springspread/net/endpoints.py
@@ -215,7 +215,7 @@
         self._log.debug("connecting", endpoint=call.endpoint.name, group=call.endpoint.group)
         try:
             address = (call.endpoint.host, call.endpoint.port)
-            return Connection(address, until, self._limits, delivery.OPTIONAL)
+            return Connection(address, until, self._limits, delivery.OPTIONAL_HEADERS)
         except OSError:
             return None
 
--- a/springspread/platform/delivery.py
+++ b/springspread/platform/delivery.py
@@ -14,7 +14,7 @@
 from springspread.http1.message import Headers
 
 LOAD = "x-backend-load"
-OPTIONAL = frozenset({LOAD})  # what an answer may garble and still be good
+OPTIONAL_HEADERS = frozenset({LOAD})  # what an answer may garble and still be good
 ONE, MANY, PING = "/events", "/events/bundle", "/ping"
 STATES = {
     "done": (Result.DELIVERED, False),
