--- a/springspread/net/endpoints.py
+++ b/springspread/net/endpoints.py
@@ -252,7 +252,7 @@
         if refused is not None:
             self._withhold(call, refused)
             return refused.result is not Result.CANCELLED
-        request = delivery.write_call(call, clock())
+        request = delivery.encode_call(call, clock())
         may_finish = partial(self._may_finish, call) if call.once else None
         written_at = clock()
         self._log.debug(
@@ -336,7 +336,7 @@
         result, load = Result.NOT_CONNECTED, Load()
         connection = self._connect(call, until)
         if connection is not None:
-            request = delivery.write_call(call, clock())
+            request = delivery.encode_call(call, clock())
             try:
                 connection.write(request.method, request.target, request.headers, request.body, until)
                 result = Result.BROKEN
--- a/springspread/platform/delivery.py
+++ b/springspread/platform/delivery.py
@@ -56,7 +56,7 @@
     body: bytes = b""
 
 
-def write_call(call: Call, now: float) -> Outgoing:
+def encode_call(call: Call, now: float) -> Outgoing:
     """The request that carries a call."""
     host = f"{call.endpoint.host}:{call.endpoint.port}"
     if not call.attempts:
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -85,9 +85,9 @@
 
 
 def test_one_message_goes_alone_and_more_go_as_a_bundle() -> None:
-    one = delivery.write_call(call(1), 500.0)
+    one = delivery.encode_call(call(1), 500.0)
     assert (one.target, one.headers["X-Time-Left-Ms"], one.body) == ("/events", "1500", b"hello")
-    many = delivery.write_call(call(2), 500.0)
+    many = delivery.encode_call(call(2), 500.0)
     items = json.loads(many.body)
     assert many.target == "/events/bundle" and [item["id"] for item in items] == ["id-0", "id-1"]
     assert b64decode(items[0]["body"]) == b"hello"
