--- a/springspread/net/endpoints.py
+++ b/springspread/net/endpoints.py
@@ -288,7 +288,7 @@
             return connection.reusable and not reading.fault
         except DeadlineExceededError:
             connection.abort()  # before the slot is released, so that the endpoint sees the end first
-            self._end_all(call, delivery.read_part(call, connection.status, Result.TIMED_OUT))
+            self._end_all(call, delivery.read_incomplete_answer(call, connection.status, Result.TIMED_OUT))
         except (ConnectionLostError, Malformed) as exc:
             self._record_break(call, connection, written_at)
             result = Result.BROKEN
@@ -296,7 +296,7 @@
                 self._log.warning("malformed answer", endpoint=call.endpoint.name, fault=str(exc))
                 result = Result.MALFORMED
             result = Result.CANCELLED if call.cancelled.is_set() else result
-            self._end_all(call, delivery.read_part(call, connection.status, result))
+            self._end_all(call, delivery.read_incomplete_answer(call, connection.status, result))
         return False
 
     def _withhold(self, call: Call, refused: Refusal) -> None:
--- a/springspread/platform/delivery.py
+++ b/springspread/platform/delivery.py
@@ -101,7 +101,7 @@
     return Reading(tuple(End(run, result, over) for run in call.attempts), wait, load, fault)
 
 
-def read_part(call: Call, status: int, result: Result) -> Result:
+def read_incomplete_answer(call: Call, status: int, result: Result) -> Result:
     """What ended a call whose answer did not come whole: for one message, a first line with 200 is true."""
     return Result.DELIVERED if len(call.attempts) == 1 and status == 200 else result
 
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -144,7 +144,7 @@
     ],
 )
 def test_a_first_line_is_true_for_one_message_alone(count: int, status: int, result: Result) -> None:
-    assert delivery.read_part(call(count), status, Result.MALFORMED) is result
+    assert delivery.read_incomplete_answer(call(count), status, Result.MALFORMED) is result
 
 
 def test_reports_and_waits_are_read_and_nonsense_is_not() -> None:
