--- a/springspread/net/endpoints.py
+++ b/springspread/net/endpoints.py
@@ -323,7 +323,7 @@
         """Whether the last byte of a call may still be written."""
         return not call.cancelled.is_set() and self._clearance.retry_after_left_ms(call.endpoint) <= 0.0
 
-    def _apply(self, call: Call, reading: delivery.Reading) -> None:
+    def _apply(self, call: Call, reading: delivery.ParsedAnswer) -> None:
         if reading.wait_ms > 0:
             self._clearance.set_retry_after(call.endpoint, reading.wait_ms)
         if reading.fault:
--- a/springspread/platform/delivery.py
+++ b/springspread/platform/delivery.py
@@ -37,7 +37,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Reading:
+class ParsedAnswer:
     """What an answer says."""
 
     ends: tuple[End, ...]
@@ -91,14 +91,14 @@
     return Load(*(told.get(name) if name in fields else None for name in ("x0", "x1")))
 
 
-def read_answer(call: Call, answer: Answer, fields: tuple[str, ...]) -> Reading:
+def read_answer(call: Call, answer: Answer, fields: tuple[str, ...]) -> ParsedAnswer:
     """What an answer says of each attempt of a call."""
     load, wait = read_load(answer.headers, fields), read_wait(answer.headers)
     if answer.status == 200 and len(call.attempts) > 1:
         ends, fault = _read_bundle(call, answer.body)
-        return Reading(ends, wait, load, fault)
+        return ParsedAnswer(ends, wait, load, fault)
     result, over, fault = _read_status(answer)
-    return Reading(tuple(End(run, result, over) for run in call.attempts), wait, load, fault)
+    return ParsedAnswer(tuple(End(run, result, over) for run in call.attempts), wait, load, fault)
 
 
 def read_incomplete_answer(call: Call, status: int, result: Result) -> Result:
