--- a/springspread/net/endpoints.py
+++ b/springspread/net/endpoints.py
@@ -329,7 +329,7 @@
         if reading.fault:
             self._log.warning("unexpected answer", endpoint=call.endpoint.name, fault=reading.fault)
         for end in reading.ends:
-            self._end(call, end.attempt, end.result, reading.wait_ms, reading.load, end.over)
+            self._end(call, end.attempt, end.result, reading.wait_ms, reading.load, end.final)
 
     def _probe(self, call: Call) -> None:
         until = call.sent_at + PROBE_TIMEOUT_MS
--- a/springspread/platform/delivery.py
+++ b/springspread/platform/delivery.py
@@ -33,7 +33,7 @@
 
     attempt: Attempt
     result: Result
-    over: bool = False
+    final: bool = False
 
 
 @dataclass(frozen=True, slots=True)
@@ -97,8 +97,8 @@
     if answer.status == 200 and len(call.attempts) > 1:
         ends, fault = _read_bundle(call, answer.body)
         return ParsedAnswer(ends, wait, load, fault)
-    result, over, fault = _read_status(answer)
-    return ParsedAnswer(tuple(End(run, result, over) for run in call.attempts), wait, load, fault)
+    result, final, fault = _read_status(answer)
+    return ParsedAnswer(tuple(End(run, result, final) for run in call.attempts), wait, load, fault)
 
 
 def read_incomplete_answer(call: Call, status: int, result: Result) -> Result:
@@ -140,6 +140,6 @@
     for run in call.attempts:
         # What can't be read whole may hold anything; what the answer does not name may have run.
         told = readable and run.id in states
-        result, over = STATES[states[run.id]] if told else (Result.MALFORMED, False)
-        ends.append(End(run, result, over))
+        result, final = STATES[states[run.id]] if told else (Result.MALFORMED, False)
+        ends.append(End(run, result, final))
     return tuple(ends), fault
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -94,7 +94,7 @@
 
 
 @pytest.mark.parametrize(
-    ("status", "fields", "result", "over"),
+    ("status", "fields", "result", "final"),
     [
         (200, [], Result.DELIVERED, False),
         (500, [], Result.ERROR, False),
@@ -106,9 +106,9 @@
         (418, [], Result.ERROR, False),
     ],
 )
-def test_outcomes_follow_the_protocol(status: int, fields: list[str], result: Result, over: bool) -> None:
+def test_outcomes_follow_the_protocol(status: int, fields: list[str], result: Result, final: bool) -> None:
     reading = delivery.read_answer(call(1), Answer(status, headers(*fields), b""), NAMES.report)
-    assert [(end.result, end.over) for end in reading.ends] == [(result, over)]
+    assert [(end.result, end.final) for end in reading.ends] == [(result, final)]
     assert reading.wait_ms == (250.0 if status == 429 else 0.0)
 
 
@@ -124,7 +124,7 @@
         Result.NOT_SENT,
         Result.MALFORMED,  # not named: it may have run
     ]
-    assert [end.over for end in reading.ends] == [False, False, False, True, False, False]
+    assert [end.final for end in reading.ends] == [False, False, False, True, False, False]
     assert reading.wait_ms == 1000.0
 
 
