--- a/springspread/net/notices.py
+++ b/springspread/net/notices.py
@@ -12,7 +12,7 @@
 from springspread.http1.client import Answer
 from springspread.net.exchange import FAILURES, Caller, DeadlineExceededError, MovedError
 from springspread.net.threads import spawn
-from springspread.platform import finals
+from springspread.platform import notices
 
 MAX_TIMEOUT_DOUBLINGS = 2  # of a call's timeout, one for each consecutive call that timed out
 
@@ -81,13 +81,13 @@
                 # Each timeout doubles the next, so that a platform slower than the first gets to answer.
                 timeout_ms = self._limits.notice_ms * float(2 ** min(self._timeouts, MAX_TIMEOUT_DOUBLINGS))
                 until = clock() + timeout_ms
-                return self._caller.call("POST", finals.PATH, headers, body, until)
+                return self._caller.call("POST", notices.PATH, headers, body, until)
             except MovedError as exc:
                 self._log.info("platform address changed", cut_off=str(exc))
 
     def _post(self, batch: list[Notice]) -> PostOutcome:
         headers = {"Content-Type": "application/x-ndjson"}
-        body = finals.write_notices(batch)
+        body = notices.write_notices(batch)
         try:
             self._settle()  # a power loss must not lead to a second, different outcome
         except OSError as exc:
