--- a/springspread/net/notices.py
+++ b/springspread/net/notices.py
@@ -87,7 +87,7 @@
 
     def _post(self, batch: list[Notice]) -> PostOutcome:
         headers = {"Content-Type": "application/x-ndjson"}
-        body = notices.write_notices(batch)
+        body = notices.encode_notices(batch)
         try:
             self._settle()  # a power loss must not lead to a second, different outcome
         except OSError as exc:
--- a/springspread/platform/notices.py
+++ b/springspread/platform/notices.py
@@ -11,7 +11,7 @@
 PATH = "/v2/finals"
 
 
-def write_notices(notices: Iterable[Notice]) -> bytes:
+def encode_notices(notices: Iterable[Notice]) -> bytes:
     """One JSON object a line."""
     lines = []
     for notice in notices:
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -196,7 +196,7 @@
 
 def test_notices_are_lines() -> None:
     told = [Notice(1, "a", False), Notice(2, "b", True, 499.2), Notice(3, "c", True)]
-    assert notices.write_notices(told) == (
+    assert notices.encode_notices(told) == (
         b'{"id":"a","status":"undeliverable"}\n'
         b'{"id":"b","status":"deferred","again_ms":500}\n'
         b'{"id":"c","status":"deferred"}\n'
