--- a/springspread/__main__.py
+++ b/springspread/__main__.py
@@ -35,7 +35,7 @@
 from springspread.net.notices import Notifier
 from springspread.net.threads import spawn
 from springspread.platform.catalog import InvalidListError, read_decoded_list
-from springspread.platform.intake import Intake
+from springspread.platform.client_api import Intake
 
 if TYPE_CHECKING:
     from springspread.fleet.client import FleetShares
--- a/springspread/net/listener.py
+++ b/springspread/net/listener.py
@@ -19,7 +19,7 @@
 from springspread.http1.server import Phase, Request, ServerConnection
 from springspread.http1.shutdown import Event, Shutdown, State
 from springspread.net.threads import spawn
-from springspread.platform.intake import Reply
+from springspread.platform.client_api import Reply
 
 EVICTION_LOG_INTERVAL_MS = 1000.0
 MAX_ACCEPTS = 64  # per loop iteration, so that connected clients are served in between
--- a/springspread/platform/management.py
+++ b/springspread/platform/management.py
@@ -12,7 +12,7 @@
 from springspread.core.figures import Figure, Figures, Occurrence
 from springspread.core.types import Message
 from springspread.http1.server import Request
-from springspread.platform.intake import Intake, Reply
+from springspread.platform.client_api import Intake, Reply
 
 TEXT = "text/plain; version=0.0.4; charset=utf-8"
 METHODS = {"/ready": "GET", "/metrics": "GET", "/drain": "POST", "/undrain": "POST"}
--- a/tests/test_client_shutdown.py
+++ b/tests/test_client_shutdown.py
@@ -233,7 +233,7 @@
     """The listener alone, drained while requests are on their way."""
     from springspread.config import Limits
     from springspread.net.listener import Listener, listening_socket
-    from springspread.platform.intake import Intake
+    from springspread.platform.client_api import Intake
     from tests.test_malformed_answers import NullLog
 
     listener = Listener(
@@ -257,7 +257,7 @@
 def test_a_closed_listener_waits_without_a_timeout() -> None:
     from springspread.config import Limits
     from springspread.net.listener import Listener, listening_socket
-    from springspread.platform.intake import Intake
+    from springspread.platform.client_api import Intake
     from tests.test_malformed_answers import NullLog
 
     listener = Listener(
@@ -281,7 +281,7 @@
 
     from springspread.config import Limits
     from springspread.net.listener import Listener, listening_socket
-    from springspread.platform.intake import Intake
+    from springspread.platform.client_api import Intake
     from tests.test_malformed_answers import NullLog
 
     limits = replace(Limits(), client_connections=2, client_closing_connections=4, client_idle_ms=60_000.0)
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -12,7 +12,7 @@
 from springspread.http1.client import Answer
 from springspread.http1.message import Headers, Malformed, parse_head
 from springspread.platform import catalog, delivery, notices
-from springspread.platform.intake import Faulty, read_message
+from springspread.platform.client_api import Faulty, read_message
 
 GOOD = {
     "X-Correlation-Id": "9b1f03aa5c7e2d41",
