--- a/springspread/__main__.py
+++ b/springspread/__main__.py
@@ -35,7 +35,7 @@
 from springspread.net.notices import Notifier
 from springspread.net.threads import spawn
 from springspread.platform.catalog import InvalidListError, read_decoded_list
-from springspread.platform.client_api import Intake
+from springspread.platform.client_api import ClientApi
 
 if TYPE_CHECKING:
     from springspread.fleet.client import FleetShares
@@ -92,7 +92,7 @@
 
 def serve_operators(
     address: Address,
-    intake: Intake,
+    intake: ClientApi,
     figures: Figures,
     sender: Sender,
     listener: Listener,
@@ -171,7 +171,7 @@
     # Where CPU time is charged to the clock, it may run ahead after startup until the process has slept;
     # messages accepted before that would be given up too late.
     SYSTEM.sleep(limits.settle_ms)
-    intake = Intake(sender.put, limits.retry_after_s, figures)
+    intake = ClientApi(sender.put, limits.retry_after_s, figures)
     try:
         listener = Listener(
             inherited_socket() or listening_socket(config.listen, limits), intake, limits, log
--- a/springspread/platform/client_api.py
+++ b/springspread/platform/client_api.py
@@ -49,7 +49,7 @@
     return Message(id, cls, int(dest[1]), begun + int(left), body, repeat == "1", repeat == "again")
 
 
-class Intake:
+class ClientApi:
     """Answers requests; for a message it asks the core for its verdict."""
 
     def __init__(
--- a/springspread/platform/management.py
+++ b/springspread/platform/management.py
@@ -12,7 +12,7 @@
 from springspread.core.figures import Figure, Figures, Occurrence
 from springspread.core.types import Message
 from springspread.http1.server import Request
-from springspread.platform.client_api import Intake, Reply
+from springspread.platform.client_api import ClientApi, Reply
 
 TEXT = "text/plain; version=0.0.4; charset=utf-8"
 METHODS = {"/ready": "GET", "/metrics": "GET", "/drain": "POST", "/undrain": "POST"}
@@ -29,7 +29,7 @@
     """Stands where a listener has its front; asks nobody who might be busy."""
 
     def __init__(
-        self, intake: Intake, figures: Figures, levels: Levels, drain: Callable[[bool], None]
+        self, intake: ClientApi, figures: Figures, levels: Levels, drain: Callable[[bool], None]
     ) -> None:
         """``drain`` is told whether clients are to be sent away."""
         self._intake, self._figures, self._levels, self._drain = intake, figures, levels, drain
--- a/tests/test_client_shutdown.py
+++ b/tests/test_client_shutdown.py
@@ -233,11 +233,11 @@
     """The listener alone, drained while requests are on their way."""
     from springspread.config import Limits
     from springspread.net.listener import Listener, listening_socket
-    from springspread.platform.client_api import Intake
+    from springspread.platform.client_api import ClientApi
     from tests.test_malformed_answers import NullLog
 
     listener = Listener(
-        listening_socket(("127.0.0.1", 0), Limits()), Intake(lambda _: None), Limits(), NullLog()
+        listening_socket(("127.0.0.1", 0), Limits()), ClientApi(lambda _: None), Limits(), NullLog()
     )
     sock = socket.create_connection(listener.address, timeout=WAIT_S)
     sock.sendall(b"GET /_health HTTP/1.1\r\nHost: x\r\n\r\n")
@@ -257,11 +257,11 @@
 def test_a_closed_listener_waits_without_a_timeout() -> None:
     from springspread.config import Limits
     from springspread.net.listener import Listener, listening_socket
-    from springspread.platform.client_api import Intake
+    from springspread.platform.client_api import ClientApi
     from tests.test_malformed_answers import NullLog
 
     listener = Listener(
-        listening_socket(("127.0.0.1", 0), Limits()), Intake(lambda _: None), Limits(), NullLog()
+        listening_socket(("127.0.0.1", 0), Limits()), ClientApi(lambda _: None), Limits(), NullLog()
     )
     waits: deque[float | None] = deque(maxlen=1)
     select = listener._selector.select
@@ -281,11 +281,13 @@
 
     from springspread.config import Limits
     from springspread.net.listener import Listener, listening_socket
-    from springspread.platform.client_api import Intake
+    from springspread.platform.client_api import ClientApi
     from tests.test_malformed_answers import NullLog
 
     limits = replace(Limits(), client_connections=2, client_closing_connections=4, client_idle_ms=60_000.0)
-    listener = Listener(listening_socket(("127.0.0.1", 0), limits), Intake(lambda _: None), limits, NullLog())
+    listener = Listener(
+        listening_socket(("127.0.0.1", 0), limits), ClientApi(lambda _: None), limits, NullLog()
+    )
     health = b"GET /_health HTTP/1.1\r\nHost: x\r\n\r\n"
     idle = []
     for _ in range(2):
