--- a/springspread/__main__.py
+++ b/springspread/__main__.py
@@ -92,7 +92,7 @@
 
 def serve_operators(
     address: Address,
-    intake: ClientApi,
+    client_api: ClientApi,
     figures: Figures,
     sender: Sender,
     listener: Listener,
@@ -106,7 +106,7 @@
     try:
         Listener(
             listening_socket(address, limits),
-            Management(intake, figures, sender, listener.drain),
+            Management(client_api, figures, sender, listener.drain),
             limits,
             log,
         )
@@ -171,26 +171,26 @@
     # Where CPU time is charged to the clock, it may run ahead after startup until the process has slept;
     # messages accepted before that would be given up too late.
     SYSTEM.sleep(limits.settle_ms)
-    intake = ClientApi(sender.put, limits.retry_after_s, figures)
+    client_api = ClientApi(sender.put, limits.retry_after_s, figures)
     try:
         listener = Listener(
-            inherited_socket() or listening_socket(config.listen, limits), intake, limits, log
+            inherited_socket() or listening_socket(config.listen, limits), client_api, limits, log
         )
     except OSError as exc:
         raise ConfigError(f"listen: {config.listen[0]}:{config.listen[1]}: {exc.strerror}") from exc
     if config.mgmt is not None:
-        serve_operators(config.mgmt, intake, figures, sender, listener, limits, log)
+        serve_operators(config.mgmt, client_api, figures, sender, listener, limits, log)
     signal_number = None
     while not sender.open and signal_number not in STOP_SIGNALS:  # clients get a Retry-After meanwhile
         if (signal_info := signal.sigtimedwait(HANDLED_SIGNALS, READY_CHECK_S)) is not None:
             signal_number = signal_info.si_signo
             if signal_number == signal.SIGHUP:
                 config = reload(config, (watcher, notices), log)
-    intake.ready = sender.open
+    client_api.ready = sender.open
     listen = f"{listener.address[0]}:{listener.address[1]}"
     fields = {"policy": shares.policy} if shares else {}
     fields |= {"pid": os.getpid()}
-    if intake.ready:
+    if client_api.ready:
         log.info("ready", listen=listen, slots=settings.slots, clients=limits.client_connections, **fields)
     while signal_number not in STOP_SIGNALS:
         signal_number = signal.sigwait(HANDLED_SIGNALS)
--- a/springspread/platform/management.py
+++ b/springspread/platform/management.py
@@ -29,10 +29,10 @@
     """Stands where a listener has its front; asks nobody who might be busy."""
 
     def __init__(
-        self, intake: ClientApi, figures: Figures, levels: Levels, drain: Callable[[bool], None]
+        self, client_api: ClientApi, figures: Figures, levels: Levels, drain: Callable[[bool], None]
     ) -> None:
         """``drain`` is told whether clients are to be sent away."""
-        self._intake, self._figures, self._levels, self._drain = intake, figures, levels, drain
+        self._client_api, self._figures, self._levels, self._drain = client_api, figures, levels, drain
 
     def respond(self, request: Request, begun: float, told: Callable[[Message], None]) -> Reply | Message:
         """Answer one call."""
@@ -42,11 +42,11 @@
         if request.method != METHODS[path]:
             return Reply(405, {"Allow": METHODS[path]}, close=True)
         if path == "/ready":
-            return Reply(200 if self._intake.ready else 503, close=True)
+            return Reply(200 if self._client_api.ready else 503, close=True)
         if path == "/metrics":
             return Reply(200, {"Content-Type": TEXT}, body=self.text().encode(), close=True)
-        self._intake.draining = path == "/drain"
-        self._drain(self._intake.draining)
+        self._client_api.draining = path == "/drain"
+        self._drain(self._client_api.draining)
         return Reply(200, close=True)
 
     def text(self) -> str:
