--- a/springspread/__main__.py
+++ b/springspread/__main__.py
@@ -100,13 +100,13 @@
     log: Log,
 ) -> None:
     """Start the operators' listener."""
-    from springspread.platform.management import Management
+    from springspread.platform.management import ManagementApi
 
     limits = operator_limits(limits)
     try:
         Listener(
             listening_socket(address, limits),
-            Management(client_api, figures, sender, listener.drain),
+            ManagementApi(client_api, figures, sender, listener.drain),
             limits,
             log,
         )
--- a/springspread/platform/management.py
+++ b/springspread/platform/management.py
@@ -25,7 +25,7 @@
         """Messages taken and not ended, endpoints listed, and those of them that are avoided; by name."""
 
 
-class Management:
+class ManagementApi:
     """Stands where a listener has its front; asks nobody who might be busy."""
 
     def __init__(
