--- a/springspread/admission/admission.py
+++ b/springspread/admission/admission.py
@@ -18,7 +18,7 @@
 from springspread.config import Limits
 
 
-class Standing(Enum):
+class ClientState(Enum):
     """Where a connection stands."""
 
     NEW = "new"  # connected, and has sent nothing
@@ -31,28 +31,36 @@
     LEAVING = "leaving"  # told its last answer
 
 
-STEPS: dict[Standing, frozenset[Standing]] = {
-    Standing.NEW: frozenset({Standing.READING, Standing.WAITING, Standing.ANSWERED, Standing.LEAVING}),
-    Standing.READING: frozenset({Standing.LAGGING, Standing.WAITING, Standing.ANSWERED, Standing.LEAVING}),
-    Standing.LAGGING: frozenset({Standing.WAITING, Standing.ANSWERED, Standing.LEAVING}),
-    Standing.WAITING: frozenset({Standing.ANSWERED, Standing.LEAVING}),
-    Standing.ANSWERED: frozenset(
-        {Standing.IDLE, Standing.KEPT, Standing.READING, Standing.WAITING, Standing.LEAVING}
+STEPS: dict[ClientState, frozenset[ClientState]] = {
+    ClientState.NEW: frozenset(
+        {ClientState.READING, ClientState.WAITING, ClientState.ANSWERED, ClientState.LEAVING}
     ),
-    Standing.IDLE: frozenset({Standing.READING, Standing.WAITING, Standing.ANSWERED, Standing.LEAVING}),
-    Standing.KEPT: frozenset({Standing.READING, Standing.WAITING, Standing.ANSWERED, Standing.LEAVING}),
-    Standing.LEAVING: frozenset(),
+    ClientState.READING: frozenset(
+        {ClientState.LAGGING, ClientState.WAITING, ClientState.ANSWERED, ClientState.LEAVING}
+    ),
+    ClientState.LAGGING: frozenset({ClientState.WAITING, ClientState.ANSWERED, ClientState.LEAVING}),
+    ClientState.WAITING: frozenset({ClientState.ANSWERED, ClientState.LEAVING}),
+    ClientState.ANSWERED: frozenset(
+        {ClientState.IDLE, ClientState.KEPT, ClientState.READING, ClientState.WAITING, ClientState.LEAVING}
+    ),
+    ClientState.IDLE: frozenset(
+        {ClientState.READING, ClientState.WAITING, ClientState.ANSWERED, ClientState.LEAVING}
+    ),
+    ClientState.KEPT: frozenset(
+        {ClientState.READING, ClientState.WAITING, ClientState.ANSWERED, ClientState.LEAVING}
+    ),
+    ClientState.LEAVING: frozenset(),
 }
 """What may follow on each standing; every connection may end from any."""
 
 ROOM = (
-    Standing.LEAVING,
-    Standing.NEW,
-    Standing.LAGGING,
-    Standing.IDLE,
-    Standing.KEPT,
-    Standing.ANSWERED,
-    Standing.READING,
+    ClientState.LEAVING,
+    ClientState.NEW,
+    ClientState.LAGGING,
+    ClientState.IDLE,
+    ClientState.KEPT,
+    ClientState.ANSWERED,
+    ClientState.READING,
 )
 """In which order room is made. Whoever is WAITING has a request in flight and is never asked. A usual request
 comes whole within milliseconds: one READING for longer goes last, and is told that it may come again.
@@ -69,17 +77,17 @@
     spared_ms: float = inf
 
 
-def rules(limits: Limits) -> dict[Standing, Rule]:
+def rules(limits: Limits) -> dict[ClientState, Rule]:
     """The table of times, from the program's limits."""
     return {
-        Standing.NEW: Rule(limits.client_first_byte_ms, limits.client_new_evictable_ms),
-        Standing.READING: Rule(limits.client_slow_ms, limits.client_partial_evictable_ms),
-        Standing.LAGGING: Rule(limits.client_read_ms - limits.client_slow_ms, 0.0),
-        Standing.WAITING: Rule(limits.verdict_ms),
-        Standing.ANSWERED: Rule(limits.client_write_ms, limits.client_slow_ms),
-        Standing.IDLE: Rule(limits.client_idle_ms, 0.0),
-        Standing.KEPT: Rule(limits.client_idle_ms, 0.0),
-        Standing.LEAVING: Rule(limits.client_linger_ms, limits.client_closing_evictable_ms),
+        ClientState.NEW: Rule(limits.client_first_byte_ms, limits.client_new_evictable_ms),
+        ClientState.READING: Rule(limits.client_slow_ms, limits.client_partial_evictable_ms),
+        ClientState.LAGGING: Rule(limits.client_read_ms - limits.client_slow_ms, 0.0),
+        ClientState.WAITING: Rule(limits.verdict_ms),
+        ClientState.ANSWERED: Rule(limits.client_write_ms, limits.client_slow_ms),
+        ClientState.IDLE: Rule(limits.client_idle_ms, 0.0),
+        ClientState.KEPT: Rule(limits.client_idle_ms, 0.0),
+        ClientState.LEAVING: Rule(limits.client_linger_ms, limits.client_closing_evictable_ms),
     }
 
 
@@ -91,7 +99,7 @@
 class Place:
     """What is held for one connection. ``held`` counts the bytes that are kept of a request not yet whole."""
 
-    standing: Standing
+    standing: ClientState
     since: float
     requests: int = 0
     held: int = 0
@@ -113,7 +121,9 @@
     def __init__(self, limits: Limits) -> None:
         self._limits = limits
         self._rules = rules(limits)
-        self._lines: dict[Standing, OrderedDict[Place, None]] = {kind: OrderedDict() for kind in Standing}
+        self._lines: dict[ClientState, OrderedDict[Place, None]] = {
+            kind: OrderedDict() for kind in ClientState
+        }
         self._held = 0
         self._arrivals, self._arrived_at = 0.0, -inf
         self.closing = False
@@ -121,7 +131,7 @@
     def __len__(self) -> int:
         return sum(map(len, self._lines.values()))
 
-    def count(self, standing: Standing) -> int:
+    def count(self, standing: ClientState) -> int:
         """How many stand so."""
         return len(self._lines[standing])
 
@@ -136,7 +146,7 @@
 
     def room(self, now: float) -> Room:
         """Whether a newcomer may be let in; whoever is named to make room ends before the next look."""
-        leaving = self.count(Standing.LEAVING)
+        leaving = self.count(ClientState.LEAVING)
         everyone = len(self)
         if (
             everyone - leaving < self._limits.client_connections
@@ -149,7 +159,7 @@
         soonest = inf
         for standing in ROOM:
             if (
-                standing is Standing.LEAVING
+                standing is ClientState.LEAVING
                 and self.count(standing) <= self._limits.client_closing_connections
             ):
                 continue  # these stand on the spares and take nobody's place
@@ -162,11 +172,11 @@
             soonest = min(soonest, spared_until)
         return Room(False, at=soonest)
 
-    def _spared(self, standing: Standing, now: float) -> float:
+    def _spared(self, standing: ClientState, now: float) -> float:
         # Guards usual clients at any rate of arrival: who comes in while newcomers are spared must fit in,
         # or nobody is left who can make room.
         spared = self._rules[standing].spared_ms
-        if standing not in (Standing.NEW, Standing.READING):
+        if standing not in (ClientState.NEW, ClientState.READING):
             return spared
         rate = self._arrivals * exp((self._arrived_at - now) / RATE_MS) / RATE_MS
         return min(spared, ROOM_PART * self._limits.client_connections / rate) if rate else spared
@@ -175,9 +185,9 @@
         """Whether there is a spare descriptor for somebody who is only told to come again."""
         return len(self) < self._limits.client_connections + self._limits.client_closing_connections
 
-    def enter(self, now: float, standing: Standing = Standing.NEW) -> Place:
+    def enter(self, now: float, standing: ClientState = ClientState.NEW) -> Place:
         """Give a newcomer its place; LEAVING for one that is turned away."""
-        if standing not in (Standing.NEW, Standing.LEAVING):
+        if standing not in (ClientState.NEW, ClientState.LEAVING):
             raise Misuse(f"nobody begins as {standing.value}")
         self._arrivals = self._arrivals * exp((self._arrived_at - now) / RATE_MS) + 1.0
         self._arrived_at = now
@@ -185,28 +195,28 @@
         self._lines[standing][place] = None
         return place
 
-    def step(self, place: Place, standing: Standing, now: float) -> None:
+    def step(self, place: Place, standing: ClientState, now: float) -> None:
         """Note that a connection stands otherwise from now on."""
         if standing not in STEPS[place.standing]:
             raise Misuse(f"no step from {place.standing.value} to {standing.value}")
         del self._lines[place.standing][place]
-        if standing in (Standing.WAITING, Standing.LEAVING):
+        if standing in (ClientState.WAITING, ClientState.LEAVING):
             self.keep(place, 0)
-        if standing is Standing.READING:
+        if standing is ClientState.READING:
             place.begun = now
         place.standing, place.since = standing, now
         self._lines[standing][place] = None
 
     def heard(self, place: Place, now: float) -> float:
         """A whole request was read: the core has it, or its answer is about to be written. When it began."""
-        begun = place.begun if place.standing in (Standing.READING, Standing.LAGGING) else now
+        begun = place.begun if place.standing in (ClientState.READING, ClientState.LAGGING) else now
         place.requests += 1
-        self.step(place, Standing.WAITING, now)
+        self.step(place, ClientState.WAITING, now)
         return begun
 
     def rests(self, place: Place, now: float) -> None:
         """Its answer was written whole, and nothing of another request has come."""
-        self.step(place, Standing.KEPT if place.requests > 1 else Standing.IDLE, now)
+        self.step(place, ClientState.KEPT if place.requests > 1 else ClientState.IDLE, now)
 
     def keep(self, place: Place, much: int) -> None:
         """Note how many bytes of an unfinished request are kept for a connection."""
@@ -217,7 +227,7 @@
         """Who is ended as unfinished requests hold more than their bound: the slowest of them."""
         if self._held <= self._limits.client_bytes:
             return None
-        for standing in (Standing.LAGGING, Standing.READING):
+        for standing in (ClientState.LAGGING, ClientState.READING):
             head = next(iter(self._lines[standing]), None)
             if head is not None:
                 return head
@@ -232,10 +242,10 @@
         self.keep(place, 0)
         self._lines[place.standing].pop(place, None)
 
-    def _lasts(self, standing: Standing) -> float:
-        if self.closing and standing in (Standing.IDLE, Standing.KEPT):
+    def _lasts(self, standing: ClientState) -> float:
+        if self.closing and standing in (ClientState.IDLE, ClientState.KEPT):
             return 0.0
-        if self.closing and standing is Standing.NEW:
+        if self.closing and standing is ClientState.NEW:
             return self._limits.client_new_evictable_ms
         return self._rules[standing].lasts_ms
 
--- a/springspread/net/listener.py
+++ b/springspread/net/listener.py
@@ -12,7 +12,7 @@
 from queue import Empty, SimpleQueue
 from typing import Protocol
 
-from springspread.admission.admission import Admission, Place, Standing
+from springspread.admission.admission import Admission, ClientState, Place
 from springspread.config import Address, Limits
 from springspread.core.types import Log, Message, clock
 from springspread.http1.message import Malformed
@@ -26,7 +26,7 @@
 ACCEPT_PAUSE_MS = 50.0  # accepting pauses for this long at most
 OVERLOADED = b"HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\nConnection: close\r\n\r\n"
 NONE, READ, WRITE = 0, selectors.EVENT_READ, selectors.EVENT_WRITE
-BETWEEN_REQUESTS = (Standing.NEW, Standing.IDLE, Standing.KEPT)
+BETWEEN_REQUESTS = (ClientState.NEW, ClientState.IDLE, ClientState.KEPT)
 
 
 class RequestHandler(Protocol):
@@ -218,7 +218,7 @@
                 return
             sock.setblocking(False)
             now = clock()
-            place = self._admission.enter(now, Standing.NEW if admit else Standing.LEAVING)
+            place = self._admission.enter(now, ClientState.NEW if admit else ClientState.LEAVING)
             client = self._clients[place] = Client(sock, place, self._limits)
             self._watch(client, READ)
             if admit:
@@ -254,7 +254,7 @@
             self._evict(self._clients[room.ends])
 
     def _evict(self, client: Client) -> None:
-        if client.place.standing in (Standing.READING, Standing.LAGGING):
+        if client.place.standing in (ClientState.READING, ClientState.LAGGING):
             self._refuse(client, 503)
         elif client.place.standing not in BETWEEN_REQUESTS:
             self._close_at_limit(client)
@@ -262,7 +262,7 @@
             self._finish(client)
             if (
                 client.open
-                and self._admission.count(Standing.LEAVING) > self._limits.client_closing_connections
+                and self._admission.count(ClientState.LEAVING) > self._limits.client_closing_connections
             ):
                 self._close_at_limit(client)  # no more descriptors for lingering connections
         self._evicted += 1
@@ -279,12 +279,12 @@
 
     def _on_ready(self, client: Client, events: int) -> None:
         if events & WRITE and client.output:
-            if client.place.standing is Standing.LEAVING:
+            if client.place.standing is ClientState.LEAVING:
                 self._write_last(client)
             else:
                 self._flush(client)
         elif events & READ:
-            if client.place.standing in (Standing.WAITING, Standing.ANSWERED):
+            if client.place.standing in (ClientState.WAITING, ClientState.ANSWERED):
                 # Bounds memory: a client is not read while it waits for an answer.
                 self._watch(client, client.interest & ~READ)
             else:
@@ -299,10 +299,10 @@
             self._on_broken(client)  # it can't be answered any more
             return
         if not data:
-            half = client.place.standing in (Standing.READING, Standing.LAGGING)
+            half = client.place.standing in (ClientState.READING, ClientState.LAGGING)
             if client.shutdown.step(Event.PEER_CLOSED) is State.CLOSED:
                 self._close(client)
-            elif client.place.standing is not Standing.LEAVING:
+            elif client.place.standing is not ClientState.LEAVING:
                 # A half-closed client may still read: it receives the error for its incomplete request.
                 self._refuse(client, 400) if half else self._finish(client)
             else:
@@ -335,13 +335,13 @@
                 return
             request = self._next_request(client)
         if client.machine.phase is Phase.READING:
-            if place.standing not in (Standing.READING, Standing.LAGGING):
-                self._admission.step(place, Standing.READING, clock())
+            if place.standing not in (ClientState.READING, ClientState.LAGGING):
+                self._admission.step(place, ClientState.READING, clock())
             self._admission.keep(place, client.machine.buffered)
             slowest = self._admission.too_much()
             if slowest is not None:
                 self._refuse(self._clients[slowest], 503)
-        elif place.standing is Standing.ANSWERED:
+        elif place.standing is ClientState.ANSWERED:
             self._admission.rests(place, clock())
 
     # Answering
@@ -367,7 +367,7 @@
         client.output += client.machine.answer(reply.status, reply.headers, close=close, body=reply.body)
         if client.machine.phase is Phase.CLOSED:
             client.shutdown.step(Event.LAST_ANSWER)
-        self._admission.step(client.place, Standing.ANSWERED, clock())
+        self._admission.step(client.place, ClientState.ANSWERED, clock())
         return self._write(client)
 
     def _write(self, client: Client) -> bool:
@@ -412,8 +412,8 @@
 
     def _finish(self, client: Client, last: bytes = b"") -> None:
         """Write the last answer, shut down our side, and drop input until the peer closes its side."""
-        if client.place.standing is not Standing.LEAVING:
-            self._admission.step(client.place, Standing.LEAVING, clock())
+        if client.place.standing is not ClientState.LEAVING:
+            self._admission.step(client.place, ClientState.LEAVING, clock())
         client.output += last
         client.shutdown.step(Event.LAST_ANSWER)
         self._write_last(client)
@@ -444,11 +444,11 @@
         while (place := self._admission.due(now)) is not None:
             client = self._clients[place]
             match place.standing:
-                case Standing.READING if not self._admission.lags(place):
-                    self._admission.step(place, Standing.LAGGING, now)
-                case Standing.READING | Standing.LAGGING:
+                case ClientState.READING if not self._admission.lags(place):
+                    self._admission.step(place, ClientState.LAGGING, now)
+                case ClientState.READING | ClientState.LAGGING:
                     self._refuse(client, 408)
-                case Standing.WAITING:
+                case ClientState.WAITING:
                     message, client.message = client.message, None
                     assert message is not None  # a waiting client has sent a message
                     self._answer_message(client, message)
--- a/tests/admission/test_admission.py
+++ b/tests/admission/test_admission.py
@@ -10,12 +10,12 @@
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, invariant, precondition, rule
 
-from springspread.admission.admission import ROOM, STEPS, Admission, Misuse, Place, Standing, rules
+from springspread.admission.admission import ROOM, STEPS, Admission, ClientState, Misuse, Place, rules
 from springspread.config import Limits
 
 LIMITS = replace(Limits(), client_connections=6, client_closing_connections=2, client_bytes=1000)
 RULES = rules(LIMITS)
-SAFE = (Standing.WAITING,)
+SAFE = (ClientState.WAITING,)
 
 
 def fill(listener: Admission, count: int, now: float = 0.0) -> list[Place]:
@@ -24,7 +24,7 @@
 
 def brought(listener: Admission, place: Place, now: float) -> None:
     listener.heard(place, now)
-    listener.step(place, Standing.ANSWERED, now)
+    listener.step(place, ClientState.ANSWERED, now)
     listener.rests(place, now)
 
 
@@ -56,13 +56,13 @@
 def test_room_is_made_by_the_silent_then_the_slow_then_the_idle_then_the_usual() -> None:
     listener = Admission(LIMITS)
     silent, slow, once, often, waiting, reading = fill(listener, 6)
-    listener.step(slow, Standing.READING, 0.0)
-    listener.step(slow, Standing.LAGGING, 0.0)
+    listener.step(slow, ClientState.READING, 0.0)
+    listener.step(slow, ClientState.LAGGING, 0.0)
     brought(listener, once, 0.0)
     brought(listener, often, 0.0)
     brought(listener, often, 0.0)
     listener.heard(waiting, 0.0)
-    listener.step(reading, Standing.READING, 0.0)
+    listener.step(reading, ClientState.READING, 0.0)
     order = []
     for _ in range(4):
         asked = listener.room(100.0).ends
@@ -87,11 +87,11 @@
     listener = Admission(LIMITS)
     places = fill(listener, 6)
     for place in places[:2]:
-        listener.step(place, Standing.LEAVING, 0.0)
+        listener.step(place, ClientState.LEAVING, 0.0)
     assert listener.room(0.0).admit
     fill(listener, 2)
     assert len(listener) == LIMITS.client_connections + LIMITS.client_closing_connections
-    listener.step(places[2], Standing.LEAVING, 0.0)
+    listener.step(places[2], ClientState.LEAVING, 0.0)
     asked = listener.room(LIMITS.client_closing_evictable_ms)
     assert asked.ends is places[0]
 
@@ -100,13 +100,13 @@
     listener = Admission(LIMITS)
     a, b = fill(listener, 2)
     for place in (a, b):
-        listener.step(place, Standing.READING, 0.0)
+        listener.step(place, ClientState.READING, 0.0)
     listener.keep(a, 400)
     listener.keep(b, 600)
     assert listener.too_much() is None
     listener.keep(b, 601)
     assert listener.too_much() is a
-    listener.step(b, Standing.LAGGING, 1.0)
+    listener.step(b, ClientState.LAGGING, 1.0)
     assert listener.too_much() is b
     listener.leave(b)
     assert listener.held == 400 and listener.too_much() is None
@@ -115,7 +115,7 @@
 def test_a_request_lags_below_the_least_rate() -> None:
     listener = Admission(LIMITS)
     (place,) = fill(listener, 1)
-    listener.step(place, Standing.READING, 0.0)
+    listener.step(place, ClientState.READING, 0.0)
     least = int(LIMITS.client_min_bytes_s * LIMITS.client_slow_ms / 1000)
     for much, lags in ((1, True), (least - 1, True), (least, False)):
         listener.keep(place, much)
@@ -138,9 +138,9 @@
     listener = Admission(LIMITS)
     (place,) = fill(listener, 1)
     with pytest.raises(Misuse, match="no step from new to idle"):
-        listener.step(place, Standing.IDLE, 0.0)
+        listener.step(place, ClientState.IDLE, 0.0)
     with pytest.raises(Misuse, match="nobody begins as waiting"):
-        listener.enter(0.0, Standing.WAITING)
+        listener.enter(0.0, ClientState.WAITING)
 
 
 class Crowd(RuleBasedStateMachine):
@@ -161,10 +161,10 @@
         self.now += ms
         while (place := self.listener.due(self.now)) is not None:
             assert place.since + RULES[place.standing].lasts_ms <= self.now
-            if place.standing is Standing.READING:
-                self.listener.step(place, Standing.LAGGING, self.now)
-            elif place.standing is Standing.WAITING:
-                self.listener.step(place, Standing.ANSWERED, self.now)
+            if place.standing is ClientState.READING:
+                self.listener.step(place, ClientState.LAGGING, self.now)
+            elif place.standing is ClientState.WAITING:
+                self.listener.step(place, ClientState.ANSWERED, self.now)
             else:
                 self.listener.leave(place)
 
@@ -181,7 +181,10 @@
                 break
             assert room.ends.standing not in SAFE
             spared = RULES[room.ends.standing].spared_ms
-            if room.ends.standing in (Standing.NEW, Standing.READING):  # so long, or what the places allow
+            if room.ends.standing in (
+                ClientState.NEW,
+                ClientState.READING,
+            ):  # so long, or what the places allow
                 spared = 0.0
             assert room.ends.since + spared <= self.now
             self.listener.leave(room.ends)
@@ -195,15 +198,15 @@
             assert room.at - self.now <= max(LIMITS.client_slow_ms, LIMITS.client_new_evictable_ms)
 
     @precondition(lambda self: len(self.listener) > 0)
-    @rule(number=st.integers(0, 7), standing=st.sampled_from(list(Standing)), much=st.integers(0, 300))
-    def a_step(self, number: int, standing: Standing, much: int) -> None:
+    @rule(number=st.integers(0, 7), standing=st.sampled_from(list(ClientState)), much=st.integers(0, 300))
+    def a_step(self, number: int, standing: ClientState, much: int) -> None:
         place = self.at(number)
-        if standing is Standing.READING and standing in STEPS[place.standing]:
+        if standing is ClientState.READING and standing in STEPS[place.standing]:
             self.listener.step(place, standing, self.now)
             self.listener.keep(place, much)
-        elif standing is Standing.WAITING and standing in STEPS[place.standing]:
+        elif standing is ClientState.WAITING and standing in STEPS[place.standing]:
             self.listener.heard(place, self.now)
-        elif standing in (Standing.IDLE, Standing.KEPT) and place.standing is Standing.ANSWERED:
+        elif standing in (ClientState.IDLE, ClientState.KEPT) and place.standing is ClientState.ANSWERED:
             self.listener.rests(place, self.now)
         elif standing in STEPS[place.standing]:
             self.listener.step(place, standing, self.now)
@@ -215,14 +218,14 @@
 
     @invariant()
     def the_caps_hold(self) -> None:
-        leaving = self.listener.count(Standing.LEAVING)
+        leaving = self.listener.count(ClientState.LEAVING)
         assert len(self.listener) - leaving <= LIMITS.client_connections
         assert len(self.listener) <= LIMITS.client_connections + LIMITS.client_closing_connections
         assert self.listener.held == sum(place.held for place in self.listener)
 
     @invariant()
     def nobody_outstays_and_lines_are_in_order(self) -> None:
-        for standing in Standing:
+        for standing in ClientState:
             line = [place.since for place in self.listener if place.standing is standing]
             assert line == sorted(line)
         ends = [place.since + RULES[place.standing].lasts_ms for place in self.listener]
@@ -236,9 +239,9 @@
 def test_a_request_began_with_its_first_byte_however_long_its_pieces_take() -> None:
     listener = Admission(LIMITS)
     (place,) = fill(listener, 1)
-    listener.step(place, Standing.READING, 10.0)
-    listener.step(place, Standing.LAGGING, 310.0)
+    listener.step(place, ClientState.READING, 10.0)
+    listener.step(place, ClientState.LAGGING, 310.0)
     assert listener.heard(place, 500.0) == 10.0
-    listener.step(place, Standing.ANSWERED, 501.0)
+    listener.step(place, ClientState.ANSWERED, 501.0)
     listener.rests(place, 502.0)
     assert listener.heard(place, 600.0) == 600.0  # one that came whole
