--- a/springspread/admission/admission.py
+++ b/springspread/admission/admission.py
@@ -1,7 +1,7 @@
 """Admission: which client connections are held, for how long each may stay as it is, and who makes room.
 
-Theory of operation: every connection has one *standing*, and all who stand alike form a line in the order
-in which they joined it. A standing's rule says how long it may last and how soon its holder may be asked to
+Theory of operation: every connection has one *state*, and all who stand alike form a line in the order
+in which they joined it. A state's rule says how long it may last and how soon its holder may be asked to
 make room. As one line has one rule, the head of a line is both the first whose time is up and the first to
 make room: every decision looks at the heads alone. Everything that affects who stays lives here; what is
 read and written does not.
@@ -51,7 +51,7 @@
     ),
     ClientState.LEAVING: frozenset(),
 }
-"""What may follow on each standing; every connection may end from any."""
+"""What may follow on each state; every connection may end from any."""
 
 ROOM = (
     ClientState.LEAVING,
@@ -71,7 +71,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Rule:
-    """How long a standing may last, and after how long its holder may be asked to make room (ms)."""
+    """How long a state may last, and after how long its holder may be asked to make room (ms)."""
 
     lasts_ms: float
     spared_ms: float = inf
@@ -99,7 +99,7 @@
 class Place:
     """What is held for one connection. ``held`` counts the bytes that are kept of a request not yet whole."""
 
-    standing: ClientState
+    state: ClientState
     since: float
     requests: int = 0
     held: int = 0
@@ -131,9 +131,9 @@
     def __len__(self) -> int:
         return sum(map(len, self._lines.values()))
 
-    def count(self, standing: ClientState) -> int:
+    def count(self, state: ClientState) -> int:
         """How many stand so."""
-        return len(self._lines[standing])
+        return len(self._lines[state])
 
     def __iter__(self) -> Iterator[Place]:
         for line in self._lines.values():
@@ -157,26 +157,23 @@
 
     def _makes_room(self, now: float) -> Room:
         soonest = inf
-        for standing in ROOM:
-            if (
-                standing is ClientState.LEAVING
-                and self.count(standing) <= self._limits.client_closing_connections
-            ):
+        for state in ROOM:
+            if state is ClientState.LEAVING and self.count(state) <= self._limits.client_closing_connections:
                 continue  # these stand on the spares and take nobody's place
-            head = next(iter(self._lines[standing]), None)
+            head = next(iter(self._lines[state]), None)
             if head is None:
                 continue
-            spared_until = head.since + self._spared(standing, now)
+            spared_until = head.since + self._spared(state, now)
             if spared_until <= now:
                 return Room(False, head)
             soonest = min(soonest, spared_until)
         return Room(False, at=soonest)
 
-    def _spared(self, standing: ClientState, now: float) -> float:
+    def _spared(self, state: ClientState, now: float) -> float:
         # Guards usual clients at any rate of arrival: who comes in while newcomers are spared must fit in,
         # or nobody is left who can make room.
-        spared = self._rules[standing].spared_ms
-        if standing not in (ClientState.NEW, ClientState.READING):
+        spared = self._rules[state].spared_ms
+        if state not in (ClientState.NEW, ClientState.READING):
             return spared
         rate = self._arrivals * exp((self._arrived_at - now) / RATE_MS) / RATE_MS
         return min(spared, ROOM_PART * self._limits.client_connections / rate) if rate else spared
@@ -185,31 +182,31 @@
         """Whether there is a spare descriptor for somebody who is only told to come again."""
         return len(self) < self._limits.client_connections + self._limits.client_closing_connections
 
-    def enter(self, now: float, standing: ClientState = ClientState.NEW) -> Place:
+    def enter(self, now: float, state: ClientState = ClientState.NEW) -> Place:
         """Give a newcomer its place; LEAVING for one that is turned away."""
-        if standing not in (ClientState.NEW, ClientState.LEAVING):
-            raise Misuse(f"nobody begins as {standing.value}")
+        if state not in (ClientState.NEW, ClientState.LEAVING):
+            raise Misuse(f"nobody begins as {state.value}")
         self._arrivals = self._arrivals * exp((self._arrived_at - now) / RATE_MS) + 1.0
         self._arrived_at = now
-        place = Place(standing, now)
-        self._lines[standing][place] = None
+        place = Place(state, now)
+        self._lines[state][place] = None
         return place
 
-    def step(self, place: Place, standing: ClientState, now: float) -> None:
+    def step(self, place: Place, state: ClientState, now: float) -> None:
         """Note that a connection stands otherwise from now on."""
-        if standing not in STEPS[place.standing]:
-            raise Misuse(f"no step from {place.standing.value} to {standing.value}")
-        del self._lines[place.standing][place]
-        if standing in (ClientState.WAITING, ClientState.LEAVING):
+        if state not in STEPS[place.state]:
+            raise Misuse(f"no step from {place.state.value} to {state.value}")
+        del self._lines[place.state][place]
+        if state in (ClientState.WAITING, ClientState.LEAVING):
             self.keep(place, 0)
-        if standing is ClientState.READING:
+        if state is ClientState.READING:
             place.begun = now
-        place.standing, place.since = standing, now
-        self._lines[standing][place] = None
+        place.state, place.since = state, now
+        self._lines[state][place] = None
 
     def heard(self, place: Place, now: float) -> float:
         """A whole request was read: the core has it, or its answer is about to be written. When it began."""
-        begun = place.begun if place.standing in (ClientState.READING, ClientState.LAGGING) else now
+        begun = place.begun if place.state in (ClientState.READING, ClientState.LAGGING) else now
         place.requests += 1
         self.step(place, ClientState.WAITING, now)
         return begun
@@ -227,8 +224,8 @@
         """Who is ended as unfinished requests hold more than their bound: the slowest of them."""
         if self._held <= self._limits.client_bytes:
             return None
-        for standing in (ClientState.LAGGING, ClientState.READING):
-            head = next(iter(self._lines[standing]), None)
+        for state in (ClientState.LAGGING, ClientState.READING):
+            head = next(iter(self._lines[state]), None)
             if head is not None:
                 return head
         return None
@@ -240,20 +237,20 @@
     def leave(self, place: Place) -> None:
         """The connection is gone."""
         self.keep(place, 0)
-        self._lines[place.standing].pop(place, None)
+        self._lines[place.state].pop(place, None)
 
-    def _lasts(self, standing: ClientState) -> float:
-        if self.closing and standing in (ClientState.IDLE, ClientState.KEPT):
+    def _lasts(self, state: ClientState) -> float:
+        if self.closing and state in (ClientState.IDLE, ClientState.KEPT):
             return 0.0
-        if self.closing and standing is ClientState.NEW:
+        if self.closing and state is ClientState.NEW:
             return self._limits.client_new_evictable_ms
-        return self._rules[standing].lasts_ms
+        return self._rules[state].lasts_ms
 
     def due(self, now: float) -> Place | None:
         """Somebody whose time is up, the one that joined its line first."""
-        for standing, line in self._lines.items():
+        for state, line in self._lines.items():
             head = next(iter(line), None)
-            if head is not None and head.since + self._lasts(standing) <= now:
+            if head is not None and head.since + self._lasts(state) <= now:
                 return head
         return None
 
--- a/springspread/net/listener.py
+++ b/springspread/net/listener.py
@@ -254,9 +254,9 @@
             self._evict(self._clients[room.ends])
 
     def _evict(self, client: Client) -> None:
-        if client.place.standing in (ClientState.READING, ClientState.LAGGING):
+        if client.place.state in (ClientState.READING, ClientState.LAGGING):
             self._refuse(client, 503)
-        elif client.place.standing not in BETWEEN_REQUESTS:
+        elif client.place.state not in BETWEEN_REQUESTS:
             self._close_at_limit(client)
         elif not self._read_pending(client):
             self._finish(client)
@@ -273,18 +273,18 @@
     def _read_pending(self, client: Client) -> bool:
         # A request that has just arrived is read before its connection is closed.
         self._read(client)
-        return not client.open or client.place.standing not in BETWEEN_REQUESTS
+        return not client.open or client.place.state not in BETWEEN_REQUESTS
 
     # Reading
 
     def _on_ready(self, client: Client, events: int) -> None:
         if events & WRITE and client.output:
-            if client.place.standing is ClientState.LEAVING:
+            if client.place.state is ClientState.LEAVING:
                 self._write_last(client)
             else:
                 self._flush(client)
         elif events & READ:
-            if client.place.standing in (ClientState.WAITING, ClientState.ANSWERED):
+            if client.place.state in (ClientState.WAITING, ClientState.ANSWERED):
                 # Bounds memory: a client is not read while it waits for an answer.
                 self._watch(client, client.interest & ~READ)
             else:
@@ -299,10 +299,10 @@
             self._on_broken(client)  # it can't be answered any more
             return
         if not data:
-            half = client.place.standing in (ClientState.READING, ClientState.LAGGING)
+            half = client.place.state in (ClientState.READING, ClientState.LAGGING)
             if client.shutdown.step(Event.PEER_CLOSED) is State.CLOSED:
                 self._close(client)
-            elif client.place.standing is not ClientState.LEAVING:
+            elif client.place.state is not ClientState.LEAVING:
                 # A half-closed client may still read: it receives the error for its incomplete request.
                 self._refuse(client, 400) if half else self._finish(client)
             else:
@@ -335,13 +335,13 @@
                 return
             request = self._next_request(client)
         if client.machine.phase is Phase.READING:
-            if place.standing not in (ClientState.READING, ClientState.LAGGING):
+            if place.state not in (ClientState.READING, ClientState.LAGGING):
                 self._admission.step(place, ClientState.READING, clock())
             self._admission.keep(place, client.machine.buffered)
             slowest = self._admission.too_much()
             if slowest is not None:
                 self._refuse(self._clients[slowest], 503)
-        elif place.standing is ClientState.ANSWERED:
+        elif place.state is ClientState.ANSWERED:
             self._admission.rests(place, clock())
 
     # Answering
@@ -403,7 +403,7 @@
 
     def _refuse(self, client: Client, status: int) -> None:
         """Answer a request that can't be read or is refused with an error, and end the connection."""
-        self._log.debug("request refused", status=status, standing=client.place.standing.value)
+        self._log.debug("request refused", status=status, standing=client.place.state.value)
         if client.machine.phase is not Phase.ANSWERING:
             client.machine.expire()
         self._finish(client, client.machine.answer(status, close=True))
@@ -412,7 +412,7 @@
 
     def _finish(self, client: Client, last: bytes = b"") -> None:
         """Write the last answer, shut down our side, and drop input until the peer closes its side."""
-        if client.place.standing is not ClientState.LEAVING:
+        if client.place.state is not ClientState.LEAVING:
             self._admission.step(client.place, ClientState.LEAVING, clock())
         client.output += last
         client.shutdown.step(Event.LAST_ANSWER)
@@ -443,7 +443,7 @@
         now = clock()
         while (place := self._admission.due(now)) is not None:
             client = self._clients[place]
-            match place.standing:
+            match place.state:
                 case ClientState.READING if not self._admission.lags(place):
                     self._admission.step(place, ClientState.LAGGING, now)
                 case ClientState.READING | ClientState.LAGGING:
@@ -452,7 +452,7 @@
                     message, client.message = client.message, None
                     assert message is not None  # a waiting client has sent a message
                     self._answer_message(client, message)
-                case standing if standing in BETWEEN_REQUESTS:
+                case state if state in BETWEEN_REQUESTS:
                     if not self._read_pending(client):
                         self._finish(client)
                 case _:
@@ -480,7 +480,7 @@
         pending = client.message or client.acknowledging
         self._log.debug(
             "client connection broken",
-            standing=client.place.standing.value,
+            standing=client.place.state.value,
             id=pending.id if pending is not None else None,
         )
         client.shutdown.step(Event.BROKEN)
@@ -490,7 +490,7 @@
         self._log.debug(
             "client closed",
             last=client.shutdown.last.value if client.shutdown.last is not None else None,
-            standing=client.place.standing.value,
+            standing=client.place.state.value,
             unanswered=[one.id for one in (client.acknowledging, client.message) if one is not None],
         )
         for message in (client.acknowledging, client.message):
--- a/tests/admission/test_admission.py
+++ b/tests/admission/test_admission.py
@@ -160,10 +160,10 @@
     def time_passes(self, ms: float) -> None:
         self.now += ms
         while (place := self.listener.due(self.now)) is not None:
-            assert place.since + RULES[place.standing].lasts_ms <= self.now
-            if place.standing is ClientState.READING:
+            assert place.since + RULES[place.state].lasts_ms <= self.now
+            if place.state is ClientState.READING:
                 self.listener.step(place, ClientState.LAGGING, self.now)
-            elif place.standing is ClientState.WAITING:
+            elif place.state is ClientState.WAITING:
                 self.listener.step(place, ClientState.ANSWERED, self.now)
             else:
                 self.listener.leave(place)
@@ -179,9 +179,9 @@
                 return
             if room.ends is None:
                 break
-            assert room.ends.standing not in SAFE
-            spared = RULES[room.ends.standing].spared_ms
-            if room.ends.standing in (
+            assert room.ends.state not in SAFE
+            spared = RULES[room.ends.state].spared_ms
+            if room.ends.state in (
                 ClientState.NEW,
                 ClientState.READING,
             ):  # so long, or what the places allow
@@ -198,18 +198,18 @@
             assert room.at - self.now <= max(LIMITS.client_slow_ms, LIMITS.client_new_evictable_ms)
 
     @precondition(lambda self: len(self.listener) > 0)
-    @rule(number=st.integers(0, 7), standing=st.sampled_from(list(ClientState)), much=st.integers(0, 300))
-    def a_step(self, number: int, standing: ClientState, much: int) -> None:
+    @rule(number=st.integers(0, 7), state=st.sampled_from(list(ClientState)), much=st.integers(0, 300))
+    def a_step(self, number: int, state: ClientState, much: int) -> None:
         place = self.at(number)
-        if standing is ClientState.READING and standing in STEPS[place.standing]:
-            self.listener.step(place, standing, self.now)
+        if state is ClientState.READING and state in STEPS[place.state]:
+            self.listener.step(place, state, self.now)
             self.listener.keep(place, much)
-        elif standing is ClientState.WAITING and standing in STEPS[place.standing]:
+        elif state is ClientState.WAITING and state in STEPS[place.state]:
             self.listener.heard(place, self.now)
-        elif standing in (ClientState.IDLE, ClientState.KEPT) and place.standing is ClientState.ANSWERED:
+        elif state in (ClientState.IDLE, ClientState.KEPT) and place.state is ClientState.ANSWERED:
             self.listener.rests(place, self.now)
-        elif standing in STEPS[place.standing]:
-            self.listener.step(place, standing, self.now)
+        elif state in STEPS[place.state]:
+            self.listener.step(place, state, self.now)
 
     @precondition(lambda self: len(self.listener) > 0)
     @rule(number=st.integers(0, 7))
@@ -225,10 +225,10 @@
 
     @invariant()
     def nobody_outstays_and_lines_are_in_order(self) -> None:
-        for standing in ClientState:
-            line = [place.since for place in self.listener if place.standing is standing]
+        for state in ClientState:
+            line = [place.since for place in self.listener if place.state is state]
             assert line == sorted(line)
-        ends = [place.since + RULES[place.standing].lasts_ms for place in self.listener]
+        ends = [place.since + RULES[place.state].lasts_ms for place in self.listener]
         assert self.listener.next_due() == min(ends, default=inf)
 
 
