--- a/springspread/admission/admission.py
+++ b/springspread/admission/admission.py
@@ -96,7 +96,7 @@
 
 
 @dataclass(slots=True, eq=False)
-class Place:
+class ClientEntry:
     """What is held for one connection. ``held`` counts the bytes that are kept of a request not yet whole."""
 
     state: ClientState
@@ -111,7 +111,7 @@
     """Whether a newcomer may be let in now; if not, who makes room first, or when somebody will."""
 
     admit: bool
-    ends: Place | None = None
+    ends: ClientEntry | None = None
     at: float = inf
 
 
@@ -121,7 +121,7 @@
     def __init__(self, limits: Limits) -> None:
         self._limits = limits
         self._rules = rules(limits)
-        self._lines: dict[ClientState, OrderedDict[Place, None]] = {
+        self._lines: dict[ClientState, OrderedDict[ClientEntry, None]] = {
             kind: OrderedDict() for kind in ClientState
         }
         self._held = 0
@@ -135,7 +135,7 @@
         """How many stand so."""
         return len(self._lines[state])
 
-    def __iter__(self) -> Iterator[Place]:
+    def __iter__(self) -> Iterator[ClientEntry]:
         for line in self._lines.values():
             yield from line
 
@@ -182,17 +182,17 @@
         """Whether there is a spare descriptor for somebody who is only told to come again."""
         return len(self) < self._limits.client_connections + self._limits.client_closing_connections
 
-    def enter(self, now: float, state: ClientState = ClientState.NEW) -> Place:
+    def enter(self, now: float, state: ClientState = ClientState.NEW) -> ClientEntry:
         """Give a newcomer its place; LEAVING for one that is turned away."""
         if state not in (ClientState.NEW, ClientState.LEAVING):
             raise Misuse(f"nobody begins as {state.value}")
         self._arrivals = self._arrivals * exp((self._arrived_at - now) / RATE_MS) + 1.0
         self._arrived_at = now
-        place = Place(state, now)
+        place = ClientEntry(state, now)
         self._lines[state][place] = None
         return place
 
-    def step(self, place: Place, state: ClientState, now: float) -> None:
+    def step(self, place: ClientEntry, state: ClientState, now: float) -> None:
         """Note that a connection stands otherwise from now on."""
         if state not in STEPS[place.state]:
             raise Misuse(f"no step from {place.state.value} to {state.value}")
@@ -204,23 +204,23 @@
         place.state, place.since = state, now
         self._lines[state][place] = None
 
-    def heard(self, place: Place, now: float) -> float:
+    def heard(self, place: ClientEntry, now: float) -> float:
         """A whole request was read: the core has it, or its answer is about to be written. When it began."""
         begun = place.begun if place.state in (ClientState.READING, ClientState.LAGGING) else now
         place.requests += 1
         self.step(place, ClientState.WAITING, now)
         return begun
 
-    def rests(self, place: Place, now: float) -> None:
+    def rests(self, place: ClientEntry, now: float) -> None:
         """Its answer was written whole, and nothing of another request has come."""
         self.step(place, ClientState.KEPT if place.requests > 1 else ClientState.IDLE, now)
 
-    def keep(self, place: Place, much: int) -> None:
+    def keep(self, place: ClientEntry, much: int) -> None:
         """Note how many bytes of an unfinished request are kept for a connection."""
         self._held += much - place.held
         place.held = much
 
-    def too_much(self) -> Place | None:
+    def too_much(self) -> ClientEntry | None:
         """Who is ended as unfinished requests hold more than their bound: the slowest of them."""
         if self._held <= self._limits.client_bytes:
             return None
@@ -230,11 +230,11 @@
                 return head
         return None
 
-    def lags(self, place: Place) -> bool:
+    def lags(self, place: ClientEntry) -> bool:
         """Whether a request that has just come to lag came slower than the least rate from its begin on."""
         return place.held * 1000.0 < self._limits.client_min_bytes_s * self._limits.client_slow_ms
 
-    def leave(self, place: Place) -> None:
+    def leave(self, place: ClientEntry) -> None:
         """The connection is gone."""
         self.keep(place, 0)
         self._lines[place.state].pop(place, None)
@@ -246,7 +246,7 @@
             return self._limits.client_new_evictable_ms
         return self._rules[state].lasts_ms
 
-    def due(self, now: float) -> Place | None:
+    def due(self, now: float) -> ClientEntry | None:
         """Somebody whose time is up, the one that joined its line first."""
         for state, line in self._lines.items():
             head = next(iter(line), None)
--- a/springspread/net/listener.py
+++ b/springspread/net/listener.py
@@ -12,7 +12,7 @@
 from queue import Empty, SimpleQueue
 from typing import Protocol
 
-from springspread.admission.admission import Admission, ClientState, Place
+from springspread.admission.admission import Admission, ClientEntry, ClientState
 from springspread.config import Address, Limits
 from springspread.core.types import Log, Message, clock
 from springspread.http1.message import Malformed
@@ -62,7 +62,7 @@
         "shutdown",
     )
 
-    def __init__(self, sock: socket.socket, place: Place, limits: Limits) -> None:
+    def __init__(self, sock: socket.socket, place: ClientEntry, limits: Limits) -> None:
         self.sock, self.place = sock, place
         self.machine = ServerConnection(limits)
         self.message: Message | None = None  # awaiting its verdict
@@ -99,7 +99,7 @@
         """``sock`` is listening already, and may be shared with other processes."""
         self._handler, self._limits, self._log = handler, limits, log
         self._admission = Admission(limits)
-        self._clients: dict[Place, Client] = {}
+        self._clients: dict[ClientEntry, Client] = {}
         self._verdicts: SimpleQueue[tuple[Client, Message]] = SimpleQueue()
         self._woken = self._closing = False
         self._drain_at = inf  # when an operator's drain ends idle connections
--- a/tests/admission/test_admission.py
+++ b/tests/admission/test_admission.py
@@ -10,7 +10,7 @@
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, invariant, precondition, rule
 
-from springspread.admission.admission import ROOM, STEPS, Admission, ClientState, Misuse, Place, rules
+from springspread.admission.admission import ROOM, STEPS, Admission, ClientEntry, ClientState, Misuse, rules
 from springspread.config import Limits
 
 LIMITS = replace(Limits(), client_connections=6, client_closing_connections=2, client_bytes=1000)
@@ -18,11 +18,11 @@
 SAFE = (ClientState.WAITING,)
 
 
-def fill(listener: Admission, count: int, now: float = 0.0) -> list[Place]:
+def fill(listener: Admission, count: int, now: float = 0.0) -> list[ClientEntry]:
     return [listener.enter(now) for _ in range(count)]
 
 
-def brought(listener: Admission, place: Place, now: float) -> None:
+def brought(listener: Admission, place: ClientEntry, now: float) -> None:
     listener.heard(place, now)
     listener.step(place, ClientState.ANSWERED, now)
     listener.rests(place, now)
@@ -152,7 +152,7 @@
         self.listener = Admission(LIMITS)
         self.refused_since: float | None = None
 
-    def at(self, number: int) -> Place:
+    def at(self, number: int) -> ClientEntry:
         places = list(self.listener)
         return places[number % len(places)]
 
