--- a/springspread/admission/admission.py
+++ b/springspread/admission/admission.py
@@ -159,7 +159,7 @@
         soonest = inf
         for state in ROOM:
             if state is ClientState.LEAVING and self.count(state) <= self._limits.client_closing_connections:
-                continue  # these stand on the spares and take nobody's place
+                continue  # these stand on the spares and take nobody's entry
             head = next(iter(self._lines[state]), None)
             if head is None:
                 continue
@@ -183,42 +183,42 @@
         return len(self) < self._limits.client_connections + self._limits.client_closing_connections
 
     def enter(self, now: float, state: ClientState = ClientState.NEW) -> ClientEntry:
-        """Give a newcomer its place; LEAVING for one that is turned away."""
+        """Give a newcomer its entry; LEAVING for one that is turned away."""
         if state not in (ClientState.NEW, ClientState.LEAVING):
             raise Misuse(f"nobody begins as {state.value}")
         self._arrivals = self._arrivals * exp((self._arrived_at - now) / RATE_MS) + 1.0
         self._arrived_at = now
-        place = ClientEntry(state, now)
-        self._lines[state][place] = None
-        return place
+        entry = ClientEntry(state, now)
+        self._lines[state][entry] = None
+        return entry
 
-    def step(self, place: ClientEntry, state: ClientState, now: float) -> None:
+    def step(self, entry: ClientEntry, state: ClientState, now: float) -> None:
         """Note that a connection stands otherwise from now on."""
-        if state not in STEPS[place.state]:
-            raise Misuse(f"no step from {place.state.value} to {state.value}")
-        del self._lines[place.state][place]
+        if state not in STEPS[entry.state]:
+            raise Misuse(f"no step from {entry.state.value} to {state.value}")
+        del self._lines[entry.state][entry]
         if state in (ClientState.WAITING, ClientState.LEAVING):
-            self.keep(place, 0)
+            self.keep(entry, 0)
         if state is ClientState.READING:
-            place.begun = now
-        place.state, place.since = state, now
-        self._lines[state][place] = None
+            entry.begun = now
+        entry.state, entry.since = state, now
+        self._lines[state][entry] = None
 
-    def heard(self, place: ClientEntry, now: float) -> float:
+    def heard(self, entry: ClientEntry, now: float) -> float:
         """A whole request was read: the core has it, or its answer is about to be written. When it began."""
-        begun = place.begun if place.state in (ClientState.READING, ClientState.LAGGING) else now
-        place.requests += 1
-        self.step(place, ClientState.WAITING, now)
+        begun = entry.begun if entry.state in (ClientState.READING, ClientState.LAGGING) else now
+        entry.requests += 1
+        self.step(entry, ClientState.WAITING, now)
         return begun
 
-    def rests(self, place: ClientEntry, now: float) -> None:
+    def rests(self, entry: ClientEntry, now: float) -> None:
         """Its answer was written whole, and nothing of another request has come."""
-        self.step(place, ClientState.KEPT if place.requests > 1 else ClientState.IDLE, now)
+        self.step(entry, ClientState.KEPT if entry.requests > 1 else ClientState.IDLE, now)
 
-    def keep(self, place: ClientEntry, much: int) -> None:
+    def keep(self, entry: ClientEntry, much: int) -> None:
         """Note how many bytes of an unfinished request are kept for a connection."""
-        self._held += much - place.held
-        place.held = much
+        self._held += much - entry.held
+        entry.held = much
 
     def too_much(self) -> ClientEntry | None:
         """Who is ended as unfinished requests hold more than their bound: the slowest of them."""
@@ -230,14 +230,14 @@
                 return head
         return None
 
-    def lags(self, place: ClientEntry) -> bool:
+    def lags(self, entry: ClientEntry) -> bool:
         """Whether a request that has just come to lag came slower than the least rate from its begin on."""
-        return place.held * 1000.0 < self._limits.client_min_bytes_s * self._limits.client_slow_ms
+        return entry.held * 1000.0 < self._limits.client_min_bytes_s * self._limits.client_slow_ms
 
-    def leave(self, place: ClientEntry) -> None:
+    def leave(self, entry: ClientEntry) -> None:
         """The connection is gone."""
-        self.keep(place, 0)
-        self._lines[place.state].pop(place, None)
+        self.keep(entry, 0)
+        self._lines[entry.state].pop(entry, None)
 
     def _lasts(self, state: ClientState) -> float:
         if self.closing and state in (ClientState.IDLE, ClientState.KEPT):
--- a/springspread/net/listener.py
+++ b/springspread/net/listener.py
@@ -52,7 +52,7 @@
 
     __slots__ = (
         "sock",
-        "place",
+        "entry",
         "machine",
         "message",
         "acknowledging",
@@ -62,8 +62,8 @@
         "shutdown",
     )
 
-    def __init__(self, sock: socket.socket, place: ClientEntry, limits: Limits) -> None:
-        self.sock, self.place = sock, place
+    def __init__(self, sock: socket.socket, entry: ClientEntry, limits: Limits) -> None:
+        self.sock, self.entry = sock, entry
         self.machine = ServerConnection(limits)
         self.message: Message | None = None  # awaiting its verdict
         self.acknowledging: Message | None = None  # accepted by the answer being written
@@ -218,8 +218,8 @@
                 return
             sock.setblocking(False)
             now = clock()
-            place = self._admission.enter(now, ClientState.NEW if admit else ClientState.LEAVING)
-            client = self._clients[place] = Client(sock, place, self._limits)
+            entry = self._admission.enter(now, ClientState.NEW if admit else ClientState.LEAVING)
+            client = self._clients[entry] = Client(sock, entry, self._limits)
             self._watch(client, READ)
             if admit:
                 self._read(client)  # its request has usually arrived as well
@@ -254,9 +254,9 @@
             self._evict(self._clients[room.ends])
 
     def _evict(self, client: Client) -> None:
-        if client.place.state in (ClientState.READING, ClientState.LAGGING):
+        if client.entry.state in (ClientState.READING, ClientState.LAGGING):
             self._refuse(client, 503)
-        elif client.place.state not in BETWEEN_REQUESTS:
+        elif client.entry.state not in BETWEEN_REQUESTS:
             self._close_at_limit(client)
         elif not self._read_pending(client):
             self._finish(client)
@@ -273,18 +273,18 @@
     def _read_pending(self, client: Client) -> bool:
         # A request that has just arrived is read before its connection is closed.
         self._read(client)
-        return not client.open or client.place.state not in BETWEEN_REQUESTS
+        return not client.open or client.entry.state not in BETWEEN_REQUESTS
 
     # Reading
 
     def _on_ready(self, client: Client, events: int) -> None:
         if events & WRITE and client.output:
-            if client.place.state is ClientState.LEAVING:
+            if client.entry.state is ClientState.LEAVING:
                 self._write_last(client)
             else:
                 self._flush(client)
         elif events & READ:
-            if client.place.state in (ClientState.WAITING, ClientState.ANSWERED):
+            if client.entry.state in (ClientState.WAITING, ClientState.ANSWERED):
                 # Bounds memory: a client is not read while it waits for an answer.
                 self._watch(client, client.interest & ~READ)
             else:
@@ -299,10 +299,10 @@
             self._on_broken(client)  # it can't be answered any more
             return
         if not data:
-            half = client.place.state in (ClientState.READING, ClientState.LAGGING)
+            half = client.entry.state in (ClientState.READING, ClientState.LAGGING)
             if client.shutdown.step(Event.PEER_CLOSED) is State.CLOSED:
                 self._close(client)
-            elif client.place.state is not ClientState.LEAVING:
+            elif client.entry.state is not ClientState.LEAVING:
                 # A half-closed client may still read: it receives the error for its incomplete request.
                 self._refuse(client, 400) if half else self._finish(client)
             else:
@@ -324,9 +324,9 @@
 
     def _handle(self, client: Client, request: Request | None) -> None:
         """Handle a request and those pipelined behind it, or record the progress of an incomplete one."""
-        place = client.place
+        entry = client.entry
         while request is not None:
-            begun = self._admission.heard(place, clock())
+            begun = self._admission.heard(entry, clock())
             answer = self._handler.respond(request, begun, partial(self._on_verdict, client))
             if isinstance(answer, Message):
                 client.message = answer
@@ -335,14 +335,14 @@
                 return
             request = self._next_request(client)
         if client.machine.phase is Phase.READING:
-            if place.state not in (ClientState.READING, ClientState.LAGGING):
-                self._admission.step(place, ClientState.READING, clock())
-            self._admission.keep(place, client.machine.buffered)
+            if entry.state not in (ClientState.READING, ClientState.LAGGING):
+                self._admission.step(entry, ClientState.READING, clock())
+            self._admission.keep(entry, client.machine.buffered)
             slowest = self._admission.too_much()
             if slowest is not None:
                 self._refuse(self._clients[slowest], 503)
-        elif place.state is ClientState.ANSWERED:
-            self._admission.rests(place, clock())
+        elif entry.state is ClientState.ANSWERED:
+            self._admission.rests(entry, clock())
 
     # Answering
 
@@ -367,7 +367,7 @@
         client.output += client.machine.answer(reply.status, reply.headers, close=close, body=reply.body)
         if client.machine.phase is Phase.CLOSED:
             client.shutdown.step(Event.LAST_ANSWER)
-        self._admission.step(client.place, ClientState.ANSWERED, clock())
+        self._admission.step(client.entry, ClientState.ANSWERED, clock())
         return self._write(client)
 
     def _write(self, client: Client) -> bool:
@@ -403,7 +403,7 @@
 
     def _refuse(self, client: Client, status: int) -> None:
         """Answer a request that can't be read or is refused with an error, and end the connection."""
-        self._log.debug("request refused", status=status, standing=client.place.state.value)
+        self._log.debug("request refused", status=status, standing=client.entry.state.value)
         if client.machine.phase is not Phase.ANSWERING:
             client.machine.expire()
         self._finish(client, client.machine.answer(status, close=True))
@@ -412,8 +412,8 @@
 
     def _finish(self, client: Client, last: bytes = b"") -> None:
         """Write the last answer, shut down our side, and drop input until the peer closes its side."""
-        if client.place.state is not ClientState.LEAVING:
-            self._admission.step(client.place, ClientState.LEAVING, clock())
+        if client.entry.state is not ClientState.LEAVING:
+            self._admission.step(client.entry, ClientState.LEAVING, clock())
         client.output += last
         client.shutdown.step(Event.LAST_ANSWER)
         self._write_last(client)
@@ -441,11 +441,11 @@
 
     def _expire(self) -> None:
         now = clock()
-        while (place := self._admission.due(now)) is not None:
-            client = self._clients[place]
-            match place.state:
-                case ClientState.READING if not self._admission.lags(place):
-                    self._admission.step(place, ClientState.LAGGING, now)
+        while (entry := self._admission.due(now)) is not None:
+            client = self._clients[entry]
+            match entry.state:
+                case ClientState.READING if not self._admission.lags(entry):
+                    self._admission.step(entry, ClientState.LAGGING, now)
                 case ClientState.READING | ClientState.LAGGING:
                     self._refuse(client, 408)
                 case ClientState.WAITING:
@@ -480,7 +480,7 @@
         pending = client.message or client.acknowledging
         self._log.debug(
             "client connection broken",
-            standing=client.place.state.value,
+            standing=client.entry.state.value,
             id=pending.id if pending is not None else None,
         )
         client.shutdown.step(Event.BROKEN)
@@ -490,7 +490,7 @@
         self._log.debug(
             "client closed",
             last=client.shutdown.last.value if client.shutdown.last is not None else None,
-            standing=client.place.state.value,
+            standing=client.entry.state.value,
             unanswered=[one.id for one in (client.acknowledging, client.message) if one is not None],
         )
         for message in (client.acknowledging, client.message):
@@ -498,5 +498,5 @@
                 self._handler.gone(message)
         self._watch(client, NONE)
         client.sock.close()
-        self._admission.leave(client.place)
-        del self._clients[client.place]
+        self._admission.leave(client.entry)
+        del self._clients[client.entry]
--- a/tests/admission/test_admission.py
+++ b/tests/admission/test_admission.py
@@ -22,10 +22,10 @@
     return [listener.enter(now) for _ in range(count)]
 
 
-def brought(listener: Admission, place: ClientEntry, now: float) -> None:
-    listener.heard(place, now)
-    listener.step(place, ClientState.ANSWERED, now)
-    listener.rests(place, now)
+def brought(listener: Admission, entry: ClientEntry, now: float) -> None:
+    listener.heard(entry, now)
+    listener.step(entry, ClientState.ANSWERED, now)
+    listener.rests(entry, now)
 
 
 def test_a_newcomer_has_time_to_speak_before_it_makes_room() -> None:
@@ -76,8 +76,8 @@
 
 def test_whoever_may_have_a_request_in_flight_is_never_asked_to_make_room() -> None:
     listener = Admission(LIMITS)
-    for place in fill(listener, 6):
-        listener.heard(place, 0.0)
+    for entry in fill(listener, 6):
+        listener.heard(entry, 0.0)
     room = listener.room(1e9)
     assert not room.admit and room.ends is None and room.at == inf
     assert not set(SAFE) & set(ROOM)
@@ -85,22 +85,22 @@
 
 def test_those_told_their_last_answer_stand_on_the_spares_until_these_are_used_up() -> None:
     listener = Admission(LIMITS)
-    places = fill(listener, 6)
-    for place in places[:2]:
-        listener.step(place, ClientState.LEAVING, 0.0)
+    entries = fill(listener, 6)
+    for entry in entries[:2]:
+        listener.step(entry, ClientState.LEAVING, 0.0)
     assert listener.room(0.0).admit
     fill(listener, 2)
     assert len(listener) == LIMITS.client_connections + LIMITS.client_closing_connections
-    listener.step(places[2], ClientState.LEAVING, 0.0)
+    listener.step(entries[2], ClientState.LEAVING, 0.0)
     asked = listener.room(LIMITS.client_closing_evictable_ms)
-    assert asked.ends is places[0]
+    assert asked.ends is entries[0]
 
 
 def test_the_slowest_unfinished_request_goes_when_they_hold_too_much() -> None:
     listener = Admission(LIMITS)
     a, b = fill(listener, 2)
-    for place in (a, b):
-        listener.step(place, ClientState.READING, 0.0)
+    for entry in (a, b):
+        listener.step(entry, ClientState.READING, 0.0)
     listener.keep(a, 400)
     listener.keep(b, 600)
     assert listener.too_much() is None
@@ -114,12 +114,12 @@
 
 def test_a_request_lags_below_the_least_rate() -> None:
     listener = Admission(LIMITS)
-    (place,) = fill(listener, 1)
-    listener.step(place, ClientState.READING, 0.0)
+    (entry,) = fill(listener, 1)
+    listener.step(entry, ClientState.READING, 0.0)
     least = int(LIMITS.client_min_bytes_s * LIMITS.client_slow_ms / 1000)
     for much, lags in ((1, True), (least - 1, True), (least, False)):
-        listener.keep(place, much)
-        assert listener.lags(place) is lags
+        listener.keep(entry, much)
+        assert listener.lags(entry) is lags
 
 
 def test_closing_ends_the_idle_at_once_and_gives_newcomers_time_to_speak() -> None:
@@ -136,9 +136,9 @@
 
 def test_a_driver_that_takes_a_step_the_table_does_not_name_is_told() -> None:
     listener = Admission(LIMITS)
-    (place,) = fill(listener, 1)
+    (entry,) = fill(listener, 1)
     with pytest.raises(Misuse, match="no step from new to idle"):
-        listener.step(place, ClientState.IDLE, 0.0)
+        listener.step(entry, ClientState.IDLE, 0.0)
     with pytest.raises(Misuse, match="nobody begins as waiting"):
         listener.enter(0.0, ClientState.WAITING)
 
@@ -153,20 +153,20 @@
         self.refused_since: float | None = None
 
     def at(self, number: int) -> ClientEntry:
-        places = list(self.listener)
-        return places[number % len(places)]
+        entries = list(self.listener)
+        return entries[number % len(entries)]
 
     @rule(ms=st.sampled_from([0.0, 1.0, 30.0, 60.0, 400.0]))
     def time_passes(self, ms: float) -> None:
         self.now += ms
-        while (place := self.listener.due(self.now)) is not None:
-            assert place.since + RULES[place.state].lasts_ms <= self.now
-            if place.state is ClientState.READING:
-                self.listener.step(place, ClientState.LAGGING, self.now)
-            elif place.state is ClientState.WAITING:
-                self.listener.step(place, ClientState.ANSWERED, self.now)
+        while (entry := self.listener.due(self.now)) is not None:
+            assert entry.since + RULES[entry.state].lasts_ms <= self.now
+            if entry.state is ClientState.READING:
+                self.listener.step(entry, ClientState.LAGGING, self.now)
+            elif entry.state is ClientState.WAITING:
+                self.listener.step(entry, ClientState.ANSWERED, self.now)
             else:
-                self.listener.leave(place)
+                self.listener.leave(entry)
 
     @rule()
     def somebody_connects(self) -> None:
@@ -200,16 +200,16 @@
     @precondition(lambda self: len(self.listener) > 0)
     @rule(number=st.integers(0, 7), state=st.sampled_from(list(ClientState)), much=st.integers(0, 300))
     def a_step(self, number: int, state: ClientState, much: int) -> None:
-        place = self.at(number)
-        if state is ClientState.READING and state in STEPS[place.state]:
-            self.listener.step(place, state, self.now)
-            self.listener.keep(place, much)
-        elif state is ClientState.WAITING and state in STEPS[place.state]:
-            self.listener.heard(place, self.now)
-        elif state in (ClientState.IDLE, ClientState.KEPT) and place.state is ClientState.ANSWERED:
-            self.listener.rests(place, self.now)
-        elif state in STEPS[place.state]:
-            self.listener.step(place, state, self.now)
+        entry = self.at(number)
+        if state is ClientState.READING and state in STEPS[entry.state]:
+            self.listener.step(entry, state, self.now)
+            self.listener.keep(entry, much)
+        elif state is ClientState.WAITING and state in STEPS[entry.state]:
+            self.listener.heard(entry, self.now)
+        elif state in (ClientState.IDLE, ClientState.KEPT) and entry.state is ClientState.ANSWERED:
+            self.listener.rests(entry, self.now)
+        elif state in STEPS[entry.state]:
+            self.listener.step(entry, state, self.now)
 
     @precondition(lambda self: len(self.listener) > 0)
     @rule(number=st.integers(0, 7))
@@ -221,14 +221,14 @@
         leaving = self.listener.count(ClientState.LEAVING)
         assert len(self.listener) - leaving <= LIMITS.client_connections
         assert len(self.listener) <= LIMITS.client_connections + LIMITS.client_closing_connections
-        assert self.listener.held == sum(place.held for place in self.listener)
+        assert self.listener.held == sum(entry.held for entry in self.listener)
 
     @invariant()
     def nobody_outstays_and_lines_are_in_order(self) -> None:
         for state in ClientState:
-            line = [place.since for place in self.listener if place.state is state]
+            line = [entry.since for entry in self.listener if entry.state is state]
             assert line == sorted(line)
-        ends = [place.since + RULES[place.state].lasts_ms for place in self.listener]
+        ends = [entry.since + RULES[entry.state].lasts_ms for entry in self.listener]
         assert self.listener.next_due() == min(ends, default=inf)
 
 
@@ -238,10 +238,10 @@
 
 def test_a_request_began_with_its_first_byte_however_long_its_pieces_take() -> None:
     listener = Admission(LIMITS)
-    (place,) = fill(listener, 1)
-    listener.step(place, ClientState.READING, 10.0)
-    listener.step(place, ClientState.LAGGING, 310.0)
-    assert listener.heard(place, 500.0) == 10.0
-    listener.step(place, ClientState.ANSWERED, 501.0)
-    listener.rests(place, 502.0)
-    assert listener.heard(place, 600.0) == 600.0  # one that came whole
+    (entry,) = fill(listener, 1)
+    listener.step(entry, ClientState.READING, 10.0)
+    listener.step(entry, ClientState.LAGGING, 310.0)
+    assert listener.heard(entry, 500.0) == 10.0
+    listener.step(entry, ClientState.ANSWERED, 501.0)
+    listener.rests(entry, 502.0)
+    assert listener.heard(entry, 600.0) == 600.0  # one that came whole
