--- a/springspread/admission/admission.py
+++ b/springspread/admission/admission.py
@@ -23,7 +23,7 @@
 
     NEW = "new"  # connected, and has sent nothing
     READING = "reading"  # a request has begun, lately
-    LAGGING = "lagging"  # a request has begun and takes long
+    SLOW = "lagging"  # a request has begun and takes long
     WAITING = "waiting"  # a whole request is with the core
     ANSWERED = "answered"  # an answer that its socket has not taken whole
     IDLE = "idle"  # between requests, after one
@@ -36,9 +36,9 @@
         {ClientState.READING, ClientState.WAITING, ClientState.ANSWERED, ClientState.LEAVING}
     ),
     ClientState.READING: frozenset(
-        {ClientState.LAGGING, ClientState.WAITING, ClientState.ANSWERED, ClientState.LEAVING}
+        {ClientState.SLOW, ClientState.WAITING, ClientState.ANSWERED, ClientState.LEAVING}
     ),
-    ClientState.LAGGING: frozenset({ClientState.WAITING, ClientState.ANSWERED, ClientState.LEAVING}),
+    ClientState.SLOW: frozenset({ClientState.WAITING, ClientState.ANSWERED, ClientState.LEAVING}),
     ClientState.WAITING: frozenset({ClientState.ANSWERED, ClientState.LEAVING}),
     ClientState.ANSWERED: frozenset(
         {ClientState.IDLE, ClientState.KEPT, ClientState.READING, ClientState.WAITING, ClientState.LEAVING}
@@ -56,7 +56,7 @@
 ROOM = (
     ClientState.LEAVING,
     ClientState.NEW,
-    ClientState.LAGGING,
+    ClientState.SLOW,
     ClientState.IDLE,
     ClientState.KEPT,
     ClientState.ANSWERED,
@@ -82,7 +82,7 @@
     return {
         ClientState.NEW: Rule(limits.client_first_byte_ms, limits.client_new_evictable_ms),
         ClientState.READING: Rule(limits.client_slow_ms, limits.client_partial_evictable_ms),
-        ClientState.LAGGING: Rule(limits.client_read_ms - limits.client_slow_ms, 0.0),
+        ClientState.SLOW: Rule(limits.client_read_ms - limits.client_slow_ms, 0.0),
         ClientState.WAITING: Rule(limits.verdict_ms),
         ClientState.ANSWERED: Rule(limits.client_write_ms, limits.client_slow_ms),
         ClientState.IDLE: Rule(limits.client_idle_ms, 0.0),
@@ -206,7 +206,7 @@
 
     def heard(self, entry: ClientEntry, now: float) -> float:
         """A whole request was read: the core has it, or its answer is about to be written. When it began."""
-        begun = entry.begun if entry.state in (ClientState.READING, ClientState.LAGGING) else now
+        begun = entry.begun if entry.state in (ClientState.READING, ClientState.SLOW) else now
         entry.requests += 1
         self.step(entry, ClientState.WAITING, now)
         return begun
@@ -224,7 +224,7 @@
         """Who is ended as unfinished requests hold more than their bound: the slowest of them."""
         if self._held <= self._limits.client_bytes:
             return None
-        for state in (ClientState.LAGGING, ClientState.READING):
+        for state in (ClientState.SLOW, ClientState.READING):
             head = next(iter(self._lines[state]), None)
             if head is not None:
                 return head
--- a/springspread/net/listener.py
+++ b/springspread/net/listener.py
@@ -254,7 +254,7 @@
             self._evict(self._clients[room.ends])
 
     def _evict(self, client: Client) -> None:
-        if client.entry.state in (ClientState.READING, ClientState.LAGGING):
+        if client.entry.state in (ClientState.READING, ClientState.SLOW):
             self._refuse(client, 503)
         elif client.entry.state not in BETWEEN_REQUESTS:
             self._close_at_limit(client)
@@ -299,7 +299,7 @@
             self._on_broken(client)  # it can't be answered any more
             return
         if not data:
-            half = client.entry.state in (ClientState.READING, ClientState.LAGGING)
+            half = client.entry.state in (ClientState.READING, ClientState.SLOW)
             if client.shutdown.step(Event.PEER_CLOSED) is State.CLOSED:
                 self._close(client)
             elif client.entry.state is not ClientState.LEAVING:
@@ -335,7 +335,7 @@
                 return
             request = self._next_request(client)
         if client.machine.phase is Phase.READING:
-            if entry.state not in (ClientState.READING, ClientState.LAGGING):
+            if entry.state not in (ClientState.READING, ClientState.SLOW):
                 self._admission.step(entry, ClientState.READING, clock())
             self._admission.keep(entry, client.machine.buffered)
             slowest = self._admission.too_much()
@@ -445,8 +445,8 @@
             client = self._clients[entry]
             match entry.state:
                 case ClientState.READING if not self._admission.lags(entry):
-                    self._admission.step(entry, ClientState.LAGGING, now)
-                case ClientState.READING | ClientState.LAGGING:
+                    self._admission.step(entry, ClientState.SLOW, now)
+                case ClientState.READING | ClientState.SLOW:
                     self._refuse(client, 408)
                 case ClientState.WAITING:
                     message, client.message = client.message, None
--- a/tests/admission/test_admission.py
+++ b/tests/admission/test_admission.py
@@ -57,7 +57,7 @@
     listener = Admission(LIMITS)
     silent, slow, once, often, waiting, reading = fill(listener, 6)
     listener.step(slow, ClientState.READING, 0.0)
-    listener.step(slow, ClientState.LAGGING, 0.0)
+    listener.step(slow, ClientState.SLOW, 0.0)
     brought(listener, once, 0.0)
     brought(listener, often, 0.0)
     brought(listener, often, 0.0)
@@ -106,7 +106,7 @@
     assert listener.too_much() is None
     listener.keep(b, 601)
     assert listener.too_much() is a
-    listener.step(b, ClientState.LAGGING, 1.0)
+    listener.step(b, ClientState.SLOW, 1.0)
     assert listener.too_much() is b
     listener.leave(b)
     assert listener.held == 400 and listener.too_much() is None
@@ -162,7 +162,7 @@
         while (entry := self.listener.due(self.now)) is not None:
             assert entry.since + RULES[entry.state].lasts_ms <= self.now
             if entry.state is ClientState.READING:
-                self.listener.step(entry, ClientState.LAGGING, self.now)
+                self.listener.step(entry, ClientState.SLOW, self.now)
             elif entry.state is ClientState.WAITING:
                 self.listener.step(entry, ClientState.ANSWERED, self.now)
             else:
@@ -240,7 +240,7 @@
     listener = Admission(LIMITS)
     (entry,) = fill(listener, 1)
     listener.step(entry, ClientState.READING, 10.0)
-    listener.step(entry, ClientState.LAGGING, 310.0)
+    listener.step(entry, ClientState.SLOW, 310.0)
     assert listener.heard(entry, 500.0) == 10.0
     listener.step(entry, ClientState.ANSWERED, 501.0)
     listener.rests(entry, 502.0)
