--- a/springspread/admission/admission.py
+++ b/springspread/admission/admission.py
@@ -27,7 +27,7 @@
     WAITING = "waiting"  # a whole request is with the core
     ANSWERED = "answered"  # an answer that its socket has not taken whole
     IDLE = "idle"  # between requests, after one
-    KEPT = "kept"  # between requests, after several
+    REUSED = "kept"  # between requests, after several
     LEAVING = "leaving"  # told its last answer
 
 
@@ -41,12 +41,12 @@
     ClientState.SLOW: frozenset({ClientState.WAITING, ClientState.ANSWERED, ClientState.LEAVING}),
     ClientState.WAITING: frozenset({ClientState.ANSWERED, ClientState.LEAVING}),
     ClientState.ANSWERED: frozenset(
-        {ClientState.IDLE, ClientState.KEPT, ClientState.READING, ClientState.WAITING, ClientState.LEAVING}
+        {ClientState.IDLE, ClientState.REUSED, ClientState.READING, ClientState.WAITING, ClientState.LEAVING}
     ),
     ClientState.IDLE: frozenset(
         {ClientState.READING, ClientState.WAITING, ClientState.ANSWERED, ClientState.LEAVING}
     ),
-    ClientState.KEPT: frozenset(
+    ClientState.REUSED: frozenset(
         {ClientState.READING, ClientState.WAITING, ClientState.ANSWERED, ClientState.LEAVING}
     ),
     ClientState.LEAVING: frozenset(),
@@ -58,7 +58,7 @@
     ClientState.NEW,
     ClientState.SLOW,
     ClientState.IDLE,
-    ClientState.KEPT,
+    ClientState.REUSED,
     ClientState.ANSWERED,
     ClientState.READING,
 )
@@ -86,7 +86,7 @@
         ClientState.WAITING: Rule(limits.verdict_ms),
         ClientState.ANSWERED: Rule(limits.client_write_ms, limits.client_slow_ms),
         ClientState.IDLE: Rule(limits.client_idle_ms, 0.0),
-        ClientState.KEPT: Rule(limits.client_idle_ms, 0.0),
+        ClientState.REUSED: Rule(limits.client_idle_ms, 0.0),
         ClientState.LEAVING: Rule(limits.client_linger_ms, limits.client_closing_evictable_ms),
     }
 
@@ -213,7 +213,7 @@
 
     def rests(self, entry: ClientEntry, now: float) -> None:
         """Its answer was written whole, and nothing of another request has come."""
-        self.step(entry, ClientState.KEPT if entry.requests > 1 else ClientState.IDLE, now)
+        self.step(entry, ClientState.REUSED if entry.requests > 1 else ClientState.IDLE, now)
 
     def keep(self, entry: ClientEntry, much: int) -> None:
         """Note how many bytes of an unfinished request are kept for a connection."""
@@ -240,7 +240,7 @@
         self._lines[entry.state].pop(entry, None)
 
     def _lasts(self, state: ClientState) -> float:
-        if self.closing and state in (ClientState.IDLE, ClientState.KEPT):
+        if self.closing and state in (ClientState.IDLE, ClientState.REUSED):
             return 0.0
         if self.closing and state is ClientState.NEW:
             return self._limits.client_new_evictable_ms
--- a/springspread/net/listener.py
+++ b/springspread/net/listener.py
@@ -26,7 +26,7 @@
 ACCEPT_PAUSE_MS = 50.0  # accepting pauses for this long at most
 OVERLOADED = b"HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\nConnection: close\r\n\r\n"
 NONE, READ, WRITE = 0, selectors.EVENT_READ, selectors.EVENT_WRITE
-BETWEEN_REQUESTS = (ClientState.NEW, ClientState.IDLE, ClientState.KEPT)
+BETWEEN_REQUESTS = (ClientState.NEW, ClientState.IDLE, ClientState.REUSED)
 
 
 class RequestHandler(Protocol):
--- a/tests/admission/test_admission.py
+++ b/tests/admission/test_admission.py
@@ -206,7 +206,7 @@
             self.listener.keep(entry, much)
         elif state is ClientState.WAITING and state in STEPS[entry.state]:
             self.listener.heard(entry, self.now)
-        elif state in (ClientState.IDLE, ClientState.KEPT) and entry.state is ClientState.ANSWERED:
+        elif state in (ClientState.IDLE, ClientState.REUSED) and entry.state is ClientState.ANSWERED:
             self.listener.rests(entry, self.now)
         elif state in STEPS[entry.state]:
             self.listener.step(entry, state, self.now)
