--- a/springspread/admission/admission.py
+++ b/springspread/admission/admission.py
@@ -28,33 +28,33 @@
     ANSWERED = "answered"  # an answer that its socket has not taken whole
     IDLE = "idle"  # between requests, after one
     REUSED = "kept"  # between requests, after several
-    LEAVING = "leaving"  # told its last answer
+    CLOSING = "leaving"  # told its last answer
 
 
 STEPS: dict[ClientState, frozenset[ClientState]] = {
     ClientState.NEW: frozenset(
-        {ClientState.READING, ClientState.WAITING, ClientState.ANSWERED, ClientState.LEAVING}
+        {ClientState.READING, ClientState.WAITING, ClientState.ANSWERED, ClientState.CLOSING}
     ),
     ClientState.READING: frozenset(
-        {ClientState.SLOW, ClientState.WAITING, ClientState.ANSWERED, ClientState.LEAVING}
+        {ClientState.SLOW, ClientState.WAITING, ClientState.ANSWERED, ClientState.CLOSING}
     ),
-    ClientState.SLOW: frozenset({ClientState.WAITING, ClientState.ANSWERED, ClientState.LEAVING}),
-    ClientState.WAITING: frozenset({ClientState.ANSWERED, ClientState.LEAVING}),
+    ClientState.SLOW: frozenset({ClientState.WAITING, ClientState.ANSWERED, ClientState.CLOSING}),
+    ClientState.WAITING: frozenset({ClientState.ANSWERED, ClientState.CLOSING}),
     ClientState.ANSWERED: frozenset(
-        {ClientState.IDLE, ClientState.REUSED, ClientState.READING, ClientState.WAITING, ClientState.LEAVING}
+        {ClientState.IDLE, ClientState.REUSED, ClientState.READING, ClientState.WAITING, ClientState.CLOSING}
     ),
     ClientState.IDLE: frozenset(
-        {ClientState.READING, ClientState.WAITING, ClientState.ANSWERED, ClientState.LEAVING}
+        {ClientState.READING, ClientState.WAITING, ClientState.ANSWERED, ClientState.CLOSING}
     ),
     ClientState.REUSED: frozenset(
-        {ClientState.READING, ClientState.WAITING, ClientState.ANSWERED, ClientState.LEAVING}
+        {ClientState.READING, ClientState.WAITING, ClientState.ANSWERED, ClientState.CLOSING}
     ),
-    ClientState.LEAVING: frozenset(),
+    ClientState.CLOSING: frozenset(),
 }
 """What may follow on each state; every connection may end from any."""
 
 ROOM = (
-    ClientState.LEAVING,
+    ClientState.CLOSING,
     ClientState.NEW,
     ClientState.SLOW,
     ClientState.IDLE,
@@ -87,7 +87,7 @@
         ClientState.ANSWERED: Rule(limits.client_write_ms, limits.client_slow_ms),
         ClientState.IDLE: Rule(limits.client_idle_ms, 0.0),
         ClientState.REUSED: Rule(limits.client_idle_ms, 0.0),
-        ClientState.LEAVING: Rule(limits.client_linger_ms, limits.client_closing_evictable_ms),
+        ClientState.CLOSING: Rule(limits.client_linger_ms, limits.client_closing_evictable_ms),
     }
 
 
@@ -146,7 +146,7 @@
 
     def room(self, now: float) -> Room:
         """Whether a newcomer may be let in; whoever is named to make room ends before the next look."""
-        leaving = self.count(ClientState.LEAVING)
+        leaving = self.count(ClientState.CLOSING)
         everyone = len(self)
         if (
             everyone - leaving < self._limits.client_connections
@@ -158,7 +158,7 @@
     def _makes_room(self, now: float) -> Room:
         soonest = inf
         for state in ROOM:
-            if state is ClientState.LEAVING and self.count(state) <= self._limits.client_closing_connections:
+            if state is ClientState.CLOSING and self.count(state) <= self._limits.client_closing_connections:
                 continue  # these stand on the spares and take nobody's entry
             head = next(iter(self._lines[state]), None)
             if head is None:
@@ -183,8 +183,8 @@
         return len(self) < self._limits.client_connections + self._limits.client_closing_connections
 
     def enter(self, now: float, state: ClientState = ClientState.NEW) -> ClientEntry:
-        """Give a newcomer its entry; LEAVING for one that is turned away."""
-        if state not in (ClientState.NEW, ClientState.LEAVING):
+        """Give a newcomer its entry; CLOSING for one that is turned away."""
+        if state not in (ClientState.NEW, ClientState.CLOSING):
             raise Misuse(f"nobody begins as {state.value}")
         self._arrivals = self._arrivals * exp((self._arrived_at - now) / RATE_MS) + 1.0
         self._arrived_at = now
@@ -197,7 +197,7 @@
         if state not in STEPS[entry.state]:
             raise Misuse(f"no step from {entry.state.value} to {state.value}")
         del self._lines[entry.state][entry]
-        if state in (ClientState.WAITING, ClientState.LEAVING):
+        if state in (ClientState.WAITING, ClientState.CLOSING):
             self.keep(entry, 0)
         if state is ClientState.READING:
             entry.begun = now
--- a/springspread/net/listener.py
+++ b/springspread/net/listener.py
@@ -218,7 +218,7 @@
                 return
             sock.setblocking(False)
             now = clock()
-            entry = self._admission.enter(now, ClientState.NEW if admit else ClientState.LEAVING)
+            entry = self._admission.enter(now, ClientState.NEW if admit else ClientState.CLOSING)
             client = self._clients[entry] = Client(sock, entry, self._limits)
             self._watch(client, READ)
             if admit:
@@ -262,7 +262,7 @@
             self._finish(client)
             if (
                 client.open
-                and self._admission.count(ClientState.LEAVING) > self._limits.client_closing_connections
+                and self._admission.count(ClientState.CLOSING) > self._limits.client_closing_connections
             ):
                 self._close_at_limit(client)  # no more descriptors for lingering connections
         self._evicted += 1
@@ -279,7 +279,7 @@
 
     def _on_ready(self, client: Client, events: int) -> None:
         if events & WRITE and client.output:
-            if client.entry.state is ClientState.LEAVING:
+            if client.entry.state is ClientState.CLOSING:
                 self._write_last(client)
             else:
                 self._flush(client)
@@ -302,7 +302,7 @@
             half = client.entry.state in (ClientState.READING, ClientState.SLOW)
             if client.shutdown.step(Event.PEER_CLOSED) is State.CLOSED:
                 self._close(client)
-            elif client.entry.state is not ClientState.LEAVING:
+            elif client.entry.state is not ClientState.CLOSING:
                 # A half-closed client may still read: it receives the error for its incomplete request.
                 self._refuse(client, 400) if half else self._finish(client)
             else:
@@ -412,8 +412,8 @@
 
     def _finish(self, client: Client, last: bytes = b"") -> None:
         """Write the last answer, shut down our side, and drop input until the peer closes its side."""
-        if client.entry.state is not ClientState.LEAVING:
-            self._admission.step(client.entry, ClientState.LEAVING, clock())
+        if client.entry.state is not ClientState.CLOSING:
+            self._admission.step(client.entry, ClientState.CLOSING, clock())
         client.output += last
         client.shutdown.step(Event.LAST_ANSWER)
         self._write_last(client)
--- a/tests/admission/test_admission.py
+++ b/tests/admission/test_admission.py
@@ -87,11 +87,11 @@
     listener = Admission(LIMITS)
     entries = fill(listener, 6)
     for entry in entries[:2]:
-        listener.step(entry, ClientState.LEAVING, 0.0)
+        listener.step(entry, ClientState.CLOSING, 0.0)
     assert listener.room(0.0).admit
     fill(listener, 2)
     assert len(listener) == LIMITS.client_connections + LIMITS.client_closing_connections
-    listener.step(entries[2], ClientState.LEAVING, 0.0)
+    listener.step(entries[2], ClientState.CLOSING, 0.0)
     asked = listener.room(LIMITS.client_closing_evictable_ms)
     assert asked.ends is entries[0]
 
@@ -218,7 +218,7 @@
 
     @invariant()
     def the_caps_hold(self) -> None:
-        leaving = self.listener.count(ClientState.LEAVING)
+        leaving = self.listener.count(ClientState.CLOSING)
         assert len(self.listener) - leaving <= LIMITS.client_connections
         assert len(self.listener) <= LIMITS.client_connections + LIMITS.client_closing_connections
         assert self.listener.held == sum(entry.held for entry in self.listener)
