--- a/springspread/admission/admission.py
+++ b/springspread/admission/admission.py
@@ -25,7 +25,7 @@
     READING = "reading"  # a request has begun, lately
     SLOW = "lagging"  # a request has begun and takes long
     WAITING = "waiting"  # a whole request is with the core
-    ANSWERED = "answered"  # an answer that its socket has not taken whole
+    WRITING = "answered"  # an answer that its socket has not taken whole
     IDLE = "idle"  # between requests, after one
     REUSED = "kept"  # between requests, after several
     CLOSING = "leaving"  # told its last answer
@@ -33,21 +33,21 @@
 
 STEPS: dict[ClientState, frozenset[ClientState]] = {
     ClientState.NEW: frozenset(
-        {ClientState.READING, ClientState.WAITING, ClientState.ANSWERED, ClientState.CLOSING}
+        {ClientState.READING, ClientState.WAITING, ClientState.WRITING, ClientState.CLOSING}
     ),
     ClientState.READING: frozenset(
-        {ClientState.SLOW, ClientState.WAITING, ClientState.ANSWERED, ClientState.CLOSING}
+        {ClientState.SLOW, ClientState.WAITING, ClientState.WRITING, ClientState.CLOSING}
     ),
-    ClientState.SLOW: frozenset({ClientState.WAITING, ClientState.ANSWERED, ClientState.CLOSING}),
-    ClientState.WAITING: frozenset({ClientState.ANSWERED, ClientState.CLOSING}),
-    ClientState.ANSWERED: frozenset(
+    ClientState.SLOW: frozenset({ClientState.WAITING, ClientState.WRITING, ClientState.CLOSING}),
+    ClientState.WAITING: frozenset({ClientState.WRITING, ClientState.CLOSING}),
+    ClientState.WRITING: frozenset(
         {ClientState.IDLE, ClientState.REUSED, ClientState.READING, ClientState.WAITING, ClientState.CLOSING}
     ),
     ClientState.IDLE: frozenset(
-        {ClientState.READING, ClientState.WAITING, ClientState.ANSWERED, ClientState.CLOSING}
+        {ClientState.READING, ClientState.WAITING, ClientState.WRITING, ClientState.CLOSING}
     ),
     ClientState.REUSED: frozenset(
-        {ClientState.READING, ClientState.WAITING, ClientState.ANSWERED, ClientState.CLOSING}
+        {ClientState.READING, ClientState.WAITING, ClientState.WRITING, ClientState.CLOSING}
     ),
     ClientState.CLOSING: frozenset(),
 }
@@ -59,7 +59,7 @@
     ClientState.SLOW,
     ClientState.IDLE,
     ClientState.REUSED,
-    ClientState.ANSWERED,
+    ClientState.WRITING,
     ClientState.READING,
 )
 """In which order room is made. Whoever is WAITING has a request in flight and is never asked. A usual request
@@ -84,7 +84,7 @@
         ClientState.READING: Rule(limits.client_slow_ms, limits.client_partial_evictable_ms),
         ClientState.SLOW: Rule(limits.client_read_ms - limits.client_slow_ms, 0.0),
         ClientState.WAITING: Rule(limits.verdict_ms),
-        ClientState.ANSWERED: Rule(limits.client_write_ms, limits.client_slow_ms),
+        ClientState.WRITING: Rule(limits.client_write_ms, limits.client_slow_ms),
         ClientState.IDLE: Rule(limits.client_idle_ms, 0.0),
         ClientState.REUSED: Rule(limits.client_idle_ms, 0.0),
         ClientState.CLOSING: Rule(limits.client_linger_ms, limits.client_closing_evictable_ms),
--- a/springspread/net/listener.py
+++ b/springspread/net/listener.py
@@ -284,7 +284,7 @@
             else:
                 self._flush(client)
         elif events & READ:
-            if client.entry.state in (ClientState.WAITING, ClientState.ANSWERED):
+            if client.entry.state in (ClientState.WAITING, ClientState.WRITING):
                 # Bounds memory: a client is not read while it waits for an answer.
                 self._watch(client, client.interest & ~READ)
             else:
@@ -341,7 +341,7 @@
             slowest = self._admission.too_much()
             if slowest is not None:
                 self._refuse(self._clients[slowest], 503)
-        elif entry.state is ClientState.ANSWERED:
+        elif entry.state is ClientState.WRITING:
             self._admission.rests(entry, clock())
 
     # Answering
@@ -367,7 +367,7 @@
         client.output += client.machine.answer(reply.status, reply.headers, close=close, body=reply.body)
         if client.machine.phase is Phase.CLOSED:
             client.shutdown.step(Event.LAST_ANSWER)
-        self._admission.step(client.entry, ClientState.ANSWERED, clock())
+        self._admission.step(client.entry, ClientState.WRITING, clock())
         return self._write(client)
 
     def _write(self, client: Client) -> bool:
--- a/tests/admission/test_admission.py
+++ b/tests/admission/test_admission.py
@@ -24,7 +24,7 @@
 
 def brought(listener: Admission, entry: ClientEntry, now: float) -> None:
     listener.heard(entry, now)
-    listener.step(entry, ClientState.ANSWERED, now)
+    listener.step(entry, ClientState.WRITING, now)
     listener.rests(entry, now)
 
 
@@ -164,7 +164,7 @@
             if entry.state is ClientState.READING:
                 self.listener.step(entry, ClientState.SLOW, self.now)
             elif entry.state is ClientState.WAITING:
-                self.listener.step(entry, ClientState.ANSWERED, self.now)
+                self.listener.step(entry, ClientState.WRITING, self.now)
             else:
                 self.listener.leave(entry)
 
@@ -206,7 +206,7 @@
             self.listener.keep(entry, much)
         elif state is ClientState.WAITING and state in STEPS[entry.state]:
             self.listener.heard(entry, self.now)
-        elif state in (ClientState.IDLE, ClientState.REUSED) and entry.state is ClientState.ANSWERED:
+        elif state in (ClientState.IDLE, ClientState.REUSED) and entry.state is ClientState.WRITING:
             self.listener.rests(entry, self.now)
         elif state in STEPS[entry.state]:
             self.listener.step(entry, state, self.now)
@@ -242,6 +242,6 @@
     listener.step(entry, ClientState.READING, 10.0)
     listener.step(entry, ClientState.SLOW, 310.0)
     assert listener.heard(entry, 500.0) == 10.0
-    listener.step(entry, ClientState.ANSWERED, 501.0)
+    listener.step(entry, ClientState.WRITING, 501.0)
     listener.rests(entry, 502.0)
     assert listener.heard(entry, 600.0) == 600.0  # one that came whole
