--- a/springspread/admission/admission.py
+++ b/springspread/admission/admission.py
@@ -144,7 +144,7 @@
         """Bytes kept of requests that are not whole, of all connections together."""
         return self._held
 
-    def room(self, now: float) -> Room:
+    def decision(self, now: float) -> Room:
         """Whether a newcomer may be let in; whoever is named to make room ends before the next look."""
         leaving = self.count(ClientState.CLOSING)
         everyone = len(self)
--- a/springspread/net/listener.py
+++ b/springspread/net/listener.py
@@ -230,18 +230,21 @@
         """Whether to admit the next connection or to refuse it; ``None``: leave it in the backlog."""
         while True:
             now = clock()
-            room = self._admission.room(now)
-            if room.admit:
+            decision = self._admission.decision(now)
+            if decision.admit:
                 return True
-            if room.ends is not None:
+            if decision.ends is not None:
                 if not self._connection_pending():
                     return None  # evict nobody unless a connection is pending
-                self._evict(self._clients[room.ends])
+                self._evict(self._clients[decision.ends])
                 continue
-            if room.at - now > 2 * self._limits.client_new_evictable_ms and self._admission.may_turn_away():
+            if (
+                decision.at - now > 2 * self._limits.client_new_evictable_ms
+                and self._admission.may_turn_away()
+            ):
                 return False
             if not self._closing:
-                self._pause_accepting(room.at)
+                self._pause_accepting(decision.at)
                 return None
             return False if self._admission.may_turn_away() else None
 
@@ -249,9 +252,9 @@
         return any(key.fileobj is self._sock for key, _ in self._selector.select(0.0))
 
     def _evict_one(self) -> None:
-        room = self._admission.room(clock())
-        if room.ends is not None:
-            self._evict(self._clients[room.ends])
+        decision = self._admission.decision(clock())
+        if decision.ends is not None:
+            self._evict(self._clients[decision.ends])
 
     def _evict(self, client: Client) -> None:
         if client.entry.state in (ClientState.READING, ClientState.SLOW):
--- a/tests/admission/test_admission.py
+++ b/tests/admission/test_admission.py
@@ -32,9 +32,9 @@
     limits = replace(LIMITS, client_connections=100)
     listener = Admission(limits)
     first, *_ = fill(listener, 100)
-    early = listener.room(LIMITS.client_new_evictable_ms - 1)
+    early = listener.decision(LIMITS.client_new_evictable_ms - 1)
     assert (early.admit, early.ends, early.at) == (False, None, LIMITS.client_new_evictable_ms)
-    assert listener.room(LIMITS.client_new_evictable_ms).ends is first
+    assert listener.decision(LIMITS.client_new_evictable_ms).ends is first
 
 
 def test_newcomers_are_spared_for_as_long_as_the_places_allow_at_their_rate() -> None:
@@ -42,13 +42,13 @@
     listener, now, admitted = Admission(limits), 0.0, 0
     for _ in range(2000):  # 4 a millisecond say nothing: 100 places last 25 ms, the time to speak is 50
         now += 0.25
-        room = listener.room(now)
-        if room.ends is not None:
-            assert now - room.ends.since >= 10.0
-            listener.leave(room.ends)
-            room = listener.room(now)
-        admitted += room.admit
-        if room.admit:
+        decision = listener.decision(now)
+        if decision.ends is not None:
+            assert now - decision.ends.since >= 10.0
+            listener.leave(decision.ends)
+            decision = listener.decision(now)
+        admitted += decision.admit
+        if decision.admit:
             listener.enter(now)
     assert admitted > 1800
 
@@ -65,21 +65,21 @@
     listener.step(reading, ClientState.READING, 0.0)
     order = []
     for _ in range(4):
-        asked = listener.room(100.0).ends
+        asked = listener.decision(100.0).ends
         assert asked is not None
         order.append(asked)
         listener.leave(asked)
         fill(listener, 1, 100.0)
     assert order == [silent, slow, once, often]
-    assert listener.room(100.0).ends is reading  # last of all
+    assert listener.decision(100.0).ends is reading  # last of all
 
 
 def test_whoever_may_have_a_request_in_flight_is_never_asked_to_make_room() -> None:
     listener = Admission(LIMITS)
     for entry in fill(listener, 6):
         listener.heard(entry, 0.0)
-    room = listener.room(1e9)
-    assert not room.admit and room.ends is None and room.at == inf
+    decision = listener.decision(1e9)
+    assert not decision.admit and decision.ends is None and decision.at == inf
     assert not set(SAFE) & set(ROOM)
 
 
@@ -88,11 +88,11 @@
     entries = fill(listener, 6)
     for entry in entries[:2]:
         listener.step(entry, ClientState.CLOSING, 0.0)
-    assert listener.room(0.0).admit
+    assert listener.decision(0.0).admit
     fill(listener, 2)
     assert len(listener) == LIMITS.client_connections + LIMITS.client_closing_connections
     listener.step(entries[2], ClientState.CLOSING, 0.0)
-    asked = listener.room(LIMITS.client_closing_evictable_ms)
+    asked = listener.decision(LIMITS.client_closing_evictable_ms)
     assert asked.ends is entries[0]
 
 
@@ -172,30 +172,30 @@
     def somebody_connects(self) -> None:
         seen = 0
         while True:
-            room = self.listener.room(self.now)
-            if room.admit:
+            decision = self.listener.decision(self.now)
+            if decision.admit:
                 self.refused_since = None
                 self.listener.enter(self.now)
                 return
-            if room.ends is None:
+            if decision.ends is None:
                 break
-            assert room.ends.state not in SAFE
-            spared = RULES[room.ends.state].spared_ms
-            if room.ends.state in (
+            assert decision.ends.state not in SAFE
+            spared = RULES[decision.ends.state].spared_ms
+            if decision.ends.state in (
                 ClientState.NEW,
                 ClientState.READING,
             ):  # so long, or what the places allow
                 spared = 0.0
-            assert room.ends.since + spared <= self.now
-            self.listener.leave(room.ends)
+            assert decision.ends.since + spared <= self.now
+            self.listener.leave(decision.ends)
             seen += 1
             assert seen <= LIMITS.client_connections + LIMITS.client_closing_connections
-        assert room.at > self.now
+        assert decision.at > self.now
         busy = sum(map(self.listener.count, SAFE))
-        if room.at == inf:  # nobody but those who ask: each is over in its own time
+        if decision.at == inf:  # nobody but those who ask: each is over in its own time
             assert busy == LIMITS.client_connections
         else:
-            assert room.at - self.now <= max(LIMITS.client_slow_ms, LIMITS.client_new_evictable_ms)
+            assert decision.at - self.now <= max(LIMITS.client_slow_ms, LIMITS.client_new_evictable_ms)
 
     @precondition(lambda self: len(self.listener) > 0)
     @rule(number=st.integers(0, 7), state=st.sampled_from(list(ClientState)), much=st.integers(0, 300))
