--- a/springspread/admission/admission.py
+++ b/springspread/admission/admission.py
@@ -111,7 +111,7 @@
     """Whether a newcomer may be let in now; if not, who makes room first, or when somebody will."""
 
     admit: bool
-    ends: ClientEntry | None = None
+    victim: ClientEntry | None = None
     at: float = inf
 
 
--- a/springspread/net/listener.py
+++ b/springspread/net/listener.py
@@ -233,10 +233,10 @@
             decision = self._admission.decision(now)
             if decision.admit:
                 return True
-            if decision.ends is not None:
+            if decision.victim is not None:
                 if not self._connection_pending():
                     return None  # evict nobody unless a connection is pending
-                self._evict(self._clients[decision.ends])
+                self._evict(self._clients[decision.victim])
                 continue
             if (
                 decision.at - now > 2 * self._limits.client_new_evictable_ms
@@ -253,8 +253,8 @@
 
     def _evict_one(self) -> None:
         decision = self._admission.decision(clock())
-        if decision.ends is not None:
-            self._evict(self._clients[decision.ends])
+        if decision.victim is not None:
+            self._evict(self._clients[decision.victim])
 
     def _evict(self, client: Client) -> None:
         if client.entry.state in (ClientState.READING, ClientState.SLOW):
--- a/tests/admission/test_admission.py
+++ b/tests/admission/test_admission.py
@@ -33,8 +33,8 @@
     listener = Admission(limits)
     first, *_ = fill(listener, 100)
     early = listener.decision(LIMITS.client_new_evictable_ms - 1)
-    assert (early.admit, early.ends, early.at) == (False, None, LIMITS.client_new_evictable_ms)
-    assert listener.decision(LIMITS.client_new_evictable_ms).ends is first
+    assert (early.admit, early.victim, early.at) == (False, None, LIMITS.client_new_evictable_ms)
+    assert listener.decision(LIMITS.client_new_evictable_ms).victim is first
 
 
 def test_newcomers_are_spared_for_as_long_as_the_places_allow_at_their_rate() -> None:
@@ -43,9 +43,9 @@
     for _ in range(2000):  # 4 a millisecond say nothing: 100 places last 25 ms, the time to speak is 50
         now += 0.25
         decision = listener.decision(now)
-        if decision.ends is not None:
-            assert now - decision.ends.since >= 10.0
-            listener.leave(decision.ends)
+        if decision.victim is not None:
+            assert now - decision.victim.since >= 10.0
+            listener.leave(decision.victim)
             decision = listener.decision(now)
         admitted += decision.admit
         if decision.admit:
@@ -65,13 +65,13 @@
     listener.step(reading, ClientState.READING, 0.0)
     order = []
     for _ in range(4):
-        asked = listener.decision(100.0).ends
+        asked = listener.decision(100.0).victim
         assert asked is not None
         order.append(asked)
         listener.leave(asked)
         fill(listener, 1, 100.0)
     assert order == [silent, slow, once, often]
-    assert listener.decision(100.0).ends is reading  # last of all
+    assert listener.decision(100.0).victim is reading  # last of all
 
 
 def test_whoever_may_have_a_request_in_flight_is_never_asked_to_make_room() -> None:
@@ -79,7 +79,7 @@
     for entry in fill(listener, 6):
         listener.heard(entry, 0.0)
     decision = listener.decision(1e9)
-    assert not decision.admit and decision.ends is None and decision.at == inf
+    assert not decision.admit and decision.victim is None and decision.at == inf
     assert not set(SAFE) & set(ROOM)
 
 
@@ -93,7 +93,7 @@
     assert len(listener) == LIMITS.client_connections + LIMITS.client_closing_connections
     listener.step(entries[2], ClientState.CLOSING, 0.0)
     asked = listener.decision(LIMITS.client_closing_evictable_ms)
-    assert asked.ends is entries[0]
+    assert asked.victim is entries[0]
 
 
 def test_the_slowest_unfinished_request_goes_when_they_hold_too_much() -> None:
@@ -177,17 +177,17 @@
                 self.refused_since = None
                 self.listener.enter(self.now)
                 return
-            if decision.ends is None:
+            if decision.victim is None:
                 break
-            assert decision.ends.state not in SAFE
-            spared = RULES[decision.ends.state].spared_ms
-            if decision.ends.state in (
+            assert decision.victim.state not in SAFE
+            spared = RULES[decision.victim.state].spared_ms
+            if decision.victim.state in (
                 ClientState.NEW,
                 ClientState.READING,
             ):  # so long, or what the places allow
                 spared = 0.0
-            assert decision.ends.since + spared <= self.now
-            self.listener.leave(decision.ends)
+            assert decision.victim.since + spared <= self.now
+            self.listener.leave(decision.victim)
             seen += 1
             assert seen <= LIMITS.client_connections + LIMITS.client_closing_connections
         assert decision.at > self.now
