--- a/springspread/admission/admission.py
+++ b/springspread/admission/admission.py
@@ -112,7 +112,7 @@
 
     admit: bool
     victim: ClientEntry | None = None
-    at: float = inf
+    retry_at: float = inf
 
 
 class Admission:
@@ -167,7 +167,7 @@
             if spared_until <= now:
                 return Room(False, head)
             soonest = min(soonest, spared_until)
-        return Room(False, at=soonest)
+        return Room(False, retry_at=soonest)
 
     def _spared(self, state: ClientState, now: float) -> float:
         # Guards usual clients at any rate of arrival: who comes in while newcomers are spared must fit in,
--- a/springspread/net/listener.py
+++ b/springspread/net/listener.py
@@ -239,12 +239,12 @@
                 self._evict(self._clients[decision.victim])
                 continue
             if (
-                decision.at - now > 2 * self._limits.client_new_evictable_ms
+                decision.retry_at - now > 2 * self._limits.client_new_evictable_ms
                 and self._admission.may_turn_away()
             ):
                 return False
             if not self._closing:
-                self._pause_accepting(decision.at)
+                self._pause_accepting(decision.retry_at)
                 return None
             return False if self._admission.may_turn_away() else None
 
--- a/tests/admission/test_admission.py
+++ b/tests/admission/test_admission.py
@@ -33,7 +33,7 @@
     listener = Admission(limits)
     first, *_ = fill(listener, 100)
     early = listener.decision(LIMITS.client_new_evictable_ms - 1)
-    assert (early.admit, early.victim, early.at) == (False, None, LIMITS.client_new_evictable_ms)
+    assert (early.admit, early.victim, early.retry_at) == (False, None, LIMITS.client_new_evictable_ms)
     assert listener.decision(LIMITS.client_new_evictable_ms).victim is first
 
 
@@ -79,7 +79,7 @@
     for entry in fill(listener, 6):
         listener.heard(entry, 0.0)
     decision = listener.decision(1e9)
-    assert not decision.admit and decision.victim is None and decision.at == inf
+    assert not decision.admit and decision.victim is None and decision.retry_at == inf
     assert not set(SAFE) & set(ROOM)
 
 
@@ -190,12 +190,12 @@
             self.listener.leave(decision.victim)
             seen += 1
             assert seen <= LIMITS.client_connections + LIMITS.client_closing_connections
-        assert decision.at > self.now
+        assert decision.retry_at > self.now
         busy = sum(map(self.listener.count, SAFE))
-        if decision.at == inf:  # nobody but those who ask: each is over in its own time
+        if decision.retry_at == inf:  # nobody but those who ask: each is over in its own time
             assert busy == LIMITS.client_connections
         else:
-            assert decision.at - self.now <= max(LIMITS.client_slow_ms, LIMITS.client_new_evictable_ms)
+            assert decision.retry_at - self.now <= max(LIMITS.client_slow_ms, LIMITS.client_new_evictable_ms)
 
     @precondition(lambda self: len(self.listener) > 0)
     @rule(number=st.integers(0, 7), state=st.sampled_from(list(ClientState)), much=st.integers(0, 300))
