--- a/springspread/admission/admission.py
+++ b/springspread/admission/admission.py
@@ -178,7 +178,7 @@
         rate = self._arrivals * exp((self._arrived_at - now) / RATE_MS) / RATE_MS
         return min(spared, ROOM_PART * self._limits.client_connections / rate) if rate else spared
 
-    def may_turn_away(self) -> bool:
+    def may_refuse(self) -> bool:
         """Whether there is a spare descriptor for somebody who is only told to come again."""
         return len(self) < self._limits.client_connections + self._limits.client_closing_connections
 
--- a/springspread/net/listener.py
+++ b/springspread/net/listener.py
@@ -240,13 +240,13 @@
                 continue
             if (
                 decision.retry_at - now > 2 * self._limits.client_new_evictable_ms
-                and self._admission.may_turn_away()
+                and self._admission.may_refuse()
             ):
                 return False
             if not self._closing:
                 self._pause_accepting(decision.retry_at)
                 return None
-            return False if self._admission.may_turn_away() else None
+            return False if self._admission.may_refuse() else None
 
     def _connection_pending(self) -> bool:
         return any(key.fileobj is self._sock for key, _ in self._selector.select(0.0))
