--- a/springspread/admission/admission.py
+++ b/springspread/admission/admission.py
@@ -182,7 +182,7 @@
         """Whether there is a spare descriptor for somebody who is only told to come again."""
         return len(self) < self._limits.client_connections + self._limits.client_closing_connections
 
-    def enter(self, now: float, state: ClientState = ClientState.NEW) -> ClientEntry:
+    def add(self, now: float, state: ClientState = ClientState.NEW) -> ClientEntry:
         """Give a newcomer its entry; CLOSING for one that is turned away."""
         if state not in (ClientState.NEW, ClientState.CLOSING):
             raise Misuse(f"nobody begins as {state.value}")
--- a/springspread/net/listener.py
+++ b/springspread/net/listener.py
@@ -218,7 +218,7 @@
                 return
             sock.setblocking(False)
             now = clock()
-            entry = self._admission.enter(now, ClientState.NEW if admit else ClientState.CLOSING)
+            entry = self._admission.add(now, ClientState.NEW if admit else ClientState.CLOSING)
             client = self._clients[entry] = Client(sock, entry, self._limits)
             self._watch(client, READ)
             if admit:
--- a/tests/admission/test_admission.py
+++ b/tests/admission/test_admission.py
@@ -19,7 +19,7 @@
 
 
 def fill(listener: Admission, count: int, now: float = 0.0) -> list[ClientEntry]:
-    return [listener.enter(now) for _ in range(count)]
+    return [listener.add(now) for _ in range(count)]
 
 
 def brought(listener: Admission, entry: ClientEntry, now: float) -> None:
@@ -49,7 +49,7 @@
             decision = listener.decision(now)
         admitted += decision.admit
         if decision.admit:
-            listener.enter(now)
+            listener.add(now)
     assert admitted > 1800
 
 
@@ -140,7 +140,7 @@
     with pytest.raises(Misuse, match="no step from new to idle"):
         listener.step(entry, ClientState.IDLE, 0.0)
     with pytest.raises(Misuse, match="nobody begins as waiting"):
-        listener.enter(0.0, ClientState.WAITING)
+        listener.add(0.0, ClientState.WAITING)
 
 
 class Crowd(RuleBasedStateMachine):
@@ -175,7 +175,7 @@
             decision = self.listener.decision(self.now)
             if decision.admit:
                 self.refused_since = None
-                self.listener.enter(self.now)
+                self.listener.add(self.now)
                 return
             if decision.victim is None:
                 break
