--- a/springspread/admission/admission.py
+++ b/springspread/admission/admission.py
@@ -234,7 +234,7 @@
         """Whether a request that has just come to lag came slower than the least rate from its begin on."""
         return entry.held * 1000.0 < self._limits.client_min_bytes_s * self._limits.client_slow_ms
 
-    def leave(self, entry: ClientEntry) -> None:
+    def remove(self, entry: ClientEntry) -> None:
         """The connection is gone."""
         self.keep(entry, 0)
         self._lines[entry.state].pop(entry, None)
--- a/springspread/net/listener.py
+++ b/springspread/net/listener.py
@@ -501,5 +501,5 @@
                 self._handler.gone(message)
         self._watch(client, NONE)
         client.sock.close()
-        self._admission.leave(client.entry)
+        self._admission.remove(client.entry)
         del self._clients[client.entry]
--- a/tests/admission/test_admission.py
+++ b/tests/admission/test_admission.py
@@ -45,7 +45,7 @@
         decision = listener.decision(now)
         if decision.victim is not None:
             assert now - decision.victim.since >= 10.0
-            listener.leave(decision.victim)
+            listener.remove(decision.victim)
             decision = listener.decision(now)
         admitted += decision.admit
         if decision.admit:
@@ -68,7 +68,7 @@
         asked = listener.decision(100.0).victim
         assert asked is not None
         order.append(asked)
-        listener.leave(asked)
+        listener.remove(asked)
         fill(listener, 1, 100.0)
     assert order == [silent, slow, once, often]
     assert listener.decision(100.0).victim is reading  # last of all
@@ -108,7 +108,7 @@
     assert listener.too_much() is a
     listener.step(b, ClientState.SLOW, 1.0)
     assert listener.too_much() is b
-    listener.leave(b)
+    listener.remove(b)
     assert listener.held == 400 and listener.too_much() is None
 
 
@@ -129,7 +129,7 @@
     assert listener.due(1.0) is None
     listener.closing = True
     assert listener.due(1.0) is idle
-    listener.leave(idle)
+    listener.remove(idle)
     assert listener.due(1.0) is None and listener.next_due() == LIMITS.client_new_evictable_ms
     assert listener.due(LIMITS.client_new_evictable_ms) is new
 
@@ -166,7 +166,7 @@
             elif entry.state is ClientState.WAITING:
                 self.listener.step(entry, ClientState.WRITING, self.now)
             else:
-                self.listener.leave(entry)
+                self.listener.remove(entry)
 
     @rule()
     def somebody_connects(self) -> None:
@@ -187,7 +187,7 @@
             ):  # so long, or what the places allow
                 spared = 0.0
             assert decision.victim.since + spared <= self.now
-            self.listener.leave(decision.victim)
+            self.listener.remove(decision.victim)
             seen += 1
             assert seen <= LIMITS.client_connections + LIMITS.client_closing_connections
         assert decision.retry_at > self.now
@@ -214,7 +214,7 @@
     @precondition(lambda self: len(self.listener) > 0)
     @rule(number=st.integers(0, 7))
     def somebody_leaves(self, number: int) -> None:
-        self.listener.leave(self.at(number))
+        self.listener.remove(self.at(number))
 
     @invariant()
     def the_caps_hold(self) -> None:
