--- a/springspread/admission/admission.py
+++ b/springspread/admission/admission.py
@@ -204,7 +204,7 @@
         entry.state, entry.since = state, now
         self._lines[state][entry] = None
 
-    def heard(self, entry: ClientEntry, now: float) -> float:
+    def request_received(self, entry: ClientEntry, now: float) -> float:
         """A whole request was read: the core has it, or its answer is about to be written. When it began."""
         begun = entry.begun if entry.state in (ClientState.READING, ClientState.SLOW) else now
         entry.requests += 1
--- a/springspread/net/listener.py
+++ b/springspread/net/listener.py
@@ -329,7 +329,7 @@
         """Handle a request and those pipelined behind it, or record the progress of an incomplete one."""
         entry = client.entry
         while request is not None:
-            begun = self._admission.heard(entry, clock())
+            begun = self._admission.request_received(entry, clock())
             answer = self._handler.respond(request, begun, partial(self._on_verdict, client))
             if isinstance(answer, Message):
                 client.message = answer
--- a/tests/admission/test_admission.py
+++ b/tests/admission/test_admission.py
@@ -23,7 +23,7 @@
 
 
 def brought(listener: Admission, entry: ClientEntry, now: float) -> None:
-    listener.heard(entry, now)
+    listener.request_received(entry, now)
     listener.step(entry, ClientState.WRITING, now)
     listener.rests(entry, now)
 
@@ -61,7 +61,7 @@
     brought(listener, once, 0.0)
     brought(listener, often, 0.0)
     brought(listener, often, 0.0)
-    listener.heard(waiting, 0.0)
+    listener.request_received(waiting, 0.0)
     listener.step(reading, ClientState.READING, 0.0)
     order = []
     for _ in range(4):
@@ -77,7 +77,7 @@
 def test_whoever_may_have_a_request_in_flight_is_never_asked_to_make_room() -> None:
     listener = Admission(LIMITS)
     for entry in fill(listener, 6):
-        listener.heard(entry, 0.0)
+        listener.request_received(entry, 0.0)
     decision = listener.decision(1e9)
     assert not decision.admit and decision.victim is None and decision.retry_at == inf
     assert not set(SAFE) & set(ROOM)
@@ -205,7 +205,7 @@
             self.listener.step(entry, state, self.now)
             self.listener.keep(entry, much)
         elif state is ClientState.WAITING and state in STEPS[entry.state]:
-            self.listener.heard(entry, self.now)
+            self.listener.request_received(entry, self.now)
         elif state in (ClientState.IDLE, ClientState.REUSED) and entry.state is ClientState.WRITING:
             self.listener.rests(entry, self.now)
         elif state in STEPS[entry.state]:
@@ -241,7 +241,7 @@
     (entry,) = fill(listener, 1)
     listener.step(entry, ClientState.READING, 10.0)
     listener.step(entry, ClientState.SLOW, 310.0)
-    assert listener.heard(entry, 500.0) == 10.0
+    assert listener.request_received(entry, 500.0) == 10.0
     listener.step(entry, ClientState.WRITING, 501.0)
     listener.rests(entry, 502.0)
-    assert listener.heard(entry, 600.0) == 600.0  # one that came whole
+    assert listener.request_received(entry, 600.0) == 600.0  # one that came whole
