--- a/springspread/admission/admission.py
+++ b/springspread/admission/admission.py
@@ -211,7 +211,7 @@
         self.step(entry, ClientState.WAITING, now)
         return begun
 
-    def rests(self, entry: ClientEntry, now: float) -> None:
+    def set_idle(self, entry: ClientEntry, now: float) -> None:
         """Its answer was written whole, and nothing of another request has come."""
         self.step(entry, ClientState.REUSED if entry.requests > 1 else ClientState.IDLE, now)
 
--- a/springspread/net/listener.py
+++ b/springspread/net/listener.py
@@ -345,7 +345,7 @@
             if slowest is not None:
                 self._refuse(self._clients[slowest], 503)
         elif entry.state is ClientState.WRITING:
-            self._admission.rests(entry, clock())
+            self._admission.set_idle(entry, clock())
 
     # Answering
 
--- a/tests/admission/test_admission.py
+++ b/tests/admission/test_admission.py
@@ -25,7 +25,7 @@
 def brought(listener: Admission, entry: ClientEntry, now: float) -> None:
     listener.request_received(entry, now)
     listener.step(entry, ClientState.WRITING, now)
-    listener.rests(entry, now)
+    listener.set_idle(entry, now)
 
 
 def test_a_newcomer_has_time_to_speak_before_it_makes_room() -> None:
@@ -207,7 +207,7 @@
         elif state is ClientState.WAITING and state in STEPS[entry.state]:
             self.listener.request_received(entry, self.now)
         elif state in (ClientState.IDLE, ClientState.REUSED) and entry.state is ClientState.WRITING:
-            self.listener.rests(entry, self.now)
+            self.listener.set_idle(entry, self.now)
         elif state in STEPS[entry.state]:
             self.listener.step(entry, state, self.now)
 
@@ -243,5 +243,5 @@
     listener.step(entry, ClientState.SLOW, 310.0)
     assert listener.request_received(entry, 500.0) == 10.0
     listener.step(entry, ClientState.WRITING, 501.0)
-    listener.rests(entry, 502.0)
+    listener.set_idle(entry, 502.0)
     assert listener.request_received(entry, 600.0) == 600.0  # one that came whole
