--- a/springspread/admission/admission.py
+++ b/springspread/admission/admission.py
@@ -198,7 +198,7 @@
             raise Misuse(f"no step from {entry.state.value} to {state.value}")
         del self._lines[entry.state][entry]
         if state in (ClientState.WAITING, ClientState.CLOSING):
-            self.keep(entry, 0)
+            self.set_buffered(entry, 0)
         if state is ClientState.READING:
             entry.begun = now
         entry.state, entry.since = state, now
@@ -215,7 +215,7 @@
         """Its answer was written whole, and nothing of another request has come."""
         self.step(entry, ClientState.REUSED if entry.requests > 1 else ClientState.IDLE, now)
 
-    def keep(self, entry: ClientEntry, much: int) -> None:
+    def set_buffered(self, entry: ClientEntry, much: int) -> None:
         """Note how many bytes of an unfinished request are kept for a connection."""
         self._held += much - entry.held
         entry.held = much
@@ -236,7 +236,7 @@
 
     def remove(self, entry: ClientEntry) -> None:
         """The connection is gone."""
-        self.keep(entry, 0)
+        self.set_buffered(entry, 0)
         self._lines[entry.state].pop(entry, None)
 
     def _lasts(self, state: ClientState) -> float:
--- a/springspread/net/listener.py
+++ b/springspread/net/listener.py
@@ -340,7 +340,7 @@
         if client.machine.phase is Phase.READING:
             if entry.state not in (ClientState.READING, ClientState.SLOW):
                 self._admission.step(entry, ClientState.READING, clock())
-            self._admission.keep(entry, client.machine.buffered)
+            self._admission.set_buffered(entry, client.machine.buffered)
             slowest = self._admission.too_much()
             if slowest is not None:
                 self._refuse(self._clients[slowest], 503)
--- a/tests/admission/test_admission.py
+++ b/tests/admission/test_admission.py
@@ -101,10 +101,10 @@
     a, b = fill(listener, 2)
     for entry in (a, b):
         listener.step(entry, ClientState.READING, 0.0)
-    listener.keep(a, 400)
-    listener.keep(b, 600)
+    listener.set_buffered(a, 400)
+    listener.set_buffered(b, 600)
     assert listener.too_much() is None
-    listener.keep(b, 601)
+    listener.set_buffered(b, 601)
     assert listener.too_much() is a
     listener.step(b, ClientState.SLOW, 1.0)
     assert listener.too_much() is b
@@ -118,7 +118,7 @@
     listener.step(entry, ClientState.READING, 0.0)
     least = int(LIMITS.client_min_bytes_s * LIMITS.client_slow_ms / 1000)
     for much, lags in ((1, True), (least - 1, True), (least, False)):
-        listener.keep(entry, much)
+        listener.set_buffered(entry, much)
         assert listener.lags(entry) is lags
 
 
@@ -203,7 +203,7 @@
         entry = self.at(number)
         if state is ClientState.READING and state in STEPS[entry.state]:
             self.listener.step(entry, state, self.now)
-            self.listener.keep(entry, much)
+            self.listener.set_buffered(entry, much)
         elif state is ClientState.WAITING and state in STEPS[entry.state]:
             self.listener.request_received(entry, self.now)
         elif state in (ClientState.IDLE, ClientState.REUSED) and entry.state is ClientState.WRITING:
