--- a/springspread/admission/admission.py
+++ b/springspread/admission/admission.py
@@ -220,7 +220,7 @@
         self._held += much - entry.held
         entry.held = much
 
-    def too_much(self) -> ClientEntry | None:
+    def buffer_limit_victim(self) -> ClientEntry | None:
         """Who is ended as unfinished requests hold more than their bound: the slowest of them."""
         if self._held <= self._limits.client_bytes:
             return None
--- a/springspread/net/listener.py
+++ b/springspread/net/listener.py
@@ -341,7 +341,7 @@
             if entry.state not in (ClientState.READING, ClientState.SLOW):
                 self._admission.step(entry, ClientState.READING, clock())
             self._admission.set_buffered(entry, client.machine.buffered)
-            slowest = self._admission.too_much()
+            slowest = self._admission.buffer_limit_victim()
             if slowest is not None:
                 self._refuse(self._clients[slowest], 503)
         elif entry.state is ClientState.WRITING:
--- a/tests/admission/test_admission.py
+++ b/tests/admission/test_admission.py
@@ -103,13 +103,13 @@
         listener.step(entry, ClientState.READING, 0.0)
     listener.set_buffered(a, 400)
     listener.set_buffered(b, 600)
-    assert listener.too_much() is None
+    assert listener.buffer_limit_victim() is None
     listener.set_buffered(b, 601)
-    assert listener.too_much() is a
+    assert listener.buffer_limit_victim() is a
     listener.step(b, ClientState.SLOW, 1.0)
-    assert listener.too_much() is b
+    assert listener.buffer_limit_victim() is b
     listener.remove(b)
-    assert listener.held == 400 and listener.too_much() is None
+    assert listener.held == 400 and listener.buffer_limit_victim() is None
 
 
 def test_a_request_lags_below_the_least_rate() -> None:
