--- a/springspread/admission/admission.py
+++ b/springspread/admission/admission.py
@@ -230,7 +230,7 @@
                 return head
         return None
 
-    def lags(self, entry: ClientEntry) -> bool:
+    def below_min_rate(self, entry: ClientEntry) -> bool:
         """Whether a request that has just come to lag came slower than the least rate from its begin on."""
         return entry.held * 1000.0 < self._limits.client_min_bytes_s * self._limits.client_slow_ms
 
--- a/springspread/net/listener.py
+++ b/springspread/net/listener.py
@@ -447,7 +447,7 @@
         while (entry := self._admission.due(now)) is not None:
             client = self._clients[entry]
             match entry.state:
-                case ClientState.READING if not self._admission.lags(entry):
+                case ClientState.READING if not self._admission.below_min_rate(entry):
                     self._admission.step(entry, ClientState.SLOW, now)
                 case ClientState.READING | ClientState.SLOW:
                     self._refuse(client, 408)
--- a/tests/admission/test_admission.py
+++ b/tests/admission/test_admission.py
@@ -119,7 +119,7 @@
     least = int(LIMITS.client_min_bytes_s * LIMITS.client_slow_ms / 1000)
     for much, lags in ((1, True), (least - 1, True), (least, False)):
         listener.set_buffered(entry, much)
-        assert listener.lags(entry) is lags
+        assert listener.below_min_rate(entry) is lags
 
 
 def test_closing_ends_the_idle_at_once_and_gives_newcomers_time_to_speak() -> None:
