--- a/springspread/admission/admission.py
+++ b/springspread/admission/admission.py
@@ -246,7 +246,7 @@
             return self._limits.client_new_evictable_ms
         return self._rules[state].lasts_ms
 
-    def due(self, now: float) -> ClientEntry | None:
+    def expired(self, now: float) -> ClientEntry | None:
         """Somebody whose time is up, the one that joined its line first."""
         for state, line in self._lines.items():
             head = next(iter(line), None)
--- a/springspread/net/listener.py
+++ b/springspread/net/listener.py
@@ -444,7 +444,7 @@
 
     def _expire(self) -> None:
         now = clock()
-        while (entry := self._admission.due(now)) is not None:
+        while (entry := self._admission.expired(now)) is not None:
             client = self._clients[entry]
             match entry.state:
                 case ClientState.READING if not self._admission.below_min_rate(entry):
--- a/tests/admission/test_admission.py
+++ b/tests/admission/test_admission.py
@@ -126,12 +126,12 @@
     listener = Admission(LIMITS)
     new, idle = fill(listener, 2)
     brought(listener, idle, 0.0)
-    assert listener.due(1.0) is None
+    assert listener.expired(1.0) is None
     listener.closing = True
-    assert listener.due(1.0) is idle
+    assert listener.expired(1.0) is idle
     listener.remove(idle)
-    assert listener.due(1.0) is None and listener.next_due() == LIMITS.client_new_evictable_ms
-    assert listener.due(LIMITS.client_new_evictable_ms) is new
+    assert listener.expired(1.0) is None and listener.next_due() == LIMITS.client_new_evictable_ms
+    assert listener.expired(LIMITS.client_new_evictable_ms) is new
 
 
 def test_a_driver_that_takes_a_step_the_table_does_not_name_is_told() -> None:
@@ -159,7 +159,7 @@
     @rule(ms=st.sampled_from([0.0, 1.0, 30.0, 60.0, 400.0]))
     def time_passes(self, ms: float) -> None:
         self.now += ms
-        while (entry := self.listener.due(self.now)) is not None:
+        while (entry := self.listener.expired(self.now)) is not None:
             assert entry.since + RULES[entry.state].lasts_ms <= self.now
             if entry.state is ClientState.READING:
                 self.listener.step(entry, ClientState.SLOW, self.now)
