--- a/springspread/admission/admission.py
+++ b/springspread/admission/admission.py
@@ -254,7 +254,7 @@
                 return head
         return None
 
-    def next_due(self) -> float:
+    def next_expiry(self) -> float:
         """When somebody's time is up; inf where nobody is here."""
         heads = ((kind, next(iter(line), None)) for kind, line in self._lines.items())
         return min((head.since + self._lasts(kind) for kind, head in heads if head is not None), default=inf)
--- a/springspread/net/listener.py
+++ b/springspread/net/listener.py
@@ -152,7 +152,7 @@
             now = clock()
             # A closing listener does not resume accepting: a past resume time would make it spin.
             listens = self._accepting or self._closing
-            until = min(self._admission.next_due(), inf if listens else self._resume_at)
+            until = min(self._admission.next_expiry(), inf if listens else self._resume_at)
             if not self._admission.closing:
                 until = min(until, self._drain_at)
             ready = self._selector.select(None if until == inf else max(until - now, 0.0) / 1000.0)
--- a/tests/admission/test_admission.py
+++ b/tests/admission/test_admission.py
@@ -130,7 +130,7 @@
     listener.closing = True
     assert listener.expired(1.0) is idle
     listener.remove(idle)
-    assert listener.expired(1.0) is None and listener.next_due() == LIMITS.client_new_evictable_ms
+    assert listener.expired(1.0) is None and listener.next_expiry() == LIMITS.client_new_evictable_ms
     assert listener.expired(LIMITS.client_new_evictable_ms) is new
 
 
@@ -229,7 +229,7 @@
             line = [entry.since for entry in self.listener if entry.state is state]
             assert line == sorted(line)
         ends = [entry.since + RULES[entry.state].lasts_ms for entry in self.listener]
-        assert self.listener.next_due() == min(ends, default=inf)
+        assert self.listener.next_expiry() == min(ends, default=inf)
 
 
 Crowd.TestCase.settings = settings(derandomize=True, deadline=None, max_examples=80, stateful_step_count=60)
