--- a/springspread/admission/__init__.py
+++ b/springspread/admission/__init__.py
@@ -1,5 +1,5 @@
-"""Who may stay at the listener: decisions about client connections, without sockets or a clock.
+"""Decides which client connections a listener keeps, without sockets or a clock.
 
-`admission.py` is the file to open first. Imported by `net/listener.py`, which carries out what it decides,
-and by nothing else; it imports only the program's limits.
+Start with `admission.py`. Only `net/listener.py` imports it, and carries out its decisions; it imports only
+the configured limits.
 """
--- a/springspread/admission/admission.py
+++ b/springspread/admission/admission.py
@@ -1,10 +1,9 @@
-"""Admission: which client connections are held, for how long each may stay as it is, and who makes room.
+"""Admission: which client connections are accepted, how long each may stay in a state, and which is evicted.
 
-Theory of operation: every connection has one *state*, and all who stand alike form a line in the order
-in which they joined it. A state's rule says how long it may last and how soon its holder may be asked to
-make room. As one line has one rule, the head of a line is both the first whose time is up and the first to
-make room: every decision looks at the heads alone. Everything that affects who stays lives here; what is
-read and written does not.
+Theory of operation: every connection has one ``ClientState``, and each state has a queue of its connections,
+in the order in which they entered it. All connections of a queue share one maximum time in the state and one
+time after which they may be evicted, so its head is both the first to expire and the first to evict, and only
+the heads are ever examined. This module decides which connections stay; it reads and writes nothing.
 """
 
 from __future__ import annotations
@@ -19,19 +18,19 @@
 
 
 class ClientState(Enum):
-    """Where a connection stands."""
+    """The state of a client's connection."""
 
-    NEW = "new"  # connected, and has sent nothing
-    READING = "reading"  # a request has begun, lately
-    SLOW = "lagging"  # a request has begun and takes long
-    WAITING = "waiting"  # a whole request is with the core
-    WRITING = "answered"  # an answer that its socket has not taken whole
-    IDLE = "idle"  # between requests, after one
-    REUSED = "kept"  # between requests, after several
-    CLOSING = "leaving"  # told its last answer
+    NEW = "new"  # connected, nothing received
+    READING = "reading"  # part of a request received
+    SLOW = "lagging"  # part of a request received; the rest is late
+    WAITING = "waiting"  # a complete request awaits its verdict
+    WRITING = "answered"  # the answer is not completely written
+    IDLE = "idle"  # between requests, after the first
+    REUSED = "kept"  # between requests, after more than one
+    CLOSING = "leaving"  # the last answer is written or being written
 
 
-STEPS: dict[ClientState, frozenset[ClientState]] = {
+TRANSITIONS: dict[ClientState, frozenset[ClientState]] = {
     ClientState.NEW: frozenset(
         {ClientState.READING, ClientState.WAITING, ClientState.WRITING, ClientState.CLOSING}
     ),
@@ -51,9 +50,9 @@
     ),
     ClientState.CLOSING: frozenset(),
 }
-"""What may follow on each state; every connection may end from any."""
+"""The states that may follow each; a connection may close in any."""
 
-ROOM = (
+EVICTION_ORDER = (
     ClientState.CLOSING,
     ClientState.NEW,
     ClientState.SLOW,
@@ -62,53 +61,53 @@
     ClientState.WRITING,
     ClientState.READING,
 )
-"""In which order room is made. Whoever is WAITING has a request in flight and is never asked. A usual request
-comes whole within milliseconds: one READING for longer goes last, and is told that it may come again.
+"""The order in which connections are evicted. WAITING is absent: its request is in progress. READING is last:
+a well-behaved client completes its request within milliseconds.
 """
-RATE_MS = 50.0  # arrivals are counted over about this long
-ROOM_PART = 0.5  # of the places, for newcomers that have yet to show what they want
+RATE_WINDOW_MS = 50.0  # time constant of the decaying count of arrivals
+NEWCOMER_SHARE = 0.5  # of the connections, for clients without a complete request
 
 
 @dataclass(frozen=True, slots=True)
-class Rule:
-    """How long a state may last, and after how long its holder may be asked to make room (ms)."""
+class StateTimes:
+    """The maximum time in a state, and the time in it after which a connection may be evicted."""
 
-    lasts_ms: float
-    spared_ms: float = inf
+    max_ms: float
+    evictable_after_ms: float = inf
 
 
-def rules(limits: Limits) -> dict[ClientState, Rule]:
-    """The table of times, from the program's limits."""
+def state_times(limits: Limits) -> dict[ClientState, StateTimes]:
+    """The times of each state, from the configured limits."""
     return {
-        ClientState.NEW: Rule(limits.client_first_byte_ms, limits.client_new_evictable_ms),
-        ClientState.READING: Rule(limits.client_slow_ms, limits.client_partial_evictable_ms),
-        ClientState.SLOW: Rule(limits.client_read_ms - limits.client_slow_ms, 0.0),
-        ClientState.WAITING: Rule(limits.verdict_ms),
-        ClientState.WRITING: Rule(limits.client_write_ms, limits.client_slow_ms),
-        ClientState.IDLE: Rule(limits.client_idle_ms, 0.0),
-        ClientState.REUSED: Rule(limits.client_idle_ms, 0.0),
-        ClientState.CLOSING: Rule(limits.client_linger_ms, limits.client_closing_evictable_ms),
+        ClientState.NEW: StateTimes(limits.client_first_byte_ms, limits.client_new_evictable_ms),
+        ClientState.READING: StateTimes(limits.client_slow_ms, limits.client_partial_evictable_ms),
+        ClientState.SLOW: StateTimes(limits.client_read_ms - limits.client_slow_ms, 0.0),
+        ClientState.WAITING: StateTimes(limits.verdict_ms),
+        ClientState.WRITING: StateTimes(limits.client_write_ms, limits.client_slow_ms),
+        ClientState.IDLE: StateTimes(limits.client_idle_ms, 0.0),
+        ClientState.REUSED: StateTimes(limits.client_idle_ms, 0.0),
+        ClientState.CLOSING: StateTimes(limits.client_linger_ms, limits.client_closing_evictable_ms),
     }
 
 
-class Misuse(Exception):
-    """A step that the table does not allow: a fault of the driver, never of a client."""
+class InvalidTransitionError(Exception):
+    """A transition that the table does not allow: a bug in the caller, never a client's fault."""
 
 
 @dataclass(slots=True, eq=False)
 class ClientEntry:
-    """What is held for one connection. ``held`` counts the bytes that are kept of a request not yet whole."""
+    """One connection. ``buffered_bytes`` are those of its incomplete request."""
 
     state: ClientState
     since: float
     requests: int = 0
-    held: int = 0
-    begun: float = 0.0  # the first byte of the request that is being read
+    buffered_bytes: int = 0
+    begun: float = 0.0  # when the first byte of the current request arrived
 
 
 @dataclass(frozen=True, slots=True)
-class Room:
-    """Whether a newcomer may be let in now; if not, who makes room first, or when somebody will."""
+class AdmitDecision:
+    """Whether a new connection may be admitted; if not, which to evict, or when one can be evicted."""
 
     admit: bool
     victim: ClientEntry | None = None
@@ -116,145 +115,151 @@
 
 
 class Admission:
-    """The places of one listener. Times are milliseconds of one clock; they never step back."""
+    """The connections of one listener. Times are milliseconds of one monotonic clock."""
 
     def __init__(self, limits: Limits) -> None:
         self._limits = limits
-        self._rules = rules(limits)
-        self._lines: dict[ClientState, OrderedDict[ClientEntry, None]] = {
-            kind: OrderedDict() for kind in ClientState
+        self._times = state_times(limits)
+        self._queues: dict[ClientState, OrderedDict[ClientEntry, None]] = {
+            state: OrderedDict() for state in ClientState
         }
-        self._held = 0
+        self._buffered_bytes = 0
         self._arrivals, self._arrived_at = 0.0, -inf
         self.closing = False
 
     def __len__(self) -> int:
-        return sum(map(len, self._lines.values()))
+        return sum(map(len, self._queues.values()))
 
     def count(self, state: ClientState) -> int:
-        """How many stand so."""
-        return len(self._lines[state])
+        """How many connections are in a state."""
+        return len(self._queues[state])
 
     def __iter__(self) -> Iterator[ClientEntry]:
-        for line in self._lines.values():
-            yield from line
+        for queue in self._queues.values():
+            yield from queue
 
     @property
-    def held(self) -> int:
-        """Bytes kept of requests that are not whole, of all connections together."""
-        return self._held
-
-    def decision(self, now: float) -> Room:
-        """Whether a newcomer may be let in; whoever is named to make room ends before the next look."""
-        leaving = self.count(ClientState.CLOSING)
-        everyone = len(self)
+    def buffered_bytes(self) -> int:
+        """Bytes of incomplete requests, over all connections."""
+        return self._buffered_bytes
+
+    def decision(self, now: float) -> AdmitDecision:
+        """Whether to admit a new connection; the caller evicts a ``victim`` before it asks again."""
+        closing = self.count(ClientState.CLOSING)
+        total = len(self)
         if (
-            everyone - leaving < self._limits.client_connections
-            and everyone < self._limits.client_connections + self._limits.client_closing_connections
+            total - closing < self._limits.client_connections
+            and total < self._limits.client_connections + self._limits.client_closing_connections
         ):
-            return Room(True)
-        return self._makes_room(now)
+            return AdmitDecision(True)
+        return self._find_victim(now)
 
-    def _makes_room(self, now: float) -> Room:
+    def _find_victim(self, now: float) -> AdmitDecision:
         soonest = inf
-        for state in ROOM:
+        for state in EVICTION_ORDER:
             if state is ClientState.CLOSING and self.count(state) <= self._limits.client_closing_connections:
-                continue  # these stand on the spares and take nobody's entry
-            head = next(iter(self._lines[state]), None)
+                continue  # within the allowance for closing connections
+            head = next(iter(self._queues[state]), None)
             if head is None:
                 continue
-            spared_until = head.since + self._spared(state, now)
-            if spared_until <= now:
-                return Room(False, head)
-            soonest = min(soonest, spared_until)
-        return Room(False, retry_at=soonest)
-
-    def _spared(self, state: ClientState, now: float) -> float:
-        # Guards usual clients at any rate of arrival: who comes in while newcomers are spared must fit in,
-        # or nobody is left who can make room.
-        spared = self._rules[state].spared_ms
+            evictable_at = head.since + self._evictable_after_ms(state, now)
+            if evictable_at <= now:
+                return AdmitDecision(False, head)
+            soonest = min(soonest, evictable_at)
+        return AdmitDecision(False, retry_at=soonest)
+
+    def _evictable_after_ms(self, state: ClientState, now: float) -> float:
+        # At a high rate of arrivals, new connections become evictable earlier: otherwise they would fill the
+        # listener before any of them may be evicted.
+        evictable_after_ms = self._times[state].evictable_after_ms
         if state not in (ClientState.NEW, ClientState.READING):
-            return spared
-        rate = self._arrivals * exp((self._arrived_at - now) / RATE_MS) / RATE_MS
-        return min(spared, ROOM_PART * self._limits.client_connections / rate) if rate else spared
+            return evictable_after_ms
+        rate = self._arrivals * exp((self._arrived_at - now) / RATE_WINDOW_MS) / RATE_WINDOW_MS
+        return (
+            min(evictable_after_ms, NEWCOMER_SHARE * self._limits.client_connections / rate)
+            if rate
+            else evictable_after_ms
+        )
 
     def may_refuse(self) -> bool:
-        """Whether there is a spare descriptor for somebody who is only told to come again."""
+        """Whether there is a descriptor left for a connection that is only answered with a refusal."""
         return len(self) < self._limits.client_connections + self._limits.client_closing_connections
 
     def add(self, now: float, state: ClientState = ClientState.NEW) -> ClientEntry:
-        """Give a newcomer its entry; CLOSING for one that is turned away."""
+        """Add a new connection; CLOSING for one that is refused."""
         if state not in (ClientState.NEW, ClientState.CLOSING):
-            raise Misuse(f"nobody begins as {state.value}")
-        self._arrivals = self._arrivals * exp((self._arrived_at - now) / RATE_MS) + 1.0
+            raise InvalidTransitionError(f"a connection can't begin as {state.value}")
+        self._arrivals = self._arrivals * exp((self._arrived_at - now) / RATE_WINDOW_MS) + 1.0
         self._arrived_at = now
         entry = ClientEntry(state, now)
-        self._lines[state][entry] = None
+        self._queues[state][entry] = None
         return entry
 
     def step(self, entry: ClientEntry, state: ClientState, now: float) -> None:
-        """Note that a connection stands otherwise from now on."""
-        if state not in STEPS[entry.state]:
-            raise Misuse(f"no step from {entry.state.value} to {state.value}")
-        del self._lines[entry.state][entry]
+        """Move a connection to another state."""
+        if state not in TRANSITIONS[entry.state]:
+            raise InvalidTransitionError(f"no transition from {entry.state.value} to {state.value}")
+        del self._queues[entry.state][entry]
         if state in (ClientState.WAITING, ClientState.CLOSING):
             self.set_buffered(entry, 0)
         if state is ClientState.READING:
             entry.begun = now
         entry.state, entry.since = state, now
-        self._lines[state][entry] = None
+        self._queues[state][entry] = None
 
     def request_received(self, entry: ClientEntry, now: float) -> float:
-        """A whole request was read: the core has it, or its answer is about to be written. When it began."""
+        """Record that a complete request was read; returns when its first byte arrived."""
         begun = entry.begun if entry.state in (ClientState.READING, ClientState.SLOW) else now
         entry.requests += 1
         self.step(entry, ClientState.WAITING, now)
         return begun
 
     def set_idle(self, entry: ClientEntry, now: float) -> None:
-        """Its answer was written whole, and nothing of another request has come."""
+        """Record that the answer is written and no byte of another request has arrived."""
         self.step(entry, ClientState.REUSED if entry.requests > 1 else ClientState.IDLE, now)
 
-    def set_buffered(self, entry: ClientEntry, much: int) -> None:
-        """Note how many bytes of an unfinished request are kept for a connection."""
-        self._held += much - entry.held
-        entry.held = much
+    def set_buffered(self, entry: ClientEntry, buffered: int) -> None:
+        """Record how many bytes of an incomplete request are buffered for a connection."""
+        self._buffered_bytes += buffered - entry.buffered_bytes
+        entry.buffered_bytes = buffered
 
     def buffer_limit_victim(self) -> ClientEntry | None:
-        """Who is ended as unfinished requests hold more than their bound: the slowest of them."""
-        if self._held <= self._limits.client_bytes:
+        """The connection with the slowest incomplete request, if all together exceed their limit of bytes."""
+        if self._buffered_bytes <= self._limits.client_bytes:
             return None
         for state in (ClientState.SLOW, ClientState.READING):
-            head = next(iter(self._lines[state]), None)
+            head = next(iter(self._queues[state]), None)
             if head is not None:
                 return head
         return None
 
     def below_min_rate(self, entry: ClientEntry) -> bool:
-        """Whether a request that has just come to lag came slower than the least rate from its begin on."""
-        return entry.held * 1000.0 < self._limits.client_min_bytes_s * self._limits.client_slow_ms
+        """Whether a request that reaches ``client_slow_ms`` has arrived below the minimum rate."""
+        return entry.buffered_bytes * 1000.0 < self._limits.client_min_bytes_s * self._limits.client_slow_ms
 
     def remove(self, entry: ClientEntry) -> None:
-        """The connection is gone."""
+        """Remove a closed connection."""
         self.set_buffered(entry, 0)
-        self._lines[entry.state].pop(entry, None)
+        self._queues[entry.state].pop(entry, None)
 
-    def _lasts(self, state: ClientState) -> float:
+    def _max_ms(self, state: ClientState) -> float:
         if self.closing and state in (ClientState.IDLE, ClientState.REUSED):
             return 0.0
         if self.closing and state is ClientState.NEW:
             return self._limits.client_new_evictable_ms
-        return self._rules[state].lasts_ms
+        return self._times[state].max_ms
 
     def expired(self, now: float) -> ClientEntry | None:
-        """Somebody whose time is up, the one that joined its line first."""
-        for state, line in self._lines.items():
-            head = next(iter(line), None)
-            if head is not None and head.since + self._lasts(state) <= now:
+        """A connection that has exceeded its maximum time in its state, if any."""
+        for state, queue in self._queues.items():
+            head = next(iter(queue), None)
+            if head is not None and head.since + self._max_ms(state) <= now:
                 return head
         return None
 
     def next_expiry(self) -> float:
-        """When somebody's time is up; inf where nobody is here."""
-        heads = ((kind, next(iter(line), None)) for kind, line in self._lines.items())
-        return min((head.since + self._lasts(kind) for kind, head in heads if head is not None), default=inf)
+        """When the next connection expires; inf if there is none."""
+        heads = ((state, next(iter(queue), None)) for state, queue in self._queues.items())
+        return min(
+            (head.since + self._max_ms(state) for state, head in heads if head is not None), default=inf
+        )
