--- a/springspread/admission/admission.py
+++ b/springspread/admission/admission.py
@@ -22,12 +22,12 @@
 
     NEW = "new"  # connected, nothing received
     READING = "reading"  # part of a request received
-    SLOW = "lagging"  # part of a request received; the rest is late
+    SLOW = "slow"  # part of a request received; the rest is late
     WAITING = "waiting"  # a complete request awaits its verdict
-    WRITING = "answered"  # the answer is not completely written
+    WRITING = "writing"  # the answer is not completely written
     IDLE = "idle"  # between requests, after the first
-    REUSED = "kept"  # between requests, after more than one
-    CLOSING = "leaving"  # the last answer is written or being written
+    REUSED = "reused"  # between requests, after more than one
+    CLOSING = "closing"  # the last answer is written or being written
 
 
 TRANSITIONS: dict[ClientState, frozenset[ClientState]] = {
--- a/springspread/net/listener.py
+++ b/springspread/net/listener.py
@@ -406,7 +406,7 @@
 
     def _refuse(self, client: Client, status: int) -> None:
         """Answer a request that can't be read or is refused with an error, and end the connection."""
-        self._log.debug("request refused", status=status, standing=client.entry.state.value)
+        self._log.debug("request refused", status=status, state=client.entry.state.value)
         if client.machine.phase is not Phase.ANSWERING:
             client.machine.expire()
         self._finish(client, client.machine.answer(status, close=True))
@@ -483,7 +483,7 @@
         pending = client.message or client.acknowledging
         self._log.debug(
             "client connection broken",
-            standing=client.entry.state.value,
+            state=client.entry.state.value,
             id=pending.id if pending is not None else None,
         )
         client.shutdown.step(Event.BROKEN)
@@ -493,7 +493,7 @@
         self._log.debug(
             "client closed",
             last=client.shutdown.last.value if client.shutdown.last is not None else None,
-            standing=client.entry.state.value,
+            state=client.entry.state.value,
             unanswered=[one.id for one in (client.acknowledging, client.message) if one is not None],
         )
         for message in (client.acknowledging, client.message):
