--- a/springspread/platform/__init__.py
+++ b/springspread/platform/__init__.py
@@ -1,1 +1,1 @@
-"""The platform's front: its exchanges, in bytes and values. No socket and no decision."""
+"""Encodes and decodes the exchanges with clients, endpoints, discovery and the platform. No sockets here."""
--- a/springspread/platform/client_api.py
+++ b/springspread/platform/client_api.py
@@ -1,4 +1,4 @@
-"""What clients ask: handing in a message, and whether the sender is ready."""
+"""The HTTP API for clients: submitting a message, and the health check."""
 
 from __future__ import annotations
 
@@ -11,60 +11,67 @@
 from springspread.http1.message import Headers
 from springspread.http1.server import Request
 
-ID, CLASS, LEFT = "X-Correlation-Id", "X-Service-Class", "X-Time-Left-Ms"
+ID, CLASS, TIME_LEFT = "X-Correlation-Id", "X-Service-Class", "X-Time-Left-Ms"
 CONSIGNEE, REPEAT = "X-Consignee", "X-Repeat"
-WHOLE = re.compile(r"[0-9]{1,9}\Z")
-WORD = re.compile(r"[!-~]{1,128}\Z")
-DEST = re.compile(r"(?:.*[;,&\s])?dest=([0-9]{1,9})(?:[;,&\s].*)?\Z")
+INTEGER = re.compile(r"[0-9]{1,9}\Z")
+VISIBLE_ASCII = re.compile(r"[!-~]{1,128}\Z")
+DESTINATION = re.compile(r"(?:.*[;,&\s])?dest=([0-9]{1,9})(?:[;,&\s].*)?\Z")
 METHODS = {"/api": "POST", "/_health": "GET"}
 
 
 @dataclass(frozen=True, slots=True)
 class Reply:
-    """What to answer; ``message`` names the message that the answer takes on."""
+    """An HTTP answer; ``message`` is the one that it accepts."""
 
     status: int
     headers: Mapping[str, str] = field(default_factory=dict)
     message: Message | None = None
     body: bytes = b""
-    close: bool = False  # the connection ends with it
+    close: bool = False  # whether to close the connection afterwards
 
 
-class Faulty(Exception):
-    """A request whose headers can't be used."""
+class InvalidRequestError(Exception):
+    """A request with missing or invalid headers."""
 
 
 def read_message(headers: Headers, body: bytes, begun: float) -> Message:
-    """The message that a request hands in; its time runs from when the request began."""
-    for name in (ID, CLASS, LEFT, CONSIGNEE, REPEAT):
+    """The message of a request; its time starts when the request begins. Raises ``InvalidRequestError``."""
+    for name in (ID, CLASS, TIME_LEFT, CONSIGNEE, REPEAT):
         if name.lower() in headers.doubled:
-            raise Faulty(f"{name} came twice")
-    id, cls, left, consignee = (headers.get(name) for name in (ID, CLASS, LEFT, CONSIGNEE))
-    dest = DEST.match(consignee)
-    for name, good in ((ID, WORD.match(id)), (CLASS, cls), (LEFT, WHOLE.match(left)), (CONSIGNEE, dest)):
-        if not good:
-            raise Faulty(f"{name} is missing or makes no sense")
+            raise InvalidRequestError(f"{name} came twice")
+    id, cls, time_left, consignee = (headers.get(name) for name in (ID, CLASS, TIME_LEFT, CONSIGNEE))
+    dest = DESTINATION.match(consignee)
+    for name, valid in (
+        (ID, VISIBLE_ASCII.match(id)),
+        (CLASS, cls),
+        (TIME_LEFT, INTEGER.match(time_left)),
+        (CONSIGNEE, dest),
+    ):
+        if not valid:
+            raise InvalidRequestError(f"{name} is missing or makes no sense")
     assert dest is not None
     repeat = headers.get(REPEAT)
-    return Message(id, cls, int(dest[1]), begun + int(left), body, repeat == "1", repeat == "again")
+    return Message(id, cls, int(dest[1]), begun + int(time_left), body, repeat == "1", repeat == "again")
 
 
 class ClientApi:
-    """Answers requests; for a message it asks the core for its verdict."""
+    """Answers requests; passes messages to the core for a verdict."""
 
     def __init__(
         self,
         put: Callable[[CoreEvent], None],
-        return_after_s: float = 1.0,
+        retry_after_s: float = 1.0,
         figures: Figures | None = None,
     ) -> None:
-        """``return_after_s``: when a client is to come back that comes before this sender is ready."""
-        self._put, self._return, self._figures = put, f"{return_after_s:g}", figures or Figures(())
+        """``retry_after_s`` is sent to clients while this sender is not ready."""
+        self._put, self._retry_after, self._figures = put, f"{retry_after_s:g}", figures or Figures(())
         self.ready = False
-        self.draining = False  # an operator sends clients away
+        self.draining = False  # an operator has started a drain
 
-    def respond(self, request: Request, begun: float, told: Callable[[Message], None]) -> Reply | Message:
-        """Answer one request, or hand its message to the core, which calls ``told`` at the verdict."""
+    def respond(
+        self, request: Request, begun: float, on_verdict: Callable[[Message], None]
+    ) -> Reply | Message:
+        """Answer a request, or pass its message to the core, which calls ``on_verdict`` at the verdict."""
         path = request.path.partition("?")[0]
         if path not in METHODS:
             return Reply(404)
@@ -73,18 +80,18 @@
         if path == "/_health":
             return Reply(200 if self.ready and not self.draining else 503)
         try:
-            # Guards the message's end: its time runs from when it was sent, however long its pieces take.
+            # The time left runs from when the request was sent, however slowly it arrives.
             message = read_message(request.headers, request.body, begun)
-        except Faulty as exc:
+        except InvalidRequestError as exc:
             return Reply(400, {"X-Fault": str(exc)})
         if not self.ready:
-            return self._refused(message, {"Retry-After": self._return})
-        message.on_verdict = told
+            return self._refused(message, {"Retry-After": self._retry_after})
+        message.on_verdict = on_verdict
         self._put(message)
         return message
 
     def verdict(self, message: Message) -> Reply:
-        """The answer to a message; where no verdict has come, the client's time is up."""
+        """The answer to a message; without a verdict yet, the client has timed out."""
         match message.verdict:
             case Verdict.ACCEPTED:
                 return Reply(202, message=message)
@@ -99,7 +106,7 @@
             case Verdict.REFUSED:
                 return self._refused(message)
             case None:
-                # The client stops waiting about now: what the core has not taken on it takes no more.
+                # The client is about to stop waiting: unless the core has accepted the message, withdraw it.
                 return self._refused(message) if message.withdraw() else self.verdict(message)
 
     def _refused(self, message: Message, headers: Mapping[str, str] | None = None) -> Reply:
@@ -107,5 +114,5 @@
         return Reply(503, headers or {})
 
     def gone(self, message: Message) -> None:
-        """The client left before it heard that its message was taken on."""
+        """The client disconnected before it learnt that its message was accepted."""
         self._put(ClientLeft(message))
--- a/springspread/platform/management.py
+++ b/springspread/platform/management.py
@@ -1,7 +1,7 @@
-"""The operators' calls: is it ready, what are its figures, send clients away, take them again.
+"""The HTTP API for operators: readiness, metrics, and starting and ending a drain.
 
-Answered on an address of its own by a listener of its own, so that no client's crowd keeps an operator
-waiting. One call a connection; 2xx means yes, 4xx and 5xx no.
+Served by a listener of its own at an address of its own, so that a flood of clients does not block operators.
+One request per connection; 2xx means yes, 4xx and 5xx no.
 """
 
 from __future__ import annotations
@@ -14,28 +14,30 @@
 from springspread.http1.server import Request
 from springspread.platform.client_api import ClientApi, Reply
 
-TEXT = "text/plain; version=0.0.4; charset=utf-8"
+CONTENT_TYPE = "text/plain; version=0.0.4; charset=utf-8"
 METHODS = {"/ready": "GET", "/metrics": "GET", "/drain": "POST", "/undrain": "POST"}
 
 
-class Levels(Protocol):
-    """What is measured as it is asked for."""
+class Gauges(Protocol):
+    """Reports values that are measured on request."""
 
     def levels(self) -> Mapping[str, int]:
-        """Messages taken and not ended, endpoints listed, and those of them that are avoided; by name."""
+        """Open messages, listed endpoints, endpoints avoided, and the like, by metric name."""
 
 
 class ManagementApi:
-    """Stands where a listener has its front; asks nobody who might be busy."""
+    """A request handler that answers at once: it never waits for the core."""
 
     def __init__(
-        self, client_api: ClientApi, figures: Figures, levels: Levels, drain: Callable[[bool], None]
+        self, client_api: ClientApi, figures: Figures, gauges: Gauges, drain: Callable[[bool], None]
     ) -> None:
-        """``drain`` is told whether clients are to be sent away."""
-        self._client_api, self._figures, self._levels, self._drain = client_api, figures, levels, drain
+        """``drain`` starts or ends a drain of the clients' listener."""
+        self._client_api, self._figures, self._gauges, self._drain = client_api, figures, gauges, drain
 
-    def respond(self, request: Request, begun: float, told: Callable[[Message], None]) -> Reply | Message:
-        """Answer one call."""
+    def respond(
+        self, request: Request, begun: float, on_verdict: Callable[[Message], None]
+    ) -> Reply | Message:
+        """Answer a request."""
         path = request.path.partition("?")[0]
         if path not in METHODS:
             return Reply(404, close=True)
@@ -44,14 +46,14 @@
         if path == "/ready":
             return Reply(200 if self._client_api.ready else 503, close=True)
         if path == "/metrics":
-            return Reply(200, {"Content-Type": TEXT}, body=self.text().encode(), close=True)
+            return Reply(200, {"Content-Type": CONTENT_TYPE}, body=self.metrics().encode(), close=True)
         self._client_api.draining = path == "/drain"
         self._drain(self._client_api.draining)
         return Reply(200, close=True)
 
-    def text(self) -> str:
-        """The figures, as lines that name their classes."""
-        lines = [f"sender_{name} {value}" for name, value in self._levels.levels().items()]
+    def metrics(self) -> str:
+        """All metrics in the Prometheus text format."""
+        lines = [f"sender_{name} {value}" for name, value in self._gauges.levels().items()]
         counts = self._figures.now()
         for figure in Figure:
             name = f"sender_{figure.value}_total"
@@ -60,19 +62,19 @@
                 if kind is figure:
                     quoted = cls.replace("\\", "\\\\").replace('"', '\\"')
                     lines.append(f'{name}{{class="{quoted}"}} {count}')
-        occurred = self._figures.occurrences()
+        occurrences = self._figures.occurrences()
         for occurrence in Occurrence:
             name = f"sender_{occurrence.value}_total"
             lines.append(f"# TYPE {name} counter")
-            for (what, reason), count in occurred.items():
+            for (what, reason), count in occurrences.items():
                 if what is occurrence:
                     lines.append(f'{name}{{reason="{reason.value.replace(" ", "_")}"}} {count}')
         return "\n".join(lines) + "\n"
 
     def verdict(self, message: Message) -> Reply:
-        """Nothing here asks the core."""
-        raise ValueError("no message comes from an operator")
+        """Never called: operators submit no messages."""
+        raise ValueError("operators submit no messages")
 
     def gone(self, message: Message) -> None:
-        """As above."""
-        raise ValueError("no message comes from an operator")
+        """Never called, either."""
+        raise ValueError("operators submit no messages")
--- a/springspread/platform/notices.py
+++ b/springspread/platform/notices.py
@@ -1,4 +1,4 @@
-"""Notices to the platform: the ends of messages that were taken on and not delivered."""
+"""Notices to the platform about accepted messages that were not delivered."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 def encode_notices(notices: Iterable[Notice]) -> bytes:
-    """One JSON object a line."""
+    """Encode notices as JSON, one object per line."""
     lines = []
     for notice in notices:
         item: dict[str, object] = {"id": notice.id}
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -1,4 +1,4 @@
-"""The platform's exchanges: requests in, calls out, discovery's list and notices."""
+"""Encoding and decoding of messages, calls, lists of endpoints and notices."""
 
 from __future__ import annotations
 
@@ -12,16 +12,16 @@
 from springspread.http1.client import Answer
 from springspread.http1.message import Headers, Malformed, parse_head
 from springspread.platform import catalog, delivery, notices
-from springspread.platform.client_api import Faulty, read_message
+from springspread.platform.client_api import InvalidRequestError, read_message
 
-GOOD = {
+VALID_HEADERS = {
     "X-Correlation-Id": "9b1f03aa5c7e2d41",
     "X-Service-Class": "note",
     "X-Time-Left-Ms": "480",
     "X-Consignee": "dest=7",
 }
 NAMES = Names(("portal", "dealer"), ("a", "b"), ("x0", "x1"))
-LINE = {
+ENDPOINT = {
     "name": "s-1",
     "address": "10.1.0.18:8443",
     "zone": "b",
@@ -33,7 +33,7 @@
 }
 
 
-GARBLED = [
+INVALID_BUNDLE_ANSWERS = [
     b"",
     b"[1]",
     b"{}x",
@@ -55,36 +55,36 @@
 
 
 def call(count: int) -> Call:
-    runs = [Attempt(n, 0, f"id-{n}", b"hello", 2000.0, True) for n in range(count)]
-    return Call(Endpoint(1, "s-1", "127.0.0.1", 80, 3, True, 5), runs, 0.0)
+    attempts = [Attempt(n, 0, f"id-{n}", b"hello", 2000.0, True) for n in range(count)]
+    return Call(Endpoint(1, "s-1", "127.0.0.1", 80, 3, True, 5), attempts, 0.0)
 
 
-def test_a_query_is_read() -> None:
-    message = read_message(headers(*lines(GOOD)), b"x", 1000.0)
+def test_a_message_is_read_from_a_request() -> None:
+    message = read_message(headers(*lines(VALID_HEADERS)), b"x", 1000.0)
     assert (message.id, message.cls) == ("9b1f03aa5c7e2d41", "note")
     assert (message.group, message.deadline) == (7, 1480.0)
-    assert read_message(headers(*lines(GOOD), "X-Repeat: 1"), b"", 0.0).again
-    assert read_message(headers(*lines(GOOD), "X-Repeat: again"), b"", 0.0).orphan
+    assert read_message(headers(*lines(VALID_HEADERS), "X-Repeat: 1"), b"", 0.0).again
+    assert read_message(headers(*lines(VALID_HEADERS), "X-Repeat: again"), b"", 0.0).orphan
 
 
-@pytest.mark.parametrize("name", sorted(GOOD))
-def test_a_header_that_lacks_or_comes_twice_is_named(name: str) -> None:
-    rest = {key: value for key, value in GOOD.items() if key != name}
-    with pytest.raises(Faulty, match=name):
+@pytest.mark.parametrize("name", sorted(VALID_HEADERS))
+def test_a_missing_or_repeated_header_is_named(name: str) -> None:
+    rest = {key: value for key, value in VALID_HEADERS.items() if key != name}
+    with pytest.raises(InvalidRequestError, match=name):
         read_message(headers(*lines(rest)), b"", 0.0)
-    with pytest.raises(Faulty, match=name):
-        read_message(headers(*lines(GOOD), f"{name}: 1"), b"", 0.0)
+    with pytest.raises(InvalidRequestError, match=name):
+        read_message(headers(*lines(VALID_HEADERS), f"{name}: 1"), b"", 0.0)
 
 
-@pytest.mark.parametrize("left", ["-1", "1.5", "1e3", "", "99999999999", "\u0663"])
-def test_a_bad_number_is_turned_away(left: str) -> None:
-    with pytest.raises(Faulty):
-        read_message(headers(*lines({**GOOD, "X-Time-Left-Ms": left})), b"", 0.0)
-    with pytest.raises(Faulty):
-        read_message(headers(*lines({**GOOD, "X-Consignee": f"dest={left}"})), b"", 0.0)
+@pytest.mark.parametrize("number", ["-1", "1.5", "1e3", "", "99999999999", "\u0663"])
+def test_an_invalid_number_is_refused(number: str) -> None:
+    with pytest.raises(InvalidRequestError):
+        read_message(headers(*lines({**VALID_HEADERS, "X-Time-Left-Ms": number})), b"", 0.0)
+    with pytest.raises(InvalidRequestError):
+        read_message(headers(*lines({**VALID_HEADERS, "X-Consignee": f"dest={number}"})), b"", 0.0)
 
 
-def test_one_message_goes_alone_and_more_go_as_a_bundle() -> None:
+def test_one_message_is_sent_alone_and_several_as_a_bundle() -> None:
     one = delivery.encode_call(call(1), 500.0)
     assert (one.target, one.headers["X-Time-Left-Ms"], one.body) == ("/events", "1500", b"hello")
     many = delivery.encode_call(call(2), 500.0)
@@ -106,13 +106,13 @@
         (418, [], Result.ERROR, False),
     ],
 )
-def test_outcomes_follow_the_protocol(status: int, fields: list[str], result: Result, final: bool) -> None:
+def test_each_status_has_its_result(status: int, fields: list[str], result: Result, final: bool) -> None:
     reading = delivery.read_answer(call(1), Answer(status, headers(*fields), b""), NAMES.report)
     assert [(end.result, end.final) for end in reading.ends] == [(result, final)]
     assert reading.wait_ms == (250.0 if status == 429 else 0.0)
 
 
-def test_a_bundle_has_an_end_for_each() -> None:
+def test_a_bundles_answer_has_a_result_for_each_message() -> None:
     states = ["done", "failed", "busy", "void", "used_up"]
     body = json.dumps([{"id": f"id-{n}", "state": state} for n, state in enumerate(states)]).encode()
     reading = delivery.read_answer(call(6), Answer(200, headers("Retry-After: 1"), body), NAMES.report)
@@ -122,14 +122,14 @@
         Result.REJECTED,
         Result.NOT_SENT,
         Result.NOT_SENT,
-        Result.MALFORMED,  # not named: it may have run
+        Result.MALFORMED,  # omitted by the answer: it may have run
     ]
     assert [end.final for end in reading.ends] == [False, False, False, True, False, False]
     assert reading.wait_ms == 1000.0
 
 
-@pytest.mark.parametrize("body", GARBLED)
-def test_a_garbled_bundle_answer_may_have_run(body: bytes) -> None:
+@pytest.mark.parametrize("body", INVALID_BUNDLE_ANSWERS)
+def test_after_an_invalid_bundle_answer_messages_may_have_run(body: bytes) -> None:
     reading = delivery.read_answer(call(2), Answer(200, headers(), body), NAMES.report)
     assert {end.result for end in reading.ends} == {Result.MALFORMED} and reading.fault
 
@@ -143,11 +143,13 @@
         (2, 200, Result.MALFORMED),
     ],
 )
-def test_a_first_line_is_true_for_one_message_alone(count: int, status: int, result: Result) -> None:
+def test_an_incomplete_answer_counts_by_its_status_for_a_single_message_only(
+    count: int, status: int, result: Result
+) -> None:
     assert delivery.read_incomplete_answer(call(count), status, Result.MALFORMED) is result
 
 
-def test_reports_and_waits_are_read_and_nonsense_is_not() -> None:
+def test_invalid_load_reports_and_retry_after_headers_are_ignored() -> None:
     load = delivery.read_load(headers("X-Backend-Load: x0=0.4,x1=25"), NAMES.report)
     assert (load.left_share, load.limit_per_s) == (0.4, 25.0)
     for text in ("x0=nan", "x0=0.4,x1=", "=3", "x0=0.5,x0=0.6", "x0=0.4,x1=-2", "x1=1e9", "x0 0.4", "\xff"):
@@ -155,25 +157,27 @@
         assert (odd.left_share, odd.limit_per_s) == (None, None), text
     twice = headers("X-Backend-Load: x0=0.4", "X-Backend-Load: x0=0.5")
     assert delivery.read_load(twice, NAMES.report).left_share is None
-    assert [delivery.read_wait(headers(f"Retry-After: {v}")) for v in ("soon", "-2", "nan", "1e99")] == [
+    assert [
+        delivery.read_retry_after(headers(f"Retry-After: {v}")) for v in ("soon", "-2", "nan", "1e99")
+    ] == [
         0.0,
         0.0,
         0.0,
-        delivery.MOST_WAIT_MS,
+        delivery.MAX_RETRY_AFTER_MS,
     ]
 
 
 def test_the_list_is_read() -> None:
-    body = json.dumps({"index": 41, "snapshot": True, "endpoints": [LINE]}).encode()
-    groups = catalog.read_list(body, NAMES, 5.0)
-    (member,) = groups.members
-    assert (groups.scope, groups.version) == (Scope.WHOLE, 41)
+    body = json.dumps({"index": 41, "snapshot": True, "endpoints": [ENDPOINT]}).encode()
+    update = catalog.read_list(body, NAMES, 5.0)
+    (member,) = update.members
+    assert (update.scope, update.version) == (Scope.WHOLE, 41)
     assert (member.host, member.port, member.zone, member.kind) == ("10.1.0.18", 8443, 1, 1)
-    odd = {**LINE, "status": "Resting", "type": "new", "zone": "c"}
+    odd = {**ENDPOINT, "status": "Resting", "type": "new", "zone": "c"}
     body = json.dumps({"index": 42, "snapshot": False, "endpoints": [odd]}).encode()
-    groups = catalog.read_list(body, NAMES, 5.0)
-    assert groups.scope is Scope.CHANGES
-    assert (groups.members[0].state, groups.members[0].kind) == (EndpointState.DRAINING, 2)
+    update = catalog.read_list(body, NAMES, 5.0)
+    assert update.scope is Scope.CHANGES
+    assert (update.members[0].state, update.members[0].kind) == (EndpointState.DRAINING, 2)
     assert catalog.target(41, 5000.0) == "/catalog/members?since=41&timeout_ms=5000"
 
 
@@ -184,25 +188,25 @@
         b"[]",
         b'{"index": "x", "endpoints": []}',
         b'{"index": 1, "endpoints": [7]}',
-        json.dumps({"index": 1, "endpoints": [{**LINE, "address": "here"}]}).encode(),
-        json.dumps({"index": 1, "endpoints": [{**LINE, "group": "x"}]}).encode(),
-        json.dumps({"index": 1, "endpoints": [{**LINE, "weight": None}]}).encode(),
+        json.dumps({"index": 1, "endpoints": [{**ENDPOINT, "address": "here"}]}).encode(),
+        json.dumps({"index": 1, "endpoints": [{**ENDPOINT, "group": "x"}]}).encode(),
+        json.dumps({"index": 1, "endpoints": [{**ENDPOINT, "weight": None}]}).encode(),
     ],
 )
-def test_a_list_that_makes_no_sense_is_a_failure(body: bytes) -> None:
+def test_an_invalid_list_raises(body: bytes) -> None:
     with pytest.raises(catalog.InvalidListError):
         catalog.read_list(body, NAMES, 0.0)
 
 
-def test_notices_are_lines() -> None:
-    told = [Notice(1, "a", False), Notice(2, "b", True, 499.2), Notice(3, "c", True)]
-    assert notices.encode_notices(told) == (
+def test_notices_are_encoded_one_per_line() -> None:
+    batch = [Notice(1, "a", False), Notice(2, "b", True, 499.2), Notice(3, "c", True)]
+    assert notices.encode_notices(batch) == (
         b'{"id":"a","status":"undeliverable"}\n'
         b'{"id":"b","status":"deferred","again_ms":500}\n'
         b'{"id":"c","status":"deferred"}\n'
     )
 
 
-def test_a_head_with_a_bad_field_is_malformed() -> None:
+def test_a_head_with_an_invalid_field_name_is_malformed() -> None:
     with pytest.raises(Malformed):
         headers("a b: c")
