--- a/springspread/cli/demo.py
+++ b/springspread/cli/demo.py
@@ -1,4 +1,4 @@
-"""``springspread demo --fleet``: a fleet under faults, while its policy changes, shown as it goes."""
+"""``springspread demo --fleet``: shows a fleet under faults while its policy changes."""
 
 from __future__ import annotations
 
@@ -8,22 +8,26 @@
 
 
 def fleet_demo(instances: int, seconds: float, seed: int) -> int:
-    """Play it; 0 where every promise held, else 1."""
+    """Run it; returns the exit status: 0 if every promise held, else 1."""
     from springspread.faults.chaos import Chaos, fleet_of
     from springspread.faults.schedule import drawn
 
-    def show(now: float, rows: dict[str, dict[str, Any]], acts: list[str]) -> None:
-        each = "  ".join(f"{name}:{row['policy'] or '-'}" for name, row in sorted(rows.items()))
-        click.echo(f"{now / 1000:5.1f} s  {each}  {', '.join(acts)}".rstrip())
+    def show(now: float, rows: dict[str, dict[str, Any]], faults: list[str]) -> None:
+        policies = "  ".join(f"{name}:{row['policy'] or '-'}" for name, row in sorted(rows.items()))
+        click.echo(f"{now / 1000:5.1f} s  {policies}  {', '.join(faults)}".rstrip())
 
-    click.echo("which instance acts under which policy (-: none), and what befalls whom")
+    click.echo("the policy that each instance acts under (-: none), and the injected faults")
     with fleet_of(Chaos, instances) as (chaos, _):
-        told = chaos.play(drawn(seed, instances, 1000 * seconds, 1500.0), 1000 * seconds, show)
-    for line in (*told.mixtures, *told.undone, *(f"{id}: no end" for id in sorted(told.without_end))):
+        result = chaos.play(drawn(seed, instances, 1000 * seconds, 1500.0), 1000 * seconds, show)
+    for line in (
+        *result.mixtures,
+        *result.undone,
+        *(f"{id}: no outcome" for id in sorted(result.without_end)),
+    ):
         click.echo(f"BROKEN {line}")
-    held = "every promise held" if told.held else "a promise was broken"
+    outcome = "every promise held" if result.held else "a promise was broken"
     click.echo(
-        f"{held}; {len(told.in_force)} changes in force, {sum(told.refused.values())} refused; "
-        f"{told.calls} calls, {len(told.handed)} messages"
+        f"{outcome}; {len(result.in_force)} policy changes in force, {sum(result.refused.values())} refused; "
+        f"{result.calls} calls, {len(result.handed)} messages"
     )
-    return 0 if told.held else 1
+    return 0 if result.held else 1
--- a/springspread/cli/fleet.py
+++ b/springspread/cli/fleet.py
@@ -1,4 +1,4 @@
-"""``springspread fleet``: run many instances as one, and give them orders."""
+"""``springspread fleet``: run and control a fleet of instances."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
     from springspread.validation import PlanError
 
 FILE = click.Path(path_type=Path, dir_okay=False)
-ENDS = (signal.SIGTERM, signal.SIGINT)
+STOP_SIGNALS = (signal.SIGTERM, signal.SIGINT)
 
 
 @click.group()
@@ -24,8 +24,8 @@
     """Run many instances under one set of limits. FILE is the fleet's operator file (TOML)."""
 
 
-class TooLarge(click.ClickException):
-    """A file that is over a bound of its size."""
+class FileTooLargeError(click.ClickException):
+    """A file that exceeds a size limit."""
 
     exit_code = 2
 
@@ -37,13 +37,13 @@
     try:
         return read_fleet(file)
     except PlanError as exc:
-        raise _faulty(exc) from exc
+        raise _click_error(exc) from exc
 
 
-def _faulty(exc: PlanError) -> click.ClickException:
+def _click_error(exc: PlanError) -> click.ClickException:
     from springspread.fleet.plan import PlanTooLarge
 
-    return TooLarge(str(exc)) if isinstance(exc, PlanTooLarge) else click.ClickException(str(exc))
+    return FileTooLargeError(str(exc)) if isinstance(exc, PlanTooLarge) else click.ClickException(str(exc))
 
 
 @fleet.command()
@@ -51,7 +51,7 @@
 def run(file: Path) -> None:
     """Run the fleet of FILE in the foreground, until SIGTERM.
 
-    SIGTERM ends the instances in order, too. SIGKILL ends nobody else: the next `run` adopts what runs.
+    SIGTERM also stops the instances gracefully. After a SIGKILL they go on, and the next `run` adopts them.
     """
     from springspread.fleet.daemon import Daemon
     from springspread.fleet.orders import Refused
@@ -59,16 +59,16 @@
     from springspread.logs import make_log
 
     plan = _plan(file)
-    signal.pthread_sigmask(signal.SIG_BLOCK, ENDS)
+    signal.pthread_sigmask(signal.SIG_BLOCK, STOP_SIGNALS)
     log, sink = make_log("fleet", 1000)
     try:
         daemon = Daemon(plan, log)
     except PlanTooLarge as exc:
-        raise _faulty(PlanTooLarge(_located(file, plan, str(exc)))) from exc
+        raise _click_error(PlanTooLarge(_with_file(file, plan, str(exc)))) from exc
     except (Refused, OSError, ValueError, TypeError) as exc:
         raise click.ClickException(str(exc)) from exc
     log.info("fleet ready", control=str(plan.folder / "control"))
-    signal.sigwait(ENDS)
+    signal.sigwait(STOP_SIGNALS)
     log.info("stopping")
     daemon.stop()
     sink.flush()
@@ -84,30 +84,30 @@
         raise click.ClickException(f"no daemon answers at {path}: {exc}") from exc
 
 
-def _ask(plan: FleetPlan, order: dict[str, Any]) -> dict[str, Any]:
+def _request(plan: FleetPlan, order: dict[str, Any]) -> dict[str, Any]:
     answer = _send(plan, order)
     if not answer["ok"]:
         raise click.ClickException(answer["fault"])
     return answer
 
 
-def _order(file: Path, order: dict[str, Any], as_json: bool) -> None:
-    answer = _ask(_plan(file), order)
+def _send_and_show(file: Path, order: dict[str, Any], as_json: bool) -> None:
+    answer = _request(_plan(file), order)
     if as_json:
         click.echo(json.dumps(answer["instances"]))
     else:
-        _show(answer["instances"])
+        _print_instances(answer["instances"])
 
 
-def _show(rows: list[dict[str, Any]]) -> None:
+def _print_instances(rows: list[dict[str, Any]]) -> None:
     from springspread.cli.live import columns
 
-    heads = ("name", "want", "pid", "epoch", "listen", "up_s", "in_fleet", "deaths", "policy")
-    for line in columns(heads, [[row[head] for head in heads] for row in rows]):
+    headers = ("name", "want", "pid", "epoch", "listen", "up_s", "in_fleet", "deaths", "policy")
+    for line in columns(headers, [[row[header] for header in headers] for row in rows]):
         click.echo(line)
 
 
-JSON = click.option("--json", "as_json", is_flag=True, help="JSON in place of a table.")
+JSON = click.option("--json", "as_json", is_flag=True, help="JSON instead of a table.")
 
 
 @fleet.command()
@@ -115,15 +115,15 @@
 @JSON
 def status(file: Path, as_json: bool) -> None:
     """Show the instances."""
-    _order(file, {"do": "status"}, as_json)
+    _send_and_show(file, {"do": "status"}, as_json)
 
 
 @fleet.command()
 @click.argument("file", type=FILE)
 @JSON
 def limits(file: Path, as_json: bool) -> None:
-    """Show how many limits there are, and which adaptive ones are bound, and why."""
-    status = _ask(_plan(file), {"do": "limits"})["limits"]
+    """Show how many limits there are, which adaptive ones are bound, and why."""
+    status = _request(_plan(file), {"do": "limits"})["limits"]
     if as_json:
         click.echo(json.dumps(status))
         return
@@ -136,15 +136,17 @@
 @click.argument("file", type=FILE)
 @JSON
 def recovery(file: Path, as_json: bool) -> None:
-    """Show how far each instance's return to service has come, and what it waits for."""
+    """Show the progress of each instance's startup, and what it waits for."""
     from springspread.cli.live import columns
 
-    rows = _ask(_plan(file), {"do": "recovery"})["recovery"]
+    rows = _request(_plan(file), {"do": "recovery"})["recovery"]
     if as_json:
         click.echo(json.dumps(rows))
         return
-    heads = ("name", "want", "gate", "for_s", "owed", "ended", "damaged", "expected_s")
-    for line in columns(heads, [["-" if row[head] is None else row[head] for head in heads] for row in rows]):
+    headers = ("name", "want", "gate", "for_s", "owed", "ended", "damaged", "expected_s")
+    for line in columns(
+        headers, [["-" if row[header] is None else row[header] for header in headers] for row in rows]
+    ):
         click.echo(line)
 
 
@@ -153,8 +155,8 @@
 @click.argument("count", type=int)
 @JSON
 def scale(file: Path, count: int, as_json: bool) -> None:
-    """Have COUNT instances serve. Those that leave first have what they owe delivered or told."""
-    _order(file, {"do": "scale", "count": count}, as_json)
+    """Set the number of instances to COUNT. Removed ones first deliver or report their pending messages."""
+    _send_and_show(file, {"do": "scale", "count": count}, as_json)
 
 
 @fleet.command()
@@ -162,8 +164,8 @@
 @click.argument("name")
 @JSON
 def drain(file: Path, name: str, as_json: bool) -> None:
-    """Have one instance leave; no other takes its place."""
-    _order(file, {"do": "drain", "name": name}, as_json)
+    """Drain and remove one instance, without a replacement."""
+    _send_and_show(file, {"do": "drain", "name": name}, as_json)
 
 
 @fleet.command()
@@ -171,31 +173,31 @@
 @click.argument("name")
 @JSON
 def restart(file: Path, name: str, as_json: bool) -> None:
-    """End one instance in order and start it again."""
-    _order(file, {"do": "restart", "name": name}, as_json)
+    """Stop one instance gracefully and start it again."""
+    _send_and_show(file, {"do": "restart", "name": name}, as_json)
 
 
 @fleet.command()
 @click.argument("file", type=FILE)
 @JSON
 def roll(file: Path, as_json: bool) -> None:
-    """Restart all instances, one after the other."""
-    _order(file, {"do": "roll"}, as_json)
+    """Restart all instances, one at a time."""
+    _send_and_show(file, {"do": "roll"}, as_json)
 
 
 @fleet.group()
 def policy() -> None:
-    """Change the settings and limits of all instances at one moment, or of none.
+    """Change the settings and limits of all instances at the same time, or of none.
 
     \b
-    Exit codes, beside those of every command:
+    Exit codes, in addition to those of every command:
       5  refused: in force nowhere
-      6  not decided, or not in force, within the time; asking again gives the one answer
+      6  not decided, or not in force, within the time; repeat the command to learn the outcome
     """
 
 
-def _wanted(file: Path, plan: FleetPlan) -> Policy:
-    """What the files ask for; raises ``PlanTooLarge`` with the file's name."""
+def _read_policy(file: Path, plan: FleetPlan) -> Policy:
+    """The policy that the files describe; raises ``PlanTooLarge`` with the file's name."""
     from springspread.fleet.plan import PlanTooLarge
 
     try:
@@ -209,11 +211,11 @@
     try:
         return plan.policy(base)
     except PlanTooLarge as exc:
-        raise PlanTooLarge(_located(file, plan, str(exc))) from exc
+        raise PlanTooLarge(_with_file(file, plan, str(exc))) from exc
 
 
-def _located(file: Path, plan: FleetPlan, fault: str) -> str:
-    """A fault behind the file that its key stands in."""
+def _with_file(file: Path, plan: FleetPlan, fault: str) -> str:
+    """Prefix a fault with the file that contains its key."""
     if "settings" in fault:
         return f"{plan.config}: {fault}"
     return f"{file}: {fault}" if "limits" in fault else fault
@@ -223,22 +225,22 @@
     answer = _send(plan, {"do": "propose", "policy": text, "within": within}, within)
     if not answer["ok"]:
         answer = {"state": "refused", "version": 0, "fault": answer["fault"]}
-    state, number, fault = answer["state"], answer["version"], answer["fault"]
+    state, version, fault = answer["state"], answer["version"], answer["fault"]
     if state == "refused" and not as_json:
-        fault = _located(file, plan, fault)
-    _finish(state, number, fault, as_json)
+        fault = _with_file(file, plan, fault)
+    _finish(state, version, fault, as_json)
 
 
-def _finish(state: str, number: int, fault: str, as_json: bool) -> NoReturn:
-    """Say what became of a proposal, and end with its exit status."""
+def _finish(state: str, version: int, fault: str, as_json: bool) -> NoReturn:
+    """Print the outcome of a proposal, and exit with its status."""
     if as_json:
-        click.echo(json.dumps({"state": state, "version": number, "fault": fault}))
+        click.echo(json.dumps({"state": state, "version": version, "fault": fault}))
     elif state == "in force":
-        click.echo(f"policy {number} is in force")
+        click.echo(f"policy {version} is in force")
     elif state == "refused":
         click.echo(f"refused, in force nowhere: {fault}", err=True)
     else:
-        click.echo(f"policy {number} is not in force yet; it waits for {fault}", err=True)
+        click.echo(f"policy {version} is not in force yet; it waits for {fault}", err=True)
     sys.exit({"in force": 0, "refused": 5}.get(state, 6))
 
 
@@ -252,17 +254,17 @@
 @WITHIN
 @JSON
 def propose(file: Path, within: float, as_json: bool) -> None:
-    """Propose FILE and the `config` that it names, as they stand now."""
+    """Propose the policy of FILE and of the `config` that it names."""
     from springspread.fleet.plan import PlanTooLarge, read_fleet
     from springspread.validation import PlanError
 
     try:
         plan = read_fleet(file)
-        text = _wanted(file, plan).text
+        text = _read_policy(file, plan).text
     except PlanTooLarge as exc:  # nothing is sent
         _finish("refused", 0, str(exc), as_json)
     except PlanError as exc:
-        raise _faulty(exc) from exc
+        raise _click_error(exc) from exc
     _propose(file, plan, text, within, as_json)
 
 
@@ -272,9 +274,9 @@
 @WITHIN
 @JSON
 def back(file: Path, version: int, within: float, as_json: bool) -> None:
-    """Propose what held under VERSION; it gets a number of its own."""
+    """Propose the policy of VERSION again, under a new version."""
     plan = _plan(file)
-    text = _ask(plan, {"do": "text", "version": version})["policy"]
+    text = _request(plan, {"do": "text", "version": version})["policy"]
     _propose(file, plan, text, within, as_json)
 
 
@@ -282,15 +284,15 @@
 @click.argument("file", type=FILE)
 @JSON
 def check(file: Path, as_json: bool) -> None:
-    """Say what a proposal of FILE would change, and who would refuse it. Changes nothing."""
+    """Show what proposing FILE would change, and who would refuse it. Changes nothing."""
     from springspread.fleet.plan import PlanTooLarge
 
     plan = _plan(file)
     try:
-        text = _wanted(file, plan).text
+        text = _read_policy(file, plan).text
     except PlanTooLarge as exc:
-        raise _faulty(exc) from exc
-    answer = _ask(plan, {"do": "check", "policy": text})
+        raise _click_error(exc) from exc
+    answer = _request(plan, {"do": "check", "policy": text})
     if as_json:
         click.echo(
             json.dumps({key: answer[key] for key in ("usable", "fault", "changes", "refuse", "silent")})
@@ -298,9 +300,9 @@
     else:
         for line in answer["changes"] or (["nothing would change"] if answer["usable"] else []):
             click.echo(line)
-        own = {"the daemon": answer["fault"]} if answer["fault"] and not answer["refuse"] else {}
-        for who, why in {**own, **answer["refuse"]}.items():
-            click.echo(f"would be refused by {who}: {why}", err=True)
+        daemon_refusal = {"the daemon": answer["fault"]} if answer["fault"] and not answer["refuse"] else {}
+        for name, reason in {**daemon_refusal, **answer["refuse"]}.items():
+            click.echo(f"would be refused by {name}: {reason}", err=True)
         if answer["silent"]:
             click.echo(f"no answer from {', '.join(answer['silent'])}", err=True)
     sys.exit(0 if answer["usable"] else 5)
@@ -310,17 +312,19 @@
 @click.argument("file", type=FILE)
 @JSON
 def policy_status(file: Path, as_json: bool) -> None:
-    """Show which policy is in force, what is under way, and what each instance acts under."""
-    answer = _ask(_plan(file), {"do": "policy"})
-    told = {key: answer[key] for key in ("in_force", "pending", "instances")}
+    """Show the policy in force, a pending one, and the one that each instance acts under."""
+    answer = _request(_plan(file), {"do": "policy"})
+    shown = {key: answer[key] for key in ("in_force", "pending", "instances")}
     if as_json:
-        click.echo(json.dumps(told))
+        click.echo(json.dumps(shown))
         return
-    click.echo(f"policy {told['in_force']['version']} is in force, digest {told['in_force']['digest'][:12]}")
-    if told["pending"]:
-        waits = ", ".join(told["pending"]["waits_for"]) or "its moment"
-        click.echo(f"policy {told['pending']['version']} is on its way; it waits for {waits}")
-    for name, row in told["instances"].items():
+    click.echo(
+        f"policy {shown['in_force']['version']} is in force, digest {shown['in_force']['digest'][:12]}"
+    )
+    if shown["pending"]:
+        waiting_for = ", ".join(shown["pending"]["waits_for"]) or "its start time"
+        click.echo(f"policy {shown['pending']['version']} is pending; it waits for {waiting_for}")
+    for name, row in shown["instances"].items():
         click.echo(f"  {name}  {row['state']}  {row['version'] or '-'}")
 
 
@@ -328,8 +332,8 @@
 @click.argument("file", type=FILE)
 @JSON
 def history(file: Path, as_json: bool) -> None:
-    """Show every policy that was proposed, and what became of it."""
-    rows = _ask(_plan(file), {"do": "history"})["history"]
+    """Show every proposed policy, and its outcome."""
+    rows = _request(_plan(file), {"do": "history"})["history"]
     if as_json:
         click.echo(json.dumps(rows))
         return
--- a/springspread/cli/journal.py
+++ b/springspread/cli/journal.py
@@ -1,4 +1,4 @@
-"""``springspread journal``: what a sender's folder has on record, read-only, also beside a running sender."""
+"""``springspread journal``: inspects a sender's journal, read-only, also while the sender runs."""
 
 from __future__ import annotations
 
@@ -14,86 +14,86 @@
     from springspread.core.journal import Journal, PendingMessage
 
 FOLDER = click.Path(path_type=Path, file_okay=False, exists=True)
-TRIES = 5
+MAX_ATTEMPTS = 5
 
 
 @click.group()
 def journal() -> None:
-    """Look at what a sender's folder has on record. Nothing is written."""
+    """Inspect the journal in a sender's folder, without writing to it."""
 
 
-def _look(folder: Path) -> Journal:
+def _open_journal(folder: Path) -> Journal:
     from springspread.core.journal import Journal
 
-    for _ in range(TRIES):
+    for _ in range(MAX_ATTEMPTS):
         try:
             return Journal(folder, 1 << 40, read_only=True)
         except FileNotFoundError:
-            continue  # a running sender has just cleared a file away
-    raise click.ClickException(f"{folder}: its files change faster than they can be read")
+            continue  # a running sender has just removed a file
+    raise click.ClickException(f"{folder}: the journal's files change faster than they can be read")
 
 
-def _owed(owed: PendingMessage) -> dict[str, object]:
-    deadline = datetime.fromtimestamp(owed.deadline_wall / 1000.0, UTC)
-    ending = None if owed.ending is None else ("deferred" if owed.ending[0] else "undeliverable")
+def _describe(message: PendingMessage) -> dict[str, object]:
+    deadline = datetime.fromtimestamp(message.deadline_wall / 1000.0, UTC)
+    ending = None if message.ending is None else ("deferred" if message.ending[0] else "undeliverable")
     return {
-        "id": owed.id,
-        "class": owed.cls,
-        "destination": owed.group,
+        "id": message.id,
+        "class": message.cls,
+        "destination": message.group,
         "deadline": deadline.isoformat(timespec="milliseconds"),
-        "bytes": len(owed.body),
-        "attempts": owed.attempts,
-        "may_have_run": owed.may_have_run,
+        "bytes": len(message.body),
+        "attempts": message.attempts,
+        "may_have_run": message.may_have_run,
         "ending": ending,
     }
 
 
 @journal.command()
 @click.argument("folder", type=FOLDER)
-@click.option("--json", "as_json", is_flag=True, help="One JSON object a line.")
+@click.option("--json", "as_json", is_flag=True, help="One JSON object per line.")
 def show(folder: Path, as_json: bool) -> None:
-    """List the messages that FOLDER's sender owes."""
-    seen = _look(folder)
-    for owed in seen.pending.values():
-        told = _owed(owed)
+    """List the pending messages in FOLDER."""
+    opened = _open_journal(folder)
+    for message in opened.pending.values():
+        fields = _describe(message)
         if as_json:
-            click.echo(json.dumps(told))
+            click.echo(json.dumps(fields))
         else:
-            click.echo("  ".join(f"{key} {value}" for key, value in told.items() if value is not None))
+            click.echo("  ".join(f"{key} {value}" for key, value in fields.items() if value is not None))
     if not as_json:
-        click.echo(f"{len(seen.pending)} messages owed, {len(seen.files)} files")
+        click.echo(f"{len(opened.pending)} messages pending, {len(opened.files)} files")
 
 
 @journal.command()
 @click.argument("folder", type=FOLDER)
 @click.option("--json", "as_json", is_flag=True, help="One JSON object instead of lines.")
 def verify(folder: Path, as_json: bool) -> None:
-    """Read every record of FOLDER. Exits with 1 where a file cannot be read to its end.
+    """Read every record in FOLDER. Exits with 1 if a file cannot be read to its end.
 
-    The newest file may end in a record that is being written, or was as the process was killed: that is told,
-    and is no fault.
+    The newest file may end in an incomplete record, which is being written or was when the process was
+    killed: that is reported, but is not an error.
     """
-    seen = _look(folder)
+    opened = _open_journal(folder)
     files: list[dict[str, object]] = []
-    for n, (name, readable) in enumerate(seen.files.items(), 1):
-        rest = max((folder / name).stat().st_size - readable, 0) if (folder / name).exists() else 0
-        ranges = seen.damaged.get(name, [])
+    for n, (name, readable) in enumerate(opened.files.items(), 1):
+        unread = max((folder / name).stat().st_size - readable, 0) if (folder / name).exists() else 0
+        ranges = opened.damaged.get(name, [])
         entry: dict[str, object] = {"file": name, "readable": readable - sum(r.end - r.start for r in ranges)}
-        entry |= {"rest": rest, "newest": n == len(seen.files)}
+        entry |= {"rest": unread, "newest": n == len(opened.files)}
         entry["damaged"] = [{"from": r.start, "to": r.end, "ids": list(r.ids)} for r in ranges]
-        entry["after"] = seen.possibly_run.get(name, [])
+        entry["after"] = opened.possibly_run.get(name, [])
         files.append(entry)
     damaged = [entry for entry in files if entry["damaged"] or (entry["rest"] and not entry["newest"])]
     if as_json:
-        click.echo(json.dumps({"files": files, "owed": len(seen.pending), "damaged": len(damaged)}))
+        click.echo(json.dumps({"files": files, "owed": len(opened.pending), "damaged": len(damaged)}))
     else:
         for entry in files:
             tail = f", {entry['rest']} bytes that cannot be read" if entry["rest"] else ""
             click.echo(f"{entry['file']}: {entry['readable']} bytes{tail}")
-            for one in seen.damaged.get(str(entry["file"]), []):
-                ids = f", of {', '.join(one.ids)}" if one.ids else ""
-                click.echo(f"  bytes {one.start} to {one.end} are damaged{ids}")
-            for id in seen.possibly_run.get(str(entry["file"]), []):
-                click.echo(f"  may have run, as a record of it may be lost: {id}")
-        click.echo(f"{len(damaged)} damaged files, {len(seen.pending)} messages owed")
+            for damage in opened.damaged.get(str(entry["file"]), []):
+                ids = f", of {', '.join(damage.ids)}" if damage.ids else ""
+                click.echo(f"  bytes {damage.start} to {damage.end} are damaged{ids}")
+            for id in opened.possibly_run.get(str(entry["file"]), []):
+                click.echo(f"  may have run, since a record of it may be lost: {id}")
+        click.echo(f"{len(damaged)} damaged files, {len(opened.pending)} messages pending")
     sys.exit(bool(damaged))
--- a/springspread/cli/lab.py
+++ b/springspread/cli/lab.py
@@ -12,11 +12,11 @@
 import click
 
 FILE = click.Path(path_type=Path, dir_okay=False)
-BROKEN, EARLY = 1, 4
+EXIT_BROKEN, EXIT_STOPPED = 1, 4
 
 
-def told(command: Callable[..., Any]) -> Callable[..., Any]:
-    """A faulty file of the caller's is told in a line, not in a traceback."""
+def report_errors(command: Callable[..., Any]) -> Callable[..., Any]:
+    """Report a faulty file as a one-line error instead of a traceback."""
 
     @wraps(command)
     def run(*args: Any, **values: Any) -> Any:
@@ -30,17 +30,19 @@
 
 @click.group()
 def lab() -> None:
-    """Run experiments: a plan in TOML, its table, its report."""
+    """Run experiments: from a plan in TOML to a table and a report."""
 
 
 @lab.command()
 @click.argument("plan", type=FILE)
-@click.option("--out", type=FILE, required=True, help="The table to write (CSV); its record goes beside it.")
+@click.option(
+    "--out", type=FILE, required=True, help="The table to write (CSV); its record is written beside it."
+)
 @click.option("--processes", type=click.IntRange(1, 256), default=os.cpu_count() or 1, show_default=True)
 def run(plan: Path, out: Path, processes: int) -> None:
     """Play every day of PLAN (TOML, or the record of an earlier run) and write one row each.
 
-    Exits with 1 where a promise was broken, with 4 where a signal or the disk stopped it.
+    Exits with 1 if a promise was broken, with 4 if a signal or a disk error stopped it.
     """
     from springspread.experiments.plan import read_plan
     from springspread.experiments.run import Table, run_plan
@@ -50,36 +52,38 @@
         read = read_plan(plan)
     except PlanError as exc:
         raise click.ClickException(str(exc)) from exc
-    days, done, broken, seconds, early = sum(1 for _ in read.runs()), 0, 0, 0.0, ""
+    days, done, broken, seconds, stopped = sum(1 for _ in read.runs()), 0, 0, 0.0, ""
     table: Table | None = None
     try:
         table = Table(out, read)
-        played = run_plan(read, processes)
-        with click.progressbar(played, days, label=read.name, file=sys.stderr, show_pos=True) as shown:
-            for row, took in shown:
+        results = run_plan(read, processes)
+        with click.progressbar(results, days, label=read.name, file=sys.stderr, show_pos=True) as progress:
+            for row, took in progress:
                 table.add(row)
                 done, broken, seconds = done + 1, broken + bool(row["faults"]), seconds + took
     except KeyboardInterrupt:
-        early = "interrupted"
+        stopped = "interrupted"
     except OSError as exc:
-        early = f"the table takes no more: {exc}"
+        stopped = f"the table takes no more: {exc}"
     try:
         if table is not None:
             table.close()
     except OSError as exc:
-        early = early or f"the table takes no more: {exc}"
-        click.echo(f"what was written stands in {table.fresh if table else out}", err=True)
-    mean = f", {seconds / done:.2f} s each in the mean" if done else ""
+        stopped = stopped or f"the table takes no more: {exc}"
+        click.echo(f"the rows written so far are in {table.fresh if table else out}", err=True)
+    mean = f", {seconds / done:.2f} s each on average" if done else ""
     click.echo(f"{done} of {days} days{mean}, {broken} with broken promises: {out}")
-    if early:
-        click.echo(f"stopped early, {early}", err=True)
-    sys.exit(EARLY if early else BROKEN if broken else 0)
+    if stopped:
+        click.echo(f"stopped early, {stopped}", err=True)
+    sys.exit(EXIT_STOPPED if stopped else EXIT_BROKEN if broken else 0)
 
 
 @lab.command()
 @click.argument("table", type=FILE)
-@click.option("--out", type=click.Path(path_type=Path, file_okay=False), required=True, help="A folder.")
-@told
+@click.option(
+    "--out", type=click.Path(path_type=Path, file_okay=False), required=True, help="The folder to write to."
+)
+@report_errors
 def report(table: Path, out: Path) -> None:
     """Write the report of TABLE: Markdown, CSV, a chart as SVG and PNG, and one HTML page."""
     from springspread.experiments.report import write_report
@@ -91,16 +95,16 @@
 @lab.command()
 @click.argument("ours", type=FILE)
 @click.argument("theirs", type=FILE, required=False)
-@click.option("--arms", nargs=2, metavar="A B", help="Two arms of one table, in place of two tables.")
+@click.option("--arms", nargs=2, metavar="A B", help="Compare two arms of one table instead of two tables.")
 @click.option("--measure", default="service", show_default=True)
-@click.option("--where", "wheres", multiple=True, metavar="COLUMN=VALUE", help="Only rows that hold it.")
-@told
+@click.option("--where", "wheres", multiple=True, metavar="COLUMN=VALUE", help="Only rows with this value.")
+@report_errors
 def compare(
     ours: Path, theirs: Path | None, arms: tuple[str, str] | None, measure: str, wheres: tuple[str, ...]
 ) -> None:
-    """Tell how much more THEIRS (or arm B) has of a measure than OURS (or arm A), day by day.
+    """Print how much THEIRS (or arm B) exceeds OURS (or arm A) in a measure, on average over the same days.
 
-    The difference is paired by seed and knobs, with its 95 % interval (Student's).
+    Days are paired by seed and knobs; the 95 % confidence interval is Student's.
     """
     from springspread.experiments.compare import paired
     from springspread.experiments.run import COLUMNS, read_rows
@@ -118,20 +122,22 @@
         left, right = ([row for row in rows if row[column] == value] for rows in (left, right))
     if arms is not None:
         left, right = ([row for row in left if row["arm"] == arm] for arm in arms)
-    found = paired(left, right, measure)
-    word = "sure" if found.sure else "not told apart"
-    click.echo(f"{measure}: {found.mean:+.4f} ± {found.half:.4f} over {found.count} days ({word})")
+    difference = paired(left, right, measure)
+    word = "significant" if difference.sure else "not significant"
+    click.echo(
+        f"{measure}: {difference.mean:+.4f} ± {difference.half:.4f} over {difference.count} days ({word})"
+    )
 
 
 @lab.command()
 @click.argument("logs", type=click.Path(path_type=Path, file_okay=False, exists=True))
 @click.option("--span", type=click.FloatRange(0.1, 3600.0), default=1.0, show_default=True, help="Seconds.")
-@click.option("--whole", is_flag=True, help="One line for the whole time.")
-@told
+@click.option("--whole", is_flag=True, help="One line for the whole period.")
+@report_errors
 def tally(logs: Path, span: float, whole: bool) -> None:
-    """Count over a fleet: what the senders whose logs (level debug) lie in LOGS did, by destination and span.
+    """Count what a fleet's senders did, by destination and time span, from their logs (level debug) in LOGS.
 
-    CSV; destination -1 is discovery. `limit` is in calls a second, `left` the mean share told to be left.
+    CSV; destination -1 is discovery. `limit` is in calls per second, `left` the mean share reported as left.
     """
     from springspread.experiments import tally as counting
 
--- a/springspread/cli/main.py
+++ b/springspread/cli/main.py
@@ -1,4 +1,4 @@
-"""The commands. What each needs is imported as it runs: the sender loads nothing of the town or the lab."""
+"""The commands. Each imports what it needs when it runs: a sender loads no simulator and no experiments."""
 
 from __future__ import annotations
 
@@ -20,11 +20,11 @@
 EXITS = """
 \b
 Exit codes:
-  0  all went well
-  1  a promise was broken, or a file that was named is faulty
-  2  a faulty option, a configuration that can't be used, or a fleet's file over a bound of its size
-  3  the machine was too busy for a run to say anything
-  4  stopped early; what was done is kept
+  0  success
+  1  a promise was broken, or a named file is faulty
+  2  a faulty option, an unusable configuration, or a fleet's file that exceeds a size limit
+  3  the machine was too busy for a valid run
+  4  stopped early; finished work is kept
   5  a policy was refused and is in force nowhere
   6  a policy is not decided, or not in force, within the time
 """
@@ -32,7 +32,7 @@
 
 @click.group(context_settings={"help_option_names": ["-h", "--help"]}, epilog=EXITS)
 def cli() -> None:
-    """Carries messages to outside partners by the best of their routes, and owes each its end."""
+    """Deliver messages to outside partners over the best of their routes, and report each outcome."""
 
 
 cli.add_command(town)
@@ -47,57 +47,57 @@
 @click.option("--log-format", type=click.Choice(["json", "text"]), default="json", show_default=True)
 def serve(config: Path, log_level: str, log_format: str) -> None:
     """Run one sender in the foreground."""
-    told = {"RELAY_CONFIG": str(config), "RELAY_LOG_LEVEL": log_level, "RELAY_LOG_FORMAT": log_format}
-    os.execve(sys.executable, [sys.executable, "-m", "springspread"], {**os.environ, **told})
+    environment = {"RELAY_CONFIG": str(config), "RELAY_LOG_LEVEL": log_level, "RELAY_LOG_FORMAT": log_format}
+    os.execve(sys.executable, [sys.executable, "-m", "springspread"], {**os.environ, **environment})
 
 
 @cli.command()
 @click.argument("config", type=FILE)
 @click.option("--json", "as_json", is_flag=True, help="One JSON object instead of lines.")
 def check(config: Path, as_json: bool) -> None:
-    """Check a sender's configuration, whole, without starting it. Exits with 2 where it can't be used."""
+    """Check a sender's complete configuration without starting it. Exits with 2 if it is unusable."""
     from springspread.__main__ import known_list
     from springspread.config import ConfigError, load
 
     try:
-        read = load({**os.environ, "RELAY_CONFIG": str(config)})
-        known = known_list(read)
+        loaded = load({**os.environ, "RELAY_CONFIG": str(config)})
+        known = known_list(loaded)
     except ConfigError as exc:
         click.echo(json.dumps({"usable": False, "fault": str(exc)}) if as_json else f"{config}: {exc}")
         sys.exit(2)
-    told = {
+    summary = {
         "usable": True,
-        "name": read.name,
-        "listen": f"{read.listen[0]}:{read.listen[1]}",
-        "discovery": f"{read.discovery[0]}:{read.discovery[1]}",
-        "classes": len(read.settings.classes),
-        "slots": read.settings.slots,
+        "name": loaded.name,
+        "listen": f"{loaded.listen[0]}:{loaded.listen[1]}",
+        "discovery": f"{loaded.discovery[0]}:{loaded.discovery[1]}",
+        "classes": len(loaded.settings.classes),
+        "slots": loaded.settings.slots,
         "endpoints": len(known.members),
     }
     if as_json:
-        click.echo(json.dumps(told))
+        click.echo(json.dumps(summary))
     else:
         click.echo(f"{config}: usable")
-        for key, value in list(told.items())[1:]:
+        for key, value in list(summary.items())[1:]:
             click.echo(f"  {key:10} {value}")
 
 
 @cli.command()
 @click.option("--seconds", type=click.FloatRange(5, 600), default=30.0, show_default=True)
 @click.option("--seed", type=int, default=1, show_default=True)
-@click.option("--fleet", "instances", type=click.IntRange(2, 50), help="A fleet of so many, and its policy.")
+@click.option("--fleet", "instances", type=click.IntRange(2, 50), help="Run a fleet of this many instances.")
 def demo(seconds: float, seed: int, instances: int | None) -> None:
     """Play a small town with troubles against a real sender. Exits with 0 only if every promise held.
 
-    With --fleet: a real daemon and its instances under faults, with one change of policy after the other.
+    With --fleet: run a real daemon and its instances under faults, and change their policy repeatedly.
 
-    1: a promise was broken. 3: the machine was too busy for the run to say anything.
+    1: a promise was broken. 3: the machine was too busy for a valid run.
     """
     if instances is not None:
         from springspread.cli.demo import fleet_demo
 
         sys.exit(fleet_demo(instances, seconds, seed))
-    from springspread.cli.live import Watching
+    from springspread.cli.live import LiveDisplay
     from springspread.simulator.day import draw
     from springspread.simulator.sockets import SocketTown
 
@@ -105,12 +105,14 @@
     with tempfile.TemporaryDirectory(prefix="springspread-demo-") as folder:
         town = SocketTown(day, Path(folder))
         try:
-            live = town.play(Watching().show)
+            live = town.play(LiveDisplay().show)
         finally:
             town.close()
     for fault in live.checker.faults:
         click.echo(f"BROKEN {fault.rule} at {fault.at:.0f} ms, {fault.sender}: {fault.text}")
-    most = f"the town itself was late by {live.late_ms[0]:.0f} ms (99 %), {live.late_ms[1]:.0f} ms at most"
-    held = "every promise held" if not live.checker.faults else f"{len(live.checker.faults)} broken promises"
-    click.echo(f"{held}; service {live.checker.tally.service:.3f}; {most}")
+    lateness = f"simulator late by {live.late_ms[0]:.0f} ms (99 %), at most {live.late_ms[1]:.0f} ms"
+    outcome = (
+        "every promise held" if not live.checker.faults else f"{len(live.checker.faults)} broken promises"
+    )
+    click.echo(f"{outcome}; service {live.checker.tally.service:.3f}; {lateness}")
     sys.exit(1 if live.checker.faults else 0 if live.valid else 3)
--- a/springspread/cli/town.py
+++ b/springspread/cli/town.py
@@ -1,4 +1,4 @@
-"""``springspread town``: days in the model of the outside world, in virtual time."""
+"""``springspread town``: simulated days of the outside world, in virtual time."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 @click.group()
 def town() -> None:
-    """Play days in the model of the outside world, in virtual time."""
+    """Simulate days of the outside world, in virtual time."""
 
 
 @town.command()
@@ -25,7 +25,7 @@
 @click.option("--set", "words", multiple=True, metavar="KNOB=VALUE", help="See `town knobs`.")
 @click.option("--json", "as_json", is_flag=True, help="One JSON object instead of lines.")
 def play(seed: int, words: tuple[str, ...], as_json: bool) -> None:
-    """Play one day and judge it. Exits with 1 where a promise was broken.
+    """Play one day and check the sender. Exits with 1 if a promise was broken.
 
     Example: springspread town play --seed 5 --set troubles=3 --set trouble=flapping --set deaths=2
     """
@@ -38,14 +38,16 @@
     percentiles = {f"p{p:g}": checker.latency.get_value_at_percentile(p) for p in (50, 90, 99, 99.9)}
     if as_json:
         faults = [asdict(fault) for fault in checker.faults]
-        told = {**asdict(tally), "service": tally.service, "latency_ms": percentiles}
-        click.echo(json.dumps({**told, "faults": faults, "digest": checker.digest}))
+        totals = {**asdict(tally), "service": tally.service, "latency_ms": percentiles}
+        click.echo(json.dumps({**totals, "faults": faults, "digest": checker.digest}))
     else:
         click.echo(f"service {tally.service:.4f} of {tally.messages} messages, in {tally.calls} calls")
-        for name, (asked, kept) in sorted(tally.by_class.items()):
-            click.echo(f"  {name:16} {kept / asked:.4f}")
+        for name, (submitted, kept) in sorted(tally.by_class.items()):
+            click.echo(f"  {name:16} {kept / submitted:.4f}")
         click.echo(f"delivered {tally.delivered}, refused {tally.refused}, failed {tally.failed}")
-        click.echo("to delivery, ms: " + ", ".join(f"{key} {value}" for key, value in percentiles.items()))
+        click.echo(
+            "latency to delivery, ms: " + ", ".join(f"{key} {value}" for key, value in percentiles.items())
+        )
         for fault in checker.faults:
             click.echo(f"BROKEN {fault.rule} at {fault.at:.0f} ms, {fault.sender}: {fault.text}")
     sys.exit(bool(checker.faults))
@@ -72,7 +74,7 @@
 
 @town.command()
 def knobs() -> None:
-    """List what a day may be drawn with, as JSON Schema."""
+    """Print the knobs of a day, as JSON Schema."""
     from springspread.experiments.plan import Knobs
 
     click.echo(json.dumps(Knobs.model_json_schema(), indent=1))
