--- a/tests/admission/test_admission.py
+++ b/tests/admission/test_admission.py
@@ -48,9 +48,7 @@
 def test_new_connections_become_evictable_earlier_at_a_high_rate_of_arrivals() -> None:
     limits = replace(LIMITS, client_connections=100)
     admission, now, admitted = Admission(limits), 0.0, 0
-    for _ in range(
-        2000
-    ):  # 4 arrive per ms and send nothing: they fill 100 connections in 25 ms, half the minimum time
+    for _ in range(2000):  # 4 per ms fill the listener in 25 ms, half of the minimum time
         now += 0.25
         decision = admission.decision(now)
         if decision.victim is not None:
