--- a/springspread/__main__.py
+++ b/springspread/__main__.py
@@ -34,8 +34,8 @@
 from springspread.net.listener import Listener, listening_socket
 from springspread.net.notices import Notifier
 from springspread.net.threads import spawn
-from springspread.platform.catalog import Unreadable, read_groups
-from springspread.platform.intake import Intake
+from springspread.platform.catalog import InvalidListError, read_decoded_list
+from springspread.platform.client_api import ClientApi
 
 if TYPE_CHECKING:
     from springspread.fleet.client import FleetShares
@@ -51,8 +51,8 @@
     if config.known is None:
         return ListUpdate(Scope.CACHED)
     try:
-        return read_groups(config.known, config.names, 0.0, cached=True)
-    except Unreadable as exc:
+        return read_decoded_list(config.known, config.names, 0.0, cached=True)
+    except InvalidListError as exc:
         raise ConfigError(f"known: {exc}") from exc
 
 
@@ -92,7 +92,7 @@
 
 def serve_operators(
     address: Address,
-    intake: Intake,
+    client_api: ClientApi,
     figures: Figures,
     sender: Sender,
     listener: Listener,
@@ -100,13 +100,13 @@
     log: Log,
 ) -> None:
     """Start the operators' listener."""
-    from springspread.platform.management import Management
+    from springspread.platform.management import ManagementApi
 
     limits = operator_limits(limits)
     try:
         Listener(
             listening_socket(address, limits),
-            Management(intake, figures, sender, listener.drain),
+            ManagementApi(client_api, figures, sender, listener.drain),
             limits,
             log,
         )
@@ -171,26 +171,26 @@
     # Where CPU time is charged to the clock, it may run ahead after startup until the process has slept;
     # messages accepted before that would be given up too late.
     SYSTEM.sleep(limits.settle_ms)
-    intake = Intake(sender.put, limits.retry_after_s, figures)
+    client_api = ClientApi(sender.put, limits.retry_after_s, figures)
     try:
         listener = Listener(
-            inherited_socket() or listening_socket(config.listen, limits), intake, limits, log
+            inherited_socket() or listening_socket(config.listen, limits), client_api, limits, log
         )
     except OSError as exc:
         raise ConfigError(f"listen: {config.listen[0]}:{config.listen[1]}: {exc.strerror}") from exc
     if config.mgmt is not None:
-        serve_operators(config.mgmt, intake, figures, sender, listener, limits, log)
+        serve_operators(config.mgmt, client_api, figures, sender, listener, limits, log)
     signal_number = None
     while not sender.open and signal_number not in STOP_SIGNALS:  # clients get a Retry-After meanwhile
         if (signal_info := signal.sigtimedwait(HANDLED_SIGNALS, READY_CHECK_S)) is not None:
             signal_number = signal_info.si_signo
             if signal_number == signal.SIGHUP:
                 config = reload(config, (watcher, notices), log)
-    intake.ready = sender.open
+    client_api.ready = sender.open
     listen = f"{listener.address[0]}:{listener.address[1]}"
     fields = {"policy": shares.policy} if shares else {}
     fields |= {"pid": os.getpid()}
-    if intake.ready:
+    if client_api.ready:
         log.info("ready", listen=listen, slots=settings.slots, clients=limits.client_connections, **fields)
     while signal_number not in STOP_SIGNALS:
         signal_number = signal.sigwait(HANDLED_SIGNALS)
--- a/springspread/admission/admission.py
+++ b/springspread/admission/admission.py
@@ -1,10 +1,9 @@
-"""Admission: which client connections are held, for how long each may stay as it is, and who makes room.
+"""Admission: which client connections are accepted, how long each may stay in a state, and which is evicted.
 
-Theory of operation: every connection has one *standing*, and all who stand alike form a line in the order
-in which they joined it. A standing's rule says how long it may last and how soon its holder may be asked to
-make room. As one line has one rule, the head of a line is both the first whose time is up and the first to
-make room: every decision looks at the heads alone. Everything that affects who stays lives here; what is
-read and written does not.
+Theory of operation: every connection has one ``ClientState``, and each state has a queue of its connections,
+in the order in which they entered it. All connections of a queue share one maximum time in the state and one
+time after which they may be evicted, so its head is both the first to expire and the first to evict, and only
+the heads are ever examined. This module decides which connections stay; it reads and writes nothing.
 """
 
 from __future__ import annotations
@@ -18,236 +17,249 @@
 from springspread.config import Limits
 
 
-class Standing(Enum):
-    """Where a connection stands."""
+class ClientState(Enum):
+    """The state of a client's connection."""
 
-    NEW = "new"  # connected, and has sent nothing
-    READING = "reading"  # a request has begun, lately
-    LAGGING = "lagging"  # a request has begun and takes long
-    WAITING = "waiting"  # a whole request is with the core
-    ANSWERED = "answered"  # an answer that its socket has not taken whole
-    IDLE = "idle"  # between requests, after one
-    KEPT = "kept"  # between requests, after several
-    LEAVING = "leaving"  # told its last answer
+    NEW = "new"  # connected, nothing received
+    READING = "reading"  # part of a request received
+    SLOW = "slow"  # part of a request received; the rest is late
+    WAITING = "waiting"  # a complete request awaits its verdict
+    WRITING = "writing"  # the answer is not completely written
+    IDLE = "idle"  # between requests, after the first
+    REUSED = "reused"  # between requests, after more than one
+    CLOSING = "closing"  # the last answer is written or being written
 
 
-STEPS: dict[Standing, frozenset[Standing]] = {
-    Standing.NEW: frozenset({Standing.READING, Standing.WAITING, Standing.ANSWERED, Standing.LEAVING}),
-    Standing.READING: frozenset({Standing.LAGGING, Standing.WAITING, Standing.ANSWERED, Standing.LEAVING}),
-    Standing.LAGGING: frozenset({Standing.WAITING, Standing.ANSWERED, Standing.LEAVING}),
-    Standing.WAITING: frozenset({Standing.ANSWERED, Standing.LEAVING}),
-    Standing.ANSWERED: frozenset(
-        {Standing.IDLE, Standing.KEPT, Standing.READING, Standing.WAITING, Standing.LEAVING}
+TRANSITIONS: dict[ClientState, frozenset[ClientState]] = {
+    ClientState.NEW: frozenset(
+        {ClientState.READING, ClientState.WAITING, ClientState.WRITING, ClientState.CLOSING}
     ),
-    Standing.IDLE: frozenset({Standing.READING, Standing.WAITING, Standing.ANSWERED, Standing.LEAVING}),
-    Standing.KEPT: frozenset({Standing.READING, Standing.WAITING, Standing.ANSWERED, Standing.LEAVING}),
-    Standing.LEAVING: frozenset(),
+    ClientState.READING: frozenset(
+        {ClientState.SLOW, ClientState.WAITING, ClientState.WRITING, ClientState.CLOSING}
+    ),
+    ClientState.SLOW: frozenset({ClientState.WAITING, ClientState.WRITING, ClientState.CLOSING}),
+    ClientState.WAITING: frozenset({ClientState.WRITING, ClientState.CLOSING}),
+    ClientState.WRITING: frozenset(
+        {ClientState.IDLE, ClientState.REUSED, ClientState.READING, ClientState.WAITING, ClientState.CLOSING}
+    ),
+    ClientState.IDLE: frozenset(
+        {ClientState.READING, ClientState.WAITING, ClientState.WRITING, ClientState.CLOSING}
+    ),
+    ClientState.REUSED: frozenset(
+        {ClientState.READING, ClientState.WAITING, ClientState.WRITING, ClientState.CLOSING}
+    ),
+    ClientState.CLOSING: frozenset(),
 }
-"""What may follow on each standing; every connection may end from any."""
-
-ROOM = (
-    Standing.LEAVING,
-    Standing.NEW,
-    Standing.LAGGING,
-    Standing.IDLE,
-    Standing.KEPT,
-    Standing.ANSWERED,
-    Standing.READING,
+"""The states that may follow each; a connection may close in any."""
+
+EVICTION_ORDER = (
+    ClientState.CLOSING,
+    ClientState.NEW,
+    ClientState.SLOW,
+    ClientState.IDLE,
+    ClientState.REUSED,
+    ClientState.WRITING,
+    ClientState.READING,
 )
-"""In which order room is made. Whoever is WAITING has a request in flight and is never asked. A usual request
-comes whole within milliseconds: one READING for longer goes last, and is told that it may come again.
+"""The order in which connections are evicted. WAITING is absent: its request is in progress. READING is last:
+a well-behaved client completes its request within milliseconds.
 """
-RATE_MS = 50.0  # arrivals are counted over about this long
-ROOM_PART = 0.5  # of the places, for newcomers that have yet to show what they want
+RATE_WINDOW_MS = 50.0  # time constant of the decaying count of arrivals
+NEWCOMER_SHARE = 0.5  # of the connections, for clients without a complete request
 
 
 @dataclass(frozen=True, slots=True)
-class Rule:
-    """How long a standing may last, and after how long its holder may be asked to make room (ms)."""
+class StateTimes:
+    """The maximum time in a state, and the time in it after which a connection may be evicted."""
 
-    lasts_ms: float
-    spared_ms: float = inf
+    max_ms: float
+    evictable_after_ms: float = inf
 
 
-def rules(limits: Limits) -> dict[Standing, Rule]:
-    """The table of times, from the program's limits."""
+def state_times(limits: Limits) -> dict[ClientState, StateTimes]:
+    """The times of each state, from the configured limits."""
     return {
-        Standing.NEW: Rule(limits.client_first_byte_ms, limits.client_new_evictable_ms),
-        Standing.READING: Rule(limits.client_slow_ms, limits.client_partial_evictable_ms),
-        Standing.LAGGING: Rule(limits.client_read_ms - limits.client_slow_ms, 0.0),
-        Standing.WAITING: Rule(limits.verdict_ms),
-        Standing.ANSWERED: Rule(limits.client_write_ms, limits.client_slow_ms),
-        Standing.IDLE: Rule(limits.client_idle_ms, 0.0),
-        Standing.KEPT: Rule(limits.client_idle_ms, 0.0),
-        Standing.LEAVING: Rule(limits.client_linger_ms, limits.client_closing_evictable_ms),
+        ClientState.NEW: StateTimes(limits.client_first_byte_ms, limits.client_new_evictable_ms),
+        ClientState.READING: StateTimes(limits.client_slow_ms, limits.client_partial_evictable_ms),
+        ClientState.SLOW: StateTimes(limits.client_read_ms - limits.client_slow_ms, 0.0),
+        ClientState.WAITING: StateTimes(limits.verdict_ms),
+        ClientState.WRITING: StateTimes(limits.client_write_ms, limits.client_slow_ms),
+        ClientState.IDLE: StateTimes(limits.client_idle_ms, 0.0),
+        ClientState.REUSED: StateTimes(limits.client_idle_ms, 0.0),
+        ClientState.CLOSING: StateTimes(limits.client_linger_ms, limits.client_closing_evictable_ms),
     }
 
 
-class Misuse(Exception):
-    """A step that the table does not allow: a fault of the driver, never of a client."""
+class InvalidTransitionError(Exception):
+    """A transition that the table does not allow: a bug in the caller, never a client's fault."""
 
 
 @dataclass(slots=True, eq=False)
-class Place:
-    """What is held for one connection. ``held`` counts the bytes that are kept of a request not yet whole."""
+class ClientEntry:
+    """One connection. ``buffered_bytes`` are those of its incomplete request."""
 
-    standing: Standing
+    state: ClientState
     since: float
     requests: int = 0
-    held: int = 0
-    begun: float = 0.0  # the first byte of the request that is being read
+    buffered_bytes: int = 0
+    begun: float = 0.0  # when the first byte of the current request arrived
 
 
 @dataclass(frozen=True, slots=True)
-class Room:
-    """Whether a newcomer may be let in now; if not, who makes room first, or when somebody will."""
+class AdmitDecision:
+    """Whether a new connection may be admitted; if not, which to evict, or when one can be evicted."""
 
     admit: bool
-    ends: Place | None = None
-    at: float = inf
+    victim: ClientEntry | None = None
+    retry_at: float = inf
 
 
 class Admission:
-    """The places of one listener. Times are milliseconds of one clock; they never step back."""
+    """The connections of one listener. Times are milliseconds of one monotonic clock."""
 
     def __init__(self, limits: Limits) -> None:
         self._limits = limits
-        self._rules = rules(limits)
-        self._lines: dict[Standing, OrderedDict[Place, None]] = {kind: OrderedDict() for kind in Standing}
-        self._held = 0
+        self._times = state_times(limits)
+        self._queues: dict[ClientState, OrderedDict[ClientEntry, None]] = {
+            state: OrderedDict() for state in ClientState
+        }
+        self._buffered_bytes = 0
         self._arrivals, self._arrived_at = 0.0, -inf
         self.closing = False
 
     def __len__(self) -> int:
-        return sum(map(len, self._lines.values()))
+        return sum(map(len, self._queues.values()))
 
-    def count(self, standing: Standing) -> int:
-        """How many stand so."""
-        return len(self._lines[standing])
+    def count(self, state: ClientState) -> int:
+        """How many connections are in a state."""
+        return len(self._queues[state])
 
-    def __iter__(self) -> Iterator[Place]:
-        for line in self._lines.values():
-            yield from line
+    def __iter__(self) -> Iterator[ClientEntry]:
+        for queue in self._queues.values():
+            yield from queue
 
     @property
-    def held(self) -> int:
-        """Bytes kept of requests that are not whole, of all connections together."""
-        return self._held
-
-    def room(self, now: float) -> Room:
-        """Whether a newcomer may be let in; whoever is named to make room ends before the next look."""
-        leaving = self.count(Standing.LEAVING)
-        everyone = len(self)
+    def buffered_bytes(self) -> int:
+        """Bytes of incomplete requests, over all connections."""
+        return self._buffered_bytes
+
+    def decision(self, now: float) -> AdmitDecision:
+        """Whether to admit a new connection; the caller evicts a ``victim`` before it asks again."""
+        closing = self.count(ClientState.CLOSING)
+        total = len(self)
         if (
-            everyone - leaving < self._limits.client_connections
-            and everyone < self._limits.client_connections + self._limits.client_closing_connections
+            total - closing < self._limits.client_connections
+            and total < self._limits.client_connections + self._limits.client_closing_connections
         ):
-            return Room(True)
-        return self._makes_room(now)
+            return AdmitDecision(True)
+        return self._find_victim(now)
 
-    def _makes_room(self, now: float) -> Room:
+    def _find_victim(self, now: float) -> AdmitDecision:
         soonest = inf
-        for standing in ROOM:
-            if (
-                standing is Standing.LEAVING
-                and self.count(standing) <= self._limits.client_closing_connections
-            ):
-                continue  # these stand on the spares and take nobody's place
-            head = next(iter(self._lines[standing]), None)
+        for state in EVICTION_ORDER:
+            if state is ClientState.CLOSING and self.count(state) <= self._limits.client_closing_connections:
+                continue  # within the allowance for closing connections
+            head = next(iter(self._queues[state]), None)
             if head is None:
                 continue
-            spared_until = head.since + self._spared(standing, now)
-            if spared_until <= now:
-                return Room(False, head)
-            soonest = min(soonest, spared_until)
-        return Room(False, at=soonest)
-
-    def _spared(self, standing: Standing, now: float) -> float:
-        # Guards usual clients at any rate of arrival: who comes in while newcomers are spared must fit in,
-        # or nobody is left who can make room.
-        spared = self._rules[standing].spared_ms
-        if standing not in (Standing.NEW, Standing.READING):
-            return spared
-        rate = self._arrivals * exp((self._arrived_at - now) / RATE_MS) / RATE_MS
-        return min(spared, ROOM_PART * self._limits.client_connections / rate) if rate else spared
-
-    def may_turn_away(self) -> bool:
-        """Whether there is a spare descriptor for somebody who is only told to come again."""
+            evictable_at = head.since + self._evictable_after_ms(state, now)
+            if evictable_at <= now:
+                return AdmitDecision(False, head)
+            soonest = min(soonest, evictable_at)
+        return AdmitDecision(False, retry_at=soonest)
+
+    def _evictable_after_ms(self, state: ClientState, now: float) -> float:
+        # At a high rate of arrivals, new connections become evictable earlier: otherwise they would fill the
+        # listener before any of them may be evicted.
+        evictable_after_ms = self._times[state].evictable_after_ms
+        if state not in (ClientState.NEW, ClientState.READING):
+            return evictable_after_ms
+        rate = self._arrivals * exp((self._arrived_at - now) / RATE_WINDOW_MS) / RATE_WINDOW_MS
+        return (
+            min(evictable_after_ms, NEWCOMER_SHARE * self._limits.client_connections / rate)
+            if rate
+            else evictable_after_ms
+        )
+
+    def may_refuse(self) -> bool:
+        """Whether there is a descriptor left for a connection that is only answered with a refusal."""
         return len(self) < self._limits.client_connections + self._limits.client_closing_connections
 
-    def enter(self, now: float, standing: Standing = Standing.NEW) -> Place:
-        """Give a newcomer its place; LEAVING for one that is turned away."""
-        if standing not in (Standing.NEW, Standing.LEAVING):
-            raise Misuse(f"nobody begins as {standing.value}")
-        self._arrivals = self._arrivals * exp((self._arrived_at - now) / RATE_MS) + 1.0
+    def add(self, now: float, state: ClientState = ClientState.NEW) -> ClientEntry:
+        """Add a new connection; CLOSING for one that is refused."""
+        if state not in (ClientState.NEW, ClientState.CLOSING):
+            raise InvalidTransitionError(f"a connection can't begin as {state.value}")
+        self._arrivals = self._arrivals * exp((self._arrived_at - now) / RATE_WINDOW_MS) + 1.0
         self._arrived_at = now
-        place = Place(standing, now)
-        self._lines[standing][place] = None
-        return place
-
-    def step(self, place: Place, standing: Standing, now: float) -> None:
-        """Note that a connection stands otherwise from now on."""
-        if standing not in STEPS[place.standing]:
-            raise Misuse(f"no step from {place.standing.value} to {standing.value}")
-        del self._lines[place.standing][place]
-        if standing in (Standing.WAITING, Standing.LEAVING):
-            self.keep(place, 0)
-        if standing is Standing.READING:
-            place.begun = now
-        place.standing, place.since = standing, now
-        self._lines[standing][place] = None
-
-    def heard(self, place: Place, now: float) -> float:
-        """A whole request was read: the core has it, or its answer is about to be written. When it began."""
-        begun = place.begun if place.standing in (Standing.READING, Standing.LAGGING) else now
-        place.requests += 1
-        self.step(place, Standing.WAITING, now)
+        entry = ClientEntry(state, now)
+        self._queues[state][entry] = None
+        return entry
+
+    def step(self, entry: ClientEntry, state: ClientState, now: float) -> None:
+        """Move a connection to another state."""
+        if state not in TRANSITIONS[entry.state]:
+            raise InvalidTransitionError(f"no transition from {entry.state.value} to {state.value}")
+        del self._queues[entry.state][entry]
+        if state in (ClientState.WAITING, ClientState.CLOSING):
+            self.set_buffered(entry, 0)
+        if state is ClientState.READING:
+            entry.begun = now
+        entry.state, entry.since = state, now
+        self._queues[state][entry] = None
+
+    def request_received(self, entry: ClientEntry, now: float) -> float:
+        """Record that a complete request was read; returns when its first byte arrived."""
+        begun = entry.begun if entry.state in (ClientState.READING, ClientState.SLOW) else now
+        entry.requests += 1
+        self.step(entry, ClientState.WAITING, now)
         return begun
 
-    def rests(self, place: Place, now: float) -> None:
-        """Its answer was written whole, and nothing of another request has come."""
-        self.step(place, Standing.KEPT if place.requests > 1 else Standing.IDLE, now)
+    def set_idle(self, entry: ClientEntry, now: float) -> None:
+        """Record that the answer is written and no byte of another request has arrived."""
+        self.step(entry, ClientState.REUSED if entry.requests > 1 else ClientState.IDLE, now)
 
-    def keep(self, place: Place, much: int) -> None:
-        """Note how many bytes of an unfinished request are kept for a connection."""
-        self._held += much - place.held
-        place.held = much
+    def set_buffered(self, entry: ClientEntry, buffered: int) -> None:
+        """Record how many bytes of an incomplete request are buffered for a connection."""
+        self._buffered_bytes += buffered - entry.buffered_bytes
+        entry.buffered_bytes = buffered
 
-    def too_much(self) -> Place | None:
-        """Who is ended as unfinished requests hold more than their bound: the slowest of them."""
-        if self._held <= self._limits.client_bytes:
+    def buffer_limit_victim(self) -> ClientEntry | None:
+        """The connection with the slowest incomplete request, if all together exceed their limit of bytes."""
+        if self._buffered_bytes <= self._limits.client_bytes:
             return None
-        for standing in (Standing.LAGGING, Standing.READING):
-            head = next(iter(self._lines[standing]), None)
+        for state in (ClientState.SLOW, ClientState.READING):
+            head = next(iter(self._queues[state]), None)
             if head is not None:
                 return head
         return None
 
-    def lags(self, place: Place) -> bool:
-        """Whether a request that has just come to lag came slower than the least rate from its begin on."""
-        return place.held * 1000.0 < self._limits.client_min_bytes_s * self._limits.client_slow_ms
+    def below_min_rate(self, entry: ClientEntry) -> bool:
+        """Whether a request that reaches ``client_slow_ms`` has arrived below the minimum rate."""
+        return entry.buffered_bytes * 1000.0 < self._limits.client_min_bytes_s * self._limits.client_slow_ms
 
-    def leave(self, place: Place) -> None:
-        """The connection is gone."""
-        self.keep(place, 0)
-        self._lines[place.standing].pop(place, None)
+    def remove(self, entry: ClientEntry) -> None:
+        """Remove a closed connection."""
+        self.set_buffered(entry, 0)
+        self._queues[entry.state].pop(entry, None)
 
-    def _lasts(self, standing: Standing) -> float:
-        if self.closing and standing in (Standing.IDLE, Standing.KEPT):
+    def _max_ms(self, state: ClientState) -> float:
+        if self.closing and state in (ClientState.IDLE, ClientState.REUSED):
             return 0.0
-        if self.closing and standing is Standing.NEW:
+        if self.closing and state is ClientState.NEW:
             return self._limits.client_new_evictable_ms
-        return self._rules[standing].lasts_ms
+        return self._times[state].max_ms
 
-    def due(self, now: float) -> Place | None:
-        """Somebody whose time is up, the one that joined its line first."""
-        for standing, line in self._lines.items():
-            head = next(iter(line), None)
-            if head is not None and head.since + self._lasts(standing) <= now:
+    def expired(self, now: float) -> ClientEntry | None:
+        """A connection that has exceeded its maximum time in its state, if any."""
+        for state, queue in self._queues.items():
+            head = next(iter(queue), None)
+            if head is not None and head.since + self._max_ms(state) <= now:
                 return head
         return None
 
-    def next_due(self) -> float:
-        """When somebody's time is up; inf where nobody is here."""
-        heads = ((kind, next(iter(line), None)) for kind, line in self._lines.items())
-        return min((head.since + self._lasts(kind) for kind, head in heads if head is not None), default=inf)
+    def next_expiry(self) -> float:
+        """When the next connection expires; inf if there is none."""
+        heads = ((state, next(iter(queue), None)) for state, queue in self._queues.items())
+        return min(
+            (head.since + self._max_ms(state) for state, head in heads if head is not None), default=inf
+        )
--- a/springspread/net/endpoints.py
+++ b/springspread/net/endpoints.py
@@ -215,7 +215,7 @@
         self._log.debug("connecting", endpoint=call.endpoint.name, group=call.endpoint.group)
         try:
             address = (call.endpoint.host, call.endpoint.port)
-            return Connection(address, until, self._limits, delivery.OPTIONAL)
+            return Connection(address, until, self._limits, delivery.OPTIONAL_HEADERS)
         except OSError:
             return None
 
@@ -252,7 +252,7 @@
         if refused is not None:
             self._withhold(call, refused)
             return refused.result is not Result.CANCELLED
-        request = delivery.write_call(call, clock())
+        request = delivery.encode_call(call, clock())
         may_finish = partial(self._may_finish, call) if call.once else None
         written_at = clock()
         self._log.debug(
@@ -288,7 +288,7 @@
             return connection.reusable and not reading.fault
         except DeadlineExceededError:
             connection.abort()  # before the slot is released, so that the endpoint sees the end first
-            self._end_all(call, delivery.read_part(call, connection.status, Result.TIMED_OUT))
+            self._end_all(call, delivery.read_incomplete_answer(call, connection.status, Result.TIMED_OUT))
         except (ConnectionLostError, Malformed) as exc:
             self._record_break(call, connection, written_at)
             result = Result.BROKEN
@@ -296,7 +296,7 @@
                 self._log.warning("malformed answer", endpoint=call.endpoint.name, fault=str(exc))
                 result = Result.MALFORMED
             result = Result.CANCELLED if call.cancelled.is_set() else result
-            self._end_all(call, delivery.read_part(call, connection.status, result))
+            self._end_all(call, delivery.read_incomplete_answer(call, connection.status, result))
         return False
 
     def _withhold(self, call: Call, refused: Refusal) -> None:
@@ -323,20 +323,20 @@
         """Whether the last byte of a call may still be written."""
         return not call.cancelled.is_set() and self._clearance.retry_after_left_ms(call.endpoint) <= 0.0
 
-    def _apply(self, call: Call, reading: delivery.Reading) -> None:
+    def _apply(self, call: Call, reading: delivery.ParsedAnswer) -> None:
         if reading.wait_ms > 0:
             self._clearance.set_retry_after(call.endpoint, reading.wait_ms)
         if reading.fault:
             self._log.warning("unexpected answer", endpoint=call.endpoint.name, fault=reading.fault)
         for end in reading.ends:
-            self._end(call, end.attempt, end.result, reading.wait_ms, reading.load, end.over)
+            self._end(call, end.attempt, end.result, reading.wait_ms, reading.load, end.final)
 
     def _probe(self, call: Call) -> None:
         until = call.sent_at + PROBE_TIMEOUT_MS
         result, load = Result.NOT_CONNECTED, Load()
         connection = self._connect(call, until)
         if connection is not None:
-            request = delivery.write_call(call, clock())
+            request = delivery.encode_call(call, clock())
             try:
                 connection.write(request.method, request.target, request.headers, request.body, until)
                 result = Result.BROKEN
--- a/springspread/net/listener.py
+++ b/springspread/net/listener.py
@@ -12,21 +12,21 @@
 from queue import Empty, SimpleQueue
 from typing import Protocol
 
-from springspread.admission.admission import Admission, Place, Standing
+from springspread.admission.admission import Admission, ClientEntry, ClientState
 from springspread.config import Address, Limits
 from springspread.core.types import Log, Message, clock
 from springspread.http1.message import Malformed
 from springspread.http1.server import Phase, Request, ServerConnection
 from springspread.http1.shutdown import Event, Shutdown, State
 from springspread.net.threads import spawn
-from springspread.platform.intake import Reply
+from springspread.platform.client_api import Reply
 
 EVICTION_LOG_INTERVAL_MS = 1000.0
 MAX_ACCEPTS = 64  # per loop iteration, so that connected clients are served in between
 ACCEPT_PAUSE_MS = 50.0  # accepting pauses for this long at most
 OVERLOADED = b"HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\nConnection: close\r\n\r\n"
 NONE, READ, WRITE = 0, selectors.EVENT_READ, selectors.EVENT_WRITE
-BETWEEN_REQUESTS = (Standing.NEW, Standing.IDLE, Standing.KEPT)
+BETWEEN_REQUESTS = (ClientState.NEW, ClientState.IDLE, ClientState.REUSED)
 
 
 class RequestHandler(Protocol):
@@ -52,7 +52,7 @@
 
     __slots__ = (
         "sock",
-        "place",
+        "entry",
         "machine",
         "message",
         "acknowledging",
@@ -62,8 +62,8 @@
         "shutdown",
     )
 
-    def __init__(self, sock: socket.socket, place: Place, limits: Limits) -> None:
-        self.sock, self.place = sock, place
+    def __init__(self, sock: socket.socket, entry: ClientEntry, limits: Limits) -> None:
+        self.sock, self.entry = sock, entry
         self.machine = ServerConnection(limits)
         self.message: Message | None = None  # awaiting its verdict
         self.acknowledging: Message | None = None  # accepted by the answer being written
@@ -99,7 +99,7 @@
         """``sock`` is listening already, and may be shared with other processes."""
         self._handler, self._limits, self._log = handler, limits, log
         self._admission = Admission(limits)
-        self._clients: dict[Place, Client] = {}
+        self._clients: dict[ClientEntry, Client] = {}
         self._verdicts: SimpleQueue[tuple[Client, Message]] = SimpleQueue()
         self._woken = self._closing = False
         self._drain_at = inf  # when an operator's drain ends idle connections
@@ -152,7 +152,7 @@
             now = clock()
             # A closing listener does not resume accepting: a past resume time would make it spin.
             listens = self._accepting or self._closing
-            until = min(self._admission.next_due(), inf if listens else self._resume_at)
+            until = min(self._admission.next_expiry(), inf if listens else self._resume_at)
             if not self._admission.closing:
                 until = min(until, self._drain_at)
             ready = self._selector.select(None if until == inf else max(until - now, 0.0) / 1000.0)
@@ -218,8 +218,8 @@
                 return
             sock.setblocking(False)
             now = clock()
-            place = self._admission.enter(now, Standing.NEW if admit else Standing.LEAVING)
-            client = self._clients[place] = Client(sock, place, self._limits)
+            entry = self._admission.add(now, ClientState.NEW if admit else ClientState.CLOSING)
+            client = self._clients[entry] = Client(sock, entry, self._limits)
             self._watch(client, READ)
             if admit:
                 self._read(client)  # its request has usually arrived as well
@@ -230,39 +230,42 @@
         """Whether to admit the next connection or to refuse it; ``None``: leave it in the backlog."""
         while True:
             now = clock()
-            room = self._admission.room(now)
-            if room.admit:
+            decision = self._admission.decision(now)
+            if decision.admit:
                 return True
-            if room.ends is not None:
+            if decision.victim is not None:
                 if not self._connection_pending():
                     return None  # evict nobody unless a connection is pending
-                self._evict(self._clients[room.ends])
+                self._evict(self._clients[decision.victim])
                 continue
-            if room.at - now > 2 * self._limits.client_new_evictable_ms and self._admission.may_turn_away():
+            if (
+                decision.retry_at - now > 2 * self._limits.client_new_evictable_ms
+                and self._admission.may_refuse()
+            ):
                 return False
             if not self._closing:
-                self._pause_accepting(room.at)
+                self._pause_accepting(decision.retry_at)
                 return None
-            return False if self._admission.may_turn_away() else None
+            return False if self._admission.may_refuse() else None
 
     def _connection_pending(self) -> bool:
         return any(key.fileobj is self._sock for key, _ in self._selector.select(0.0))
 
     def _evict_one(self) -> None:
-        room = self._admission.room(clock())
-        if room.ends is not None:
-            self._evict(self._clients[room.ends])
+        decision = self._admission.decision(clock())
+        if decision.victim is not None:
+            self._evict(self._clients[decision.victim])
 
     def _evict(self, client: Client) -> None:
-        if client.place.standing in (Standing.READING, Standing.LAGGING):
+        if client.entry.state in (ClientState.READING, ClientState.SLOW):
             self._refuse(client, 503)
-        elif client.place.standing not in BETWEEN_REQUESTS:
+        elif client.entry.state not in BETWEEN_REQUESTS:
             self._close_at_limit(client)
         elif not self._read_pending(client):
             self._finish(client)
             if (
                 client.open
-                and self._admission.count(Standing.LEAVING) > self._limits.client_closing_connections
+                and self._admission.count(ClientState.CLOSING) > self._limits.client_closing_connections
             ):
                 self._close_at_limit(client)  # no more descriptors for lingering connections
         self._evicted += 1
@@ -273,18 +276,18 @@
     def _read_pending(self, client: Client) -> bool:
         # A request that has just arrived is read before its connection is closed.
         self._read(client)
-        return not client.open or client.place.standing not in BETWEEN_REQUESTS
+        return not client.open or client.entry.state not in BETWEEN_REQUESTS
 
     # Reading
 
     def _on_ready(self, client: Client, events: int) -> None:
         if events & WRITE and client.output:
-            if client.place.standing is Standing.LEAVING:
+            if client.entry.state is ClientState.CLOSING:
                 self._write_last(client)
             else:
                 self._flush(client)
         elif events & READ:
-            if client.place.standing in (Standing.WAITING, Standing.ANSWERED):
+            if client.entry.state in (ClientState.WAITING, ClientState.WRITING):
                 # Bounds memory: a client is not read while it waits for an answer.
                 self._watch(client, client.interest & ~READ)
             else:
@@ -299,10 +302,10 @@
             self._on_broken(client)  # it can't be answered any more
             return
         if not data:
-            half = client.place.standing in (Standing.READING, Standing.LAGGING)
+            half = client.entry.state in (ClientState.READING, ClientState.SLOW)
             if client.shutdown.step(Event.PEER_CLOSED) is State.CLOSED:
                 self._close(client)
-            elif client.place.standing is not Standing.LEAVING:
+            elif client.entry.state is not ClientState.CLOSING:
                 # A half-closed client may still read: it receives the error for its incomplete request.
                 self._refuse(client, 400) if half else self._finish(client)
             else:
@@ -324,9 +327,9 @@
 
     def _handle(self, client: Client, request: Request | None) -> None:
         """Handle a request and those pipelined behind it, or record the progress of an incomplete one."""
-        place = client.place
+        entry = client.entry
         while request is not None:
-            begun = self._admission.heard(place, clock())
+            begun = self._admission.request_received(entry, clock())
             answer = self._handler.respond(request, begun, partial(self._on_verdict, client))
             if isinstance(answer, Message):
                 client.message = answer
@@ -335,14 +338,14 @@
                 return
             request = self._next_request(client)
         if client.machine.phase is Phase.READING:
-            if place.standing not in (Standing.READING, Standing.LAGGING):
-                self._admission.step(place, Standing.READING, clock())
-            self._admission.keep(place, client.machine.buffered)
-            slowest = self._admission.too_much()
+            if entry.state not in (ClientState.READING, ClientState.SLOW):
+                self._admission.step(entry, ClientState.READING, clock())
+            self._admission.set_buffered(entry, client.machine.buffered)
+            slowest = self._admission.buffer_limit_victim()
             if slowest is not None:
                 self._refuse(self._clients[slowest], 503)
-        elif place.standing is Standing.ANSWERED:
-            self._admission.rests(place, clock())
+        elif entry.state is ClientState.WRITING:
+            self._admission.set_idle(entry, clock())
 
     # Answering
 
@@ -367,7 +370,7 @@
         client.output += client.machine.answer(reply.status, reply.headers, close=close, body=reply.body)
         if client.machine.phase is Phase.CLOSED:
             client.shutdown.step(Event.LAST_ANSWER)
-        self._admission.step(client.place, Standing.ANSWERED, clock())
+        self._admission.step(client.entry, ClientState.WRITING, clock())
         return self._write(client)
 
     def _write(self, client: Client) -> bool:
@@ -403,7 +406,7 @@
 
     def _refuse(self, client: Client, status: int) -> None:
         """Answer a request that can't be read or is refused with an error, and end the connection."""
-        self._log.debug("request refused", status=status, standing=client.place.standing.value)
+        self._log.debug("request refused", status=status, state=client.entry.state.value)
         if client.machine.phase is not Phase.ANSWERING:
             client.machine.expire()
         self._finish(client, client.machine.answer(status, close=True))
@@ -412,8 +415,8 @@
 
     def _finish(self, client: Client, last: bytes = b"") -> None:
         """Write the last answer, shut down our side, and drop input until the peer closes its side."""
-        if client.place.standing is not Standing.LEAVING:
-            self._admission.step(client.place, Standing.LEAVING, clock())
+        if client.entry.state is not ClientState.CLOSING:
+            self._admission.step(client.entry, ClientState.CLOSING, clock())
         client.output += last
         client.shutdown.step(Event.LAST_ANSWER)
         self._write_last(client)
@@ -441,18 +444,18 @@
 
     def _expire(self) -> None:
         now = clock()
-        while (place := self._admission.due(now)) is not None:
-            client = self._clients[place]
-            match place.standing:
-                case Standing.READING if not self._admission.lags(place):
-                    self._admission.step(place, Standing.LAGGING, now)
-                case Standing.READING | Standing.LAGGING:
+        while (entry := self._admission.expired(now)) is not None:
+            client = self._clients[entry]
+            match entry.state:
+                case ClientState.READING if not self._admission.below_min_rate(entry):
+                    self._admission.step(entry, ClientState.SLOW, now)
+                case ClientState.READING | ClientState.SLOW:
                     self._refuse(client, 408)
-                case Standing.WAITING:
+                case ClientState.WAITING:
                     message, client.message = client.message, None
                     assert message is not None  # a waiting client has sent a message
                     self._answer_message(client, message)
-                case standing if standing in BETWEEN_REQUESTS:
+                case state if state in BETWEEN_REQUESTS:
                     if not self._read_pending(client):
                         self._finish(client)
                 case _:
@@ -480,7 +483,7 @@
         pending = client.message or client.acknowledging
         self._log.debug(
             "client connection broken",
-            standing=client.place.standing.value,
+            state=client.entry.state.value,
             id=pending.id if pending is not None else None,
         )
         client.shutdown.step(Event.BROKEN)
@@ -490,7 +493,7 @@
         self._log.debug(
             "client closed",
             last=client.shutdown.last.value if client.shutdown.last is not None else None,
-            standing=client.place.standing.value,
+            state=client.entry.state.value,
             unanswered=[one.id for one in (client.acknowledging, client.message) if one is not None],
         )
         for message in (client.acknowledging, client.message):
@@ -498,5 +501,5 @@
                 self._handler.gone(message)
         self._watch(client, NONE)
         client.sock.close()
-        self._admission.leave(client.place)
-        del self._clients[client.place]
+        self._admission.remove(client.entry)
+        del self._clients[client.entry]
--- a/springspread/platform/finals.py
+++ b/springspread/platform/notices.py
@@ -1,4 +1,4 @@
-"""Notices to the platform: the ends of messages that were taken on and not delivered."""
+"""Notices to the platform about accepted messages that were not delivered."""
 
 from __future__ import annotations
 
@@ -11,8 +11,8 @@
 PATH = "/v2/finals"
 
 
-def write_notices(notices: Iterable[Notice]) -> bytes:
-    """One JSON object a line."""
+def encode_notices(notices: Iterable[Notice]) -> bytes:
+    """Encode notices as JSON, one object per line."""
     lines = []
     for notice in notices:
         item: dict[str, object] = {"id": notice.id}
