--- a/springspread/fleet/adoption.py
+++ b/springspread/fleet/adoption.py
@@ -1,6 +1,6 @@
 """Takes over, as a daemon begins, what its predecessor left: the members' file, and processes that run.
 
-``survey`` decides; this module reads and acts.
+``reconciliation`` decides; this module reads and acts.
 """
 
 from __future__ import annotations
@@ -17,8 +17,8 @@
 from springspread.core.types import Log
 from springspread.fleet.folder import Unusable, config_epochs, read_members, running
 from springspread.fleet.members import Row
+from springspread.fleet.reconciliation import Evidence, latest_epochs, reconcile
 from springspread.fleet.record import leased_epochs
-from springspread.fleet.survey import Evidence, latest_epochs, reconcile
 
 MEMBERS_FILE = "members.json"
 
--- a/springspread/fleet/daemon.py
+++ b/springspread/fleet/daemon.py
@@ -32,9 +32,9 @@
 from springspread.fleet.orders import Refused
 from springspread.fleet.plan import FleetPlan
 from springspread.fleet.policy_orders import PolicyOrders
+from springspread.fleet.reconciliation import raise_epochs
 from springspread.fleet.status import instance_status, recovery_status, unreported_recovery
 from springspread.fleet.supervisor import Supervisor
-from springspread.fleet.survey import raise_epochs
 from springspread.rollout.document import Policy, PolicyFault, differences
 from springspread.rollout.record import Damaged
 
--- a/springspread/fleet/folder.py
+++ b/springspread/fleet/folder.py
@@ -19,7 +19,7 @@
 
 from springspread.core.files import sync_folder
 from springspread.fleet.members import DesiredState, Row
-from springspread.fleet.survey import Running
+from springspread.fleet.reconciliation import Running
 
 NAME = re.compile(r"n\d{3,}")
 MOMENTS = ("started_at", "term_sent_at", "died_at")  # of a clock that the next daemon may not share
--- a/tests/fleet/test_survey.py
+++ b/tests/fleet/test_survey.py
@@ -16,7 +16,7 @@
 from springspread.fleet.folder import Unusable, read_members, running, write_members
 from springspread.fleet.members import DesiredState, Row
 from springspread.fleet.plan import read_fleet
-from springspread.fleet.survey import EPOCHS, Evidence, Running, raise_epochs, reconcile
+from springspread.fleet.reconciliation import EPOCHS, Evidence, Running, raise_epochs, reconcile
 from tests.fleet.test_allocator_server import NullLog
 from tests.fleet.test_daemon import Place, place
 from tests.peer import until
