--- a/benchmarks/capacity/policy.py
+++ b/benchmarks/capacity/policy.py
@@ -28,8 +28,8 @@
 from springspread.fleet.allocator_server import AllocatorServer
 from springspread.fleet.change import Changes
 from springspread.fleet.client import FleetShares
-from springspread.fleet.fit import under_policy
 from springspread.fleet.limits import Limit, LimitMode
+from springspread.fleet.policy_compatibility import under_policy
 from springspread.logs import make_log
 from springspread.rollout.coordinator import Times
 from springspread.rollout.document import Policy
--- a/springspread/__main__.py
+++ b/springspread/__main__.py
@@ -162,7 +162,7 @@
     sender.attach(workers, watcher, notices)
     sender.restore(known)
     if shares is not None:
-        from springspread.fleet.fit import under_policy
+        from springspread.fleet.policy_compatibility import under_policy
 
         shares.follow(
             partial(under_policy, config, journal), sender.put, partial(startup_status, sender, journal)
--- a/tests/rollout/test_cli.py
+++ b/tests/rollout/test_cli.py
@@ -15,7 +15,7 @@
 from springspread import config
 from springspread.config import ConfigError
 from springspread.core.journal import Journal
-from springspread.fleet.fit import under_policy
+from springspread.fleet.policy_compatibility import under_policy
 from tests.peer import until
 from tests.rollout.test_fleet import Fleet, fleet
 from tests.test_config import make
