--- a/benchmarks/capacity/policy.py
+++ b/benchmarks/capacity/policy.py
@@ -26,9 +26,9 @@
 from springspread import config
 from springspread.core.clock import SYSTEM
 from springspread.fleet.allocator_server import AllocatorServer
-from springspread.fleet.change import Changes
 from springspread.fleet.client import FleetShares
 from springspread.fleet.limits import Limit, LimitMode
+from springspread.fleet.policy_changes import Changes
 from springspread.fleet.policy_compatibility import under_policy
 from springspread.logs import make_log
 from springspread.rollout.coordinator import Times
--- a/springspread/faults/hollow/policy.py
+++ b/springspread/faults/hollow/policy.py
@@ -15,10 +15,10 @@
 from springspread.faults.hollow.meter import Meter
 from springspread.faults.hollow.network import Zone
 from springspread.faults.hollow.sender import HollowSender
-from springspread.fleet.change import LOOK_MS
 from springspread.fleet.client import RECONNECT_MS
 from springspread.fleet.limits import Owner
 from springspread.fleet.messages import PROTOCOL_VERSION, Register
+from springspread.fleet.policy_changes import LOOK_MS
 from springspread.fleet.policy_participant import REPORT_INTERVAL_MS
 from springspread.fleet.wire import Document, Message, encode
 from springspread.rollout import coordinator, participant
--- a/springspread/faults/virtual.py
+++ b/springspread/faults/virtual.py
@@ -13,7 +13,7 @@
 from itertools import count
 from random import Random
 
-from springspread.fleet.change import LOOK_MS
+from springspread.fleet.policy_changes import LOOK_MS
 from springspread.fleet.policy_participant import REPORT_INTERVAL_MS
 from springspread.fleet.wire import Document, Lines, Message, encode
 from springspread.rollout import coordinator, participant
--- a/springspread/fleet/daemon.py
+++ b/springspread/fleet/daemon.py
@@ -8,7 +8,7 @@
     control socket  control            orders from outside
 
 The death of the daemon ends nobody, and stops calls only where it lasts longer than the instances' grants
-(``change``): another one adopts what runs. One daemon at a time holds the folder.
+(``policy_changes``): another one adopts what runs. One daemon at a time holds the folder.
 """
 
 from __future__ import annotations
@@ -23,7 +23,6 @@
 from springspread.core.types import Log
 from springspread.fleet.adoption import adopt
 from springspread.fleet.allocator_server import AllocatorServer
-from springspread.fleet.change import Changes
 from springspread.fleet.control import ControlSocket
 from springspread.fleet.instance_files import pending_messages, policy_started_with
 from springspread.fleet.launcher import Launcher, fleet_id
@@ -31,6 +30,7 @@
 from springspread.fleet.members import Row, scaled
 from springspread.fleet.orders import Refused
 from springspread.fleet.plan import FleetPlan
+from springspread.fleet.policy_changes import Changes
 from springspread.fleet.policy_orders import PolicyOrders
 from springspread.fleet.reconciliation import raise_epochs
 from springspread.fleet.status import instance_status, recovery_status, unreported_recovery
--- a/tests/fleet/test_limit_schedule.py
+++ b/tests/fleet/test_limit_schedule.py
@@ -7,11 +7,11 @@
 
 from springspread.core.clock import SYSTEM
 from springspread.fleet.allocator_server import AllocatorServer
-from springspread.fleet.change import BOOT_ID
 from springspread.fleet.daemon import Daemon
 from springspread.fleet.limits import Limit
 from springspread.fleet.messages import PROTOCOL_VERSION, LeaseRequest, Register
 from springspread.fleet.plan import read_fleet
+from springspread.fleet.policy_changes import BOOT_ID
 from springspread.rollout.record import PolicyRecord
 from springspread.rollout.terms import Decided, Proposed
 from tests.fleet.test_allocator_server import NullLog
--- a/tests/rollout/test_record.py
+++ b/tests/rollout/test_record.py
@@ -12,8 +12,8 @@
 
 import pytest
 
-from springspread.fleet.change import Changes
 from springspread.fleet.limits import Limit, LimitMode
+from springspread.fleet.policy_changes import Changes
 from springspread.interface import Effect
 from springspread.rollout.document import (
     Past,
