--- a/benchmarks/capacity/mechanism.py
+++ b/benchmarks/capacity/mechanism.py
@@ -27,6 +27,7 @@
 from springspread.fleet.allocator_control import AllocatorControl
 from springspread.fleet.allocator_server import AllocatorServer
 from springspread.fleet.client import FleetShares
+from springspread.fleet.lease_record import LeaseRecord
 from springspread.fleet.limits import Lease, Limit, LimitMode, Owner
 from springspread.fleet.messages import (
     PROTOCOL_VERSION,
@@ -37,7 +38,6 @@
     Register,
     UseReport,
 )
-from springspread.fleet.record import LeaseRecord
 from springspread.fleet.wire import Lines, Unreadable, encode
 from springspread.logs import make_log
 
--- a/springspread/fleet/adoption.py
+++ b/springspread/fleet/adoption.py
@@ -16,9 +16,9 @@
 from springspread.core.clock import Clock
 from springspread.core.types import Log
 from springspread.fleet.folder import Unusable, config_epochs, read_members, running
+from springspread.fleet.lease_record import leased_epochs
 from springspread.fleet.members import Row
 from springspread.fleet.reconciliation import Evidence, latest_epochs, reconcile
-from springspread.fleet.record import leased_epochs
 
 MEMBERS_FILE = "members.json"
 
--- a/springspread/fleet/allocator_server.py
+++ b/springspread/fleet/allocator_server.py
@@ -19,9 +19,9 @@
 from springspread.core.types import Log
 from springspread.fleet.allocator import Allocator
 from springspread.fleet.allocator_control import AllocatorControl, RegisterRefused
+from springspread.fleet.lease_record import LeaseRecord
 from springspread.fleet.limits import PARTNER_SPAN_MS, Limit, LimitMode, Owner
 from springspread.fleet.messages import LeaseRequest, Register, UseReport
-from springspread.fleet.record import LeaseRecord
 from springspread.fleet.wire import Fit, Lines, Message, Returning, Unreadable, encode
 from springspread.net.threads import spawn
 from springspread.rollout.terms import Acting, Vote
--- a/tests/fleet/test_allocator_server.py
+++ b/tests/fleet/test_allocator_server.py
@@ -18,6 +18,7 @@
 from springspread.core.types import Endpoint, Load
 from springspread.fleet.allocator_server import AllocatorServer
 from springspread.fleet.client import FleetShares, key_of
+from springspread.fleet.lease_record import leased_epochs
 from springspread.fleet.limits import Limit, LimitMode
 from springspread.fleet.messages import (
     PROTOCOL_VERSION,
@@ -28,7 +29,6 @@
     Welcome,
     fingerprint,
 )
-from springspread.fleet.record import leased_epochs
 from springspread.fleet.use_ledger import EARLY_REPORT_CALLS
 from springspread.fleet.wire import LINE_BYTES, Question, encode
 from springspread.rollout.terms import Grant
--- a/tests/fleet/test_limits_regressions.py
+++ b/tests/fleet/test_limits_regressions.py
@@ -18,6 +18,7 @@
 from springspread.fleet.allocator_control import AllocatorControl
 from springspread.fleet.client import key_of
 from springspread.fleet.lease_cache import LeaseCache
+from springspread.fleet.lease_record import LeaseRecord
 from springspread.fleet.limit_sources import stricter
 from springspread.fleet.limits import Lease, Limit, LimitMode, Owner
 from springspread.fleet.messages import (
@@ -35,7 +36,6 @@
     Welcome,
     fingerprint,
 )
-from springspread.fleet.record import LeaseRecord
 from springspread.fleet.sender_notifier import BATCH_DELAY_MS
 from springspread.fleet.sender_session import SenderSession
 from springspread.fleet.wire import Lines, encode
--- a/tests/fleet/test_wire.py
+++ b/tests/fleet/test_wire.py
@@ -9,6 +9,7 @@
 from hypothesis import strategies as st
 
 from springspread.fleet import wire
+from springspread.fleet.lease_record import FILE_BYTES, LeaseRecord
 from springspread.fleet.limits import Lease
 from springspread.fleet.messages import (
     PROTOCOL_VERSION,
@@ -22,7 +23,6 @@
     UseReport,
     Welcome,
 )
-from springspread.fleet.record import FILE_BYTES, LeaseRecord
 from springspread.fleet.wire import Document, Lines, Message, Unreadable, encode
 
 MESSAGES: list[Message] = [
