--- a/benchmarks/capacity/membership.py
+++ b/benchmarks/capacity/membership.py
@@ -17,7 +17,7 @@
 
 from benchmarks.capacity import mechanism
 from benchmarks.capacity.measurement import Measurement, Values, status_of
-from springspread.fleet.orders import send_order
+from springspread.fleet.control_client import send_order
 
 IDLE_S = 6.0
 WAIT_S = 40.0
--- a/springspread/cli/fleet.py
+++ b/springspread/cli/fleet.py
@@ -53,8 +53,8 @@
 
     SIGTERM ends the instances in order, too. SIGKILL ends nobody else: the next `run` adopts what runs.
     """
+    from springspread.fleet.control_client import Refused
     from springspread.fleet.daemon import Daemon
-    from springspread.fleet.orders import Refused
     from springspread.fleet.plan import PlanTooLarge
     from springspread.logs import make_log
 
@@ -75,7 +75,7 @@
 
 
 def _send(plan: FleetPlan, order: dict[str, Any], wait_s: float = 0.0) -> dict[str, Any]:
-    from springspread.fleet.orders import send_order
+    from springspread.fleet.control_client import send_order
 
     path = plan.folder / "control"
     try:
--- a/springspread/faults/chaos.py
+++ b/springspread/faults/chaos.py
@@ -32,8 +32,8 @@
 from springspread.faults.relay import Fault, Relay, Way, unseen
 from springspread.faults.sabotage import VARIABLE
 from springspread.faults.schedule import Act, Kind
+from springspread.fleet.control_client import send_order
 from springspread.fleet.folder import process_start
-from springspread.fleet.orders import send_order
 
 READY_S = 30.0
 ENDS_S = 15.0  # messages live for 8 s, and may be with a process that has to be started first
--- a/springspread/faults/rounds.py
+++ b/springspread/faults/rounds.py
@@ -20,7 +20,7 @@
 from springspread.faults.partner import GROUP, Outside
 from springspread.faults.schedule import Act, Kind
 from springspread.faults.steps import Deed
-from springspread.fleet.orders import send_order
+from springspread.fleet.control_client import send_order
 
 LIMITS = ((300, 500.0), (60, 500.0), (600, 500.0))  # cut to a fifth, raised tenfold, halved
 FORCE_S = 30.0  # no change may take longer
--- a/springspread/fleet/control.py
+++ b/springspread/fleet/control.py
@@ -18,7 +18,7 @@
 
 from springspread.core.clock import Clock
 from springspread.core.types import Log
-from springspread.fleet.orders import Refused
+from springspread.fleet.control_client import Refused
 from springspread.net.threads import spawn
 from springspread.rollout.document import MAX_POLICY_BYTES, oversize
 
--- a/springspread/fleet/daemon.py
+++ b/springspread/fleet/daemon.py
@@ -24,11 +24,11 @@
 from springspread.fleet.adoption import adopt
 from springspread.fleet.allocator_server import AllocatorServer
 from springspread.fleet.control import ControlSocket
+from springspread.fleet.control_client import Refused
 from springspread.fleet.instance_files import pending_messages, policy_started_with
 from springspread.fleet.launcher import Launcher, fleet_id
 from springspread.fleet.limits import Owner
 from springspread.fleet.members import Row, scaled
-from springspread.fleet.orders import Refused
 from springspread.fleet.plan import FleetPlan
 from springspread.fleet.policy_changes import Changes
 from springspread.fleet.policy_orders import PolicyOrders
--- a/springspread/fleet/policy_orders.py
+++ b/springspread/fleet/policy_orders.py
@@ -9,9 +9,9 @@
 from typing import Any
 
 from springspread.core.clock import Clock
+from springspread.fleet.control_client import Refused
 from springspread.fleet.limits import Owner
 from springspread.fleet.members import Row
-from springspread.fleet.orders import Refused
 from springspread.fleet.policy_changes import Changes
 from springspread.rollout.document import Policy, PolicyFault, check, differences, parse_policy
 from springspread.rollout.terms import Proposed
--- a/springspread/fleet/supervisor.py
+++ b/springspread/fleet/supervisor.py
@@ -19,6 +19,7 @@
 from springspread.core.clock import Clock
 from springspread.core.types import Log
 from springspread.fleet.adoption import MEMBERS_FILE
+from springspread.fleet.control_client import Refused
 from springspread.fleet.folder import process_start, write_members
 from springspread.fleet.instance_files import first_deadline, listen_address, pending_messages, rotate_log
 from springspread.fleet.launcher import Launcher, Start
@@ -33,7 +34,6 @@
     scaled,
     step,
 )
-from springspread.fleet.orders import Refused
 from springspread.fleet.plan import FleetPlan
 from springspread.fleet.policy_changes import Changes
 from springspread.net.threads import spawn
--- a/springspread/simulator/fleet.py
+++ b/springspread/simulator/fleet.py
@@ -14,8 +14,8 @@
 from typing import Any
 
 from springspread.faults.daemon import given_path
+from springspread.fleet.control_client import send_order
 from springspread.fleet.limits import Limit, LimitMode
-from springspread.fleet.orders import send_order
 
 READY_S = 30.0
 STOP_S = 15.0
--- a/tests/fleet/test_daemon.py
+++ b/tests/fleet/test_daemon.py
@@ -15,9 +15,9 @@
 
 import pytest
 
+from springspread.fleet.control_client import Refused
 from springspread.fleet.daemon import Daemon
 from springspread.fleet.folder import process_start
-from springspread.fleet.orders import Refused
 from springspread.fleet.plan import read_fleet
 from springspread.validation import PlanError
 from tests.fleet.test_allocator_server import NullLog
--- a/tests/fleet/test_orders.py
+++ b/tests/fleet/test_orders.py
@@ -18,11 +18,11 @@
 from springspread.fleet import plan as plan_module
 from springspread.fleet.client import FleetShares
 from springspread.fleet.control import MAX_ORDER_BYTES, ControlSocket
+from springspread.fleet.control_client import send_order
 from springspread.fleet.daemon import Daemon
 from springspread.fleet.key_health import OPENING_FAILURES
 from springspread.fleet.launcher import fleet_id
 from springspread.fleet.limits import Limit, LimitMode
-from springspread.fleet.orders import send_order
 from springspread.fleet.plan import read_fleet
 from springspread.rollout import document
 from springspread.rollout.document import MAX_POLICY_BYTES, Policy
--- a/tests/rollout/test_fleet.py
+++ b/tests/rollout/test_fleet.py
@@ -15,8 +15,8 @@
 import pytest
 
 from springspread.faults.observer import begun, mixtures
+from springspread.fleet.control_client import Refused
 from springspread.fleet.daemon import Daemon
-from springspread.fleet.orders import Refused
 from springspread.fleet.plan import read_fleet
 from tests.fleet.test_allocator_server import NullLog
 from tests.fleet.test_daemon import Place
