--- a/benchmarks/policy_virtual.py
+++ b/benchmarks/policy_virtual.py
@@ -19,7 +19,7 @@
 from springspread.faults.virtual import Costs, Virtual
 from springspread.fleet.wire import encode
 from springspread.rollout.document import Policy
-from springspread.rollout.terms import Grant
+from springspread.rollout.protocol import Grant
 
 IDLE_MS = 20_000.0
 CHANGES = 10
--- a/springspread/faults/hollow/policy.py
+++ b/springspread/faults/hollow/policy.py
@@ -25,7 +25,7 @@
 from springspread.rollout.coordinator import Coordinator, History, Step, Times
 from springspread.rollout.document import Policy
 from springspread.rollout.participant import Participant
-from springspread.rollout.terms import Acting, Decided, Grant, Prepare, Proposed, Vote, Write
+from springspread.rollout.protocol import Acting, Decided, Grant, Prepare, Proposed, Vote, Write
 
 SYNC_MS = 4.0  # for the record to reach the disk
 WAY_MS = 50.0  # the longest way between two processes, and as much again as a reserve
--- a/springspread/faults/planted.py
+++ b/springspread/faults/planted.py
@@ -9,7 +9,7 @@
 from springspread.faults.search import TIMES, Machine, altered
 from springspread.rollout.coordinator import Coordinator, History, Step
 from springspread.rollout.participant import Participant
-from springspread.rollout.terms import Begun, Decided, Effect, Grant, Prepare, Proposed, Send, Vote, Write
+from springspread.rollout.protocol import Begun, Decided, Effect, Grant, Prepare, Proposed, Send, Vote, Write
 
 Real = Callable[..., Any]
 
--- a/springspread/faults/search.py
+++ b/springspread/faults/search.py
@@ -17,7 +17,7 @@
 from springspread.rollout import coordinator, participant
 from springspread.rollout.coordinator import Coordinator, History, Step, Times
 from springspread.rollout.participant import Participant
-from springspread.rollout.terms import (
+from springspread.rollout.protocol import (
     Begun,
     Decided,
     Effect,
--- a/springspread/faults/virtual.py
+++ b/springspread/faults/virtual.py
@@ -20,7 +20,7 @@
 from springspread.rollout.coordinator import Coordinator, History, Step, Times
 from springspread.rollout.document import Policy
 from springspread.rollout.participant import Participant
-from springspread.rollout.terms import Acting, Decided, Owner, Prepare, Proposed, Write
+from springspread.rollout.protocol import Acting, Decided, Owner, Prepare, Proposed, Write
 
 
 @dataclass(frozen=True, slots=True)
--- a/springspread/fleet/allocator_server.py
+++ b/springspread/fleet/allocator_server.py
@@ -24,7 +24,7 @@
 from springspread.fleet.messages import LeaseRequest, Register, UseReport
 from springspread.fleet.wire import Fit, Lines, Message, Returning, Unreadable, encode
 from springspread.net.threads import spawn
-from springspread.rollout.terms import Acting, Vote
+from springspread.rollout.protocol import Acting, Vote
 
 TICK_MS = 5.0
 IDLE_MS = 200.0
--- a/springspread/fleet/policy_changes.py
+++ b/springspread/fleet/policy_changes.py
@@ -24,8 +24,7 @@
 from springspread.rollout import coordinator
 from springspread.rollout.coordinator import Coordinator, Step, Times
 from springspread.rollout.document import Policy, PolicyFault, check, lead_ms
-from springspread.rollout.record import Damaged, PolicyRecord
-from springspread.rollout.terms import (
+from springspread.rollout.protocol import (
     Acting,
     Decided,
     Entry,
@@ -36,6 +35,7 @@
     Send,
     Vote,
 )
+from springspread.rollout.record import Damaged, PolicyRecord
 
 LOOK_MS = 20.0  # the interval of the coordinator's ticks
 REPORT_VALID_MS = 2_500.0  # the policy that an instance reported is known for so long
--- a/springspread/fleet/policy_orders.py
+++ b/springspread/fleet/policy_orders.py
@@ -14,7 +14,7 @@
 from springspread.fleet.members import Row
 from springspread.fleet.policy_changes import Changes
 from springspread.rollout.document import Policy, PolicyFault, check, differences, parse_policy
-from springspread.rollout.terms import Proposed
+from springspread.rollout.protocol import Proposed
 
 OUTCOME_LOOK_MS = 10.0
 MIN_NUMBER_WAIT_S = 2.0  # a proposal's number is waited for this long, at the least
--- a/springspread/fleet/policy_participant.py
+++ b/springspread/fleet/policy_participant.py
@@ -24,7 +24,7 @@
 from springspread.fleet.wire import Document, Fit, PolicyMessage, Question
 from springspread.rollout import participant
 from springspread.rollout.participant import Participant
-from springspread.rollout.terms import Acting, Grant, Prepare, Vote
+from springspread.rollout.protocol import Acting, Grant, Prepare, Vote
 
 REPORT_INTERVAL_MS = 1_000.0  # the policy acted under is reported this often, and when it changes
 MAX_TEXTS = 3  # the policy in force, the one that follows, and one that is proposed
--- a/springspread/fleet/wire.py
+++ b/springspread/fleet/wire.py
@@ -19,7 +19,7 @@
 
 from springspread.fleet.messages import LINE_BYTES as LINE_BYTES
 from springspread.fleet.messages import MAX_KEY_CHARS, PROTOCOL_VERSION, LimitMessage
-from springspread.rollout.terms import Acting, Grant, Prepare, Vote
+from springspread.rollout.protocol import Acting, Grant, Prepare, Vote
 
 VERSION_ONE_KINDS = ("hello", "asking", "limited", "granted")
 
--- a/springspread/rollout/coordinator.py
+++ b/springspread/rollout/coordinator.py
@@ -36,7 +36,7 @@
 from dataclasses import dataclass, field, replace
 from math import inf
 
-from springspread.rollout.terms import (
+from springspread.rollout.protocol import (
     Begun,
     Decided,
     Effect,
--- a/springspread/rollout/participant.py
+++ b/springspread/rollout/participant.py
@@ -20,7 +20,7 @@
 
 from dataclasses import dataclass, replace
 
-from springspread.rollout.terms import Grant, Prepare, Serial, Vote
+from springspread.rollout.protocol import Grant, Prepare, Serial, Vote
 
 
 @dataclass(frozen=True, slots=True)
--- a/springspread/rollout/record.py
+++ b/springspread/rollout/record.py
@@ -24,7 +24,7 @@
 from springspread.interface import Effect
 from springspread.rollout.coordinator import History
 from springspread.rollout.document import Past, Policy, PolicyFault, effects_of, parse_policy
-from springspread.rollout.terms import Begun, Decided, Entry, Proposed, Refused
+from springspread.rollout.protocol import Begun, Decided, Entry, Proposed, Refused
 
 KEPT_POLICIES = 3  # decoded, in memory: the one in force, the one before it, and one that is voted on
 KINDS: dict[str, type[Entry]] = {kind.__name__.lower(): kind for kind in (Proposed, Decided, Refused, Begun)}
--- a/tests/fleet/test_allocator_server.py
+++ b/tests/fleet/test_allocator_server.py
@@ -31,7 +31,7 @@
 )
 from springspread.fleet.use_ledger import EARLY_REPORT_CALLS
 from springspread.fleet.wire import LINE_BYTES, Question, encode
-from springspread.rollout.terms import Grant
+from springspread.rollout.protocol import Grant
 from tests.peer import until
 
 SPAN_MS = 400.0
--- a/tests/fleet/test_policy_participant.py
+++ b/tests/fleet/test_policy_participant.py
@@ -12,7 +12,7 @@
 from springspread.fleet.policy_participant import MAX_TEXTS, REPORT_INTERVAL_MS, PolicyParticipant
 from springspread.fleet.sender_session import IDLE_MS
 from springspread.fleet.wire import Document, Fit, Question
-from springspread.rollout.terms import Acting, Grant, Prepare, Vote
+from springspread.rollout.protocol import Acting, Grant, Prepare, Vote
 
 CONFIG = cast(Config, object())
 
--- a/tests/rollout/test_coordinator.py
+++ b/tests/rollout/test_coordinator.py
@@ -2,7 +2,7 @@
 
 from springspread.rollout import coordinator
 from springspread.rollout.coordinator import History, Times
-from springspread.rollout.terms import Decided, Grant, Proposed, Refused, Send, Vote, Write
+from springspread.rollout.protocol import Decided, Grant, Proposed, Refused, Send, Vote, Write
 
 OWNERS = [(f"n{n:03}", 1) for n in range(50)]
 
