--- a/springspread/faults/daemon.py
+++ b/springspread/faults/daemon.py
@@ -25,7 +25,7 @@
 from springspread.fleet.plan import read_fleet
 from springspread.fleet.wire import Message
 from springspread.logs import make_log
-from springspread.rollout import record
+from springspread.rollout import policy_record
 
 PROGRAM = "FAULTS_PROGRAM"  # what instances run, in place of the program
 ENDS = (signal.SIGTERM, signal.SIGINT)
@@ -75,7 +75,7 @@
 
     RelayedDaemon.steps = steps
     vars(daemon_module).update(AllocatorServer=Server)
-    vars(record).update(os=Disk(steps))
+    vars(policy_record).update(os=Disk(steps))
 
 
 def main() -> None:
--- a/springspread/faults/sabotage.py
+++ b/springspread/faults/sabotage.py
@@ -19,8 +19,8 @@
 from springspread.fleet.limits import Limit, LimitMode
 from springspread.rollout import coordinator, participant
 from springspread.rollout.participant import Participant
+from springspread.rollout.policy_record import PolicyRecord
 from springspread.rollout.protocol import Decided, Entry, Grant, Prepare, Vote
-from springspread.rollout.record import PolicyRecord
 
 VARIABLE = "FAULTS_SABOTAGE"
 FOR_MS = 5_000.0
--- a/springspread/fleet/daemon.py
+++ b/springspread/fleet/daemon.py
@@ -36,7 +36,7 @@
 from springspread.fleet.status import instance_status, recovery_status, unreported_recovery
 from springspread.fleet.supervisor import Supervisor
 from springspread.rollout.document import Policy, PolicyFault, differences
-from springspread.rollout.record import Damaged
+from springspread.rollout.policy_record import Damaged
 
 MAX_INSTANCES = 1000
 MAX_WITHIN_S = 600.0
--- a/springspread/fleet/policy_changes.py
+++ b/springspread/fleet/policy_changes.py
@@ -24,6 +24,7 @@
 from springspread.rollout import coordinator
 from springspread.rollout.coordinator import Coordinator, Step, Times
 from springspread.rollout.document import Policy, PolicyFault, check, lead_ms
+from springspread.rollout.policy_record import Damaged, PolicyRecord
 from springspread.rollout.protocol import (
     Acting,
     Decided,
@@ -35,7 +36,6 @@
     Send,
     Vote,
 )
-from springspread.rollout.record import Damaged, PolicyRecord
 
 LOOK_MS = 20.0  # the interval of the coordinator's ticks
 REPORT_VALID_MS = 2_500.0  # the policy that an instance reported is known for so long
--- a/tests/fleet/test_limit_schedule.py
+++ b/tests/fleet/test_limit_schedule.py
@@ -12,8 +12,8 @@
 from springspread.fleet.messages import PROTOCOL_VERSION, LeaseRequest, Register
 from springspread.fleet.plan import read_fleet
 from springspread.fleet.policy_changes import BOOT_ID
+from springspread.rollout.policy_record import PolicyRecord
 from springspread.rollout.protocol import Decided, Proposed
-from springspread.rollout.record import PolicyRecord
 from tests.fleet.test_allocator_server import NullLog
 from tests.peer import until
 from tests.test_config import make
--- a/tests/rollout/test_record.py
+++ b/tests/rollout/test_record.py
@@ -26,8 +26,8 @@
     parse_policy,
     shrunk,
 )
+from springspread.rollout.policy_record import KEPT_POLICIES, Damaged, PolicyRecord
 from springspread.rollout.protocol import Begun, Decided, Proposed
-from springspread.rollout.record import KEPT_POLICIES, Damaged, PolicyRecord
 from tests.fleet.test_allocator_server import NullLog
 from tests.test_config import SETTINGS
 
