--- a/benchmarks/capacity/policy.py
+++ b/benchmarks/capacity/policy.py
@@ -29,7 +29,7 @@
 from springspread.fleet.client import FleetShares
 from springspread.fleet.limits import Limit, LimitMode
 from springspread.fleet.policy_changes import Changes
-from springspread.fleet.policy_compatibility import under_policy
+from springspread.fleet.policy_compatibility import config_under_policy
 from springspread.logs import make_log
 from springspread.rollout.coordinator import Times
 from springspread.rollout.document import Policy
@@ -169,7 +169,7 @@
     running = config.read(json.loads(file.read_text()), {})
     shares = [FleetShares(path, name, epoch, log, policy=1) for name, epoch in owners(first + count)[first:]]
     for one in shares:
-        one.follow(lambda text: under_policy(running, NothingOwed(), text), lambda news: None)  # type: ignore[arg-type]
+        one.follow(lambda text: config_under_policy(running, NothingOwed(), text), lambda news: None)  # type: ignore[arg-type]
     for order in sys.stdin:
         told = {"at": 0.0}
         if order.startswith("policy"):
--- a/springspread/__main__.py
+++ b/springspread/__main__.py
@@ -162,10 +162,12 @@
     sender.attach(workers, watcher, notices)
     sender.restore(known)
     if shares is not None:
-        from springspread.fleet.policy_compatibility import under_policy
+        from springspread.fleet.policy_compatibility import config_under_policy
 
         shares.follow(
-            partial(under_policy, config, journal), sender.put, partial(startup_status, sender, journal)
+            partial(config_under_policy, config, journal),
+            sender.put,
+            partial(startup_status, sender, journal),
         )
     loop_thread = spawn("loop", sender.run, log)
     # Where CPU time is charged to the clock, it may run ahead after startup until the process has slept;
--- a/springspread/fleet/policy_compatibility.py
+++ b/springspread/fleet/policy_compatibility.py
@@ -20,7 +20,7 @@
 """The settings that bounds of the process follow, by the bound."""
 
 
-def under_policy(
+def config_under_policy(
     running: Config, journal: Journal | OwnedJournals, text: str, env: Mapping[str, str] = os.environ
 ) -> Config:
     """The configuration of a running process with a policy's settings in place of its own.
--- a/tests/rollout/test_cli.py
+++ b/tests/rollout/test_cli.py
@@ -15,7 +15,7 @@
 from springspread import config
 from springspread.config import ConfigError
 from springspread.core.journal import Journal
-from springspread.fleet.policy_compatibility import under_policy
+from springspread.fleet.policy_compatibility import config_under_policy
 from tests.peer import until
 from tests.rollout.test_fleet import Fleet, fleet
 from tests.test_config import make
@@ -91,8 +91,8 @@
     running, journal = config.read(raw, {}), Journal(tmp_path, 3_000_000)
     env = {"RELAY_CONFIG": str(file)}
     text = json.dumps({"settings": raw["settings"], "limits": {}})
-    assert under_policy(running, journal, text, env) == running
+    assert config_under_policy(running, journal, text, env) == running
     raw["settings"]["limits"][key] = value
     with pytest.raises(ConfigError) as caught:
-        under_policy(running, journal, json.dumps({"settings": raw["settings"], "limits": {}}), env)
+        config_under_policy(running, journal, json.dumps({"settings": raw["settings"], "limits": {}}), env)
     assert str(caught.value).startswith(fault)
