--- a/benchmarks/capacity/policy.py
+++ b/benchmarks/capacity/policy.py
@@ -28,7 +28,7 @@
 from springspread.fleet.allocator_server import AllocatorServer
 from springspread.fleet.client import FleetShares
 from springspread.fleet.limits import Limit, LimitMode
-from springspread.fleet.policy_changes import Changes
+from springspread.fleet.policy_changes import PolicyChanges
 from springspread.fleet.policy_compatibility import config_under_policy
 from springspread.logs import make_log
 from springspread.rollout.coordinator import Times
@@ -62,7 +62,7 @@
         file = configuration(folder, 200)
         settings = json.loads(file.read_text())["settings"]
         held = dict.fromkeys(keys(limits), LIMIT)
-        changes = Changes(folder / "policy", Policy(settings, held, MODE), log)
+        changes = PolicyChanges(folder / "policy", Policy(settings, held, MODE), log)
         server = AllocatorServer(
             folder / "allot", folder, held, log, on_event=changes.received, default_mode=MODE
         )
--- a/springspread/fleet/daemon.py
+++ b/springspread/fleet/daemon.py
@@ -30,7 +30,7 @@
 from springspread.fleet.limits import Owner
 from springspread.fleet.members import Row, scaled
 from springspread.fleet.plan import FleetPlan
-from springspread.fleet.policy_changes import Changes
+from springspread.fleet.policy_changes import PolicyChanges
 from springspread.fleet.policy_orders import PolicyOrders
 from springspread.fleet.reconciliation import raise_epochs
 from springspread.fleet.status import instance_status, recovery_status, unreported_recovery
@@ -87,11 +87,11 @@
         self._control = ControlSocket(self.folder / "control", self.order, log, clock)
         self._supervisor.begin()
 
-    def _load_policies(self, wanted: Policy, names: Iterable[str]) -> Changes:
+    def _load_policies(self, wanted: Policy, names: Iterable[str]) -> PolicyChanges:
         """The record of policies; raises ``Refused`` where it can't be followed."""
         folder = self.folder / "policy"
         try:
-            changes = Changes(folder, wanted, self._log, self._clock, self._plan.times)
+            changes = PolicyChanges(folder, wanted, self._log, self._clock, self._plan.times)
             in_force = changes.record.history.in_force
             for name in names:
                 if (started := policy_started_with(self.folder / name)) > in_force:
--- a/springspread/fleet/policy_changes.py
+++ b/springspread/fleet/policy_changes.py
@@ -64,7 +64,7 @@
     detail: str = ""
 
 
-class Changes:
+class PolicyChanges:
     """The policies of a fleet, and changes of them, until ``close``.
 
     Raises ``Damaged`` or ``OSError`` where the record can't be used.
--- a/springspread/fleet/policy_orders.py
+++ b/springspread/fleet/policy_orders.py
@@ -12,7 +12,7 @@
 from springspread.fleet.control_client import Refused
 from springspread.fleet.limits import Owner
 from springspread.fleet.members import Row
-from springspread.fleet.policy_changes import Changes
+from springspread.fleet.policy_changes import PolicyChanges
 from springspread.rollout.document import Policy, PolicyFault, check, differences, parse_policy
 from springspread.rollout.protocol import Proposed
 
@@ -23,7 +23,7 @@
 class PolicyOrders:
     """Carries out orders about the policy, from any thread; each method's answer is a JSON object."""
 
-    def __init__(self, changes: Changes, clock: Clock) -> None:
+    def __init__(self, changes: PolicyChanges, clock: Clock) -> None:
         self._changes, self._clock = changes, clock
 
     def propose(self, text: str, within_s: float) -> dict[str, Any]:
--- a/springspread/fleet/supervisor.py
+++ b/springspread/fleet/supervisor.py
@@ -35,7 +35,7 @@
     step,
 )
 from springspread.fleet.plan import FleetPlan
-from springspread.fleet.policy_changes import Changes
+from springspread.fleet.policy_changes import PolicyChanges
 from springspread.net.threads import spawn
 
 LOOK_MS = 50.0
@@ -53,7 +53,7 @@
         rows: Mapping[str, Row],
         process_starts: Mapping[int, str],
         launcher: Launcher,
-        changes: Changes,
+        changes: PolicyChanges,
         connected: Callable[[], list[Owner]],
         log: Log,
         clock: Clock,
--- a/tests/rollout/test_policy_record.py
+++ b/tests/rollout/test_policy_record.py
@@ -13,7 +13,7 @@
 import pytest
 
 from springspread.fleet.limits import Limit, LimitMode
-from springspread.fleet.policy_changes import Changes
+from springspread.fleet.policy_changes import PolicyChanges
 from springspread.interface import Effect
 from springspread.rollout.document import (
     Past,
@@ -95,7 +95,7 @@
     record.keep(1, policy(slots=5))
     record.append(Proposed(1, policy(slots=5).digest))
     record.close()
-    changes = Changes(tmp_path, policy(), NullLog())
+    changes = PolicyChanges(tmp_path, policy(), NullLog())
     changes.begin((), lambda owner, message: None, lambda limits, since, mode: None)
     assert changes.in_force == 2 and changes.policy(2) == policy()
     assert changes.outcome(1) == ("refused", "the daemon ended before it was decided")
