--- a/benchmarks/capacity/policy.py
+++ b/benchmarks/capacity/policy.py
@@ -31,7 +31,7 @@
 from springspread.fleet.policy_changes import PolicyChanges
 from springspread.fleet.policy_compatibility import config_under_policy
 from springspread.logs import make_log
-from springspread.rollout.coordinator import Times
+from springspread.rollout.coordinator import Timings
 from springspread.rollout.document import Policy
 
 IDLE_S = 4.0
@@ -42,7 +42,7 @@
 LIMITS = 100
 MODE = LimitMode.ADAPTIVE
 LIMIT, RAISED = Limit(200, 2_000.0, MODE), Limit(201, 2_000.0, MODE)
-VOTE_MS = Times().vote_ms
+VOTE_MS = Timings().vote_ms
 HARNESS_BOUND = "the senders share few processes, which took longer than votes may take"
 
 
--- a/springspread/faults/hollow/policy.py
+++ b/springspread/faults/hollow/policy.py
@@ -22,7 +22,7 @@
 from springspread.fleet.policy_participant import REPORT_INTERVAL_MS
 from springspread.fleet.wire import Document, Message, encode
 from springspread.rollout import coordinator, participant
-from springspread.rollout.coordinator import Coordinator, History, Step, Times
+from springspread.rollout.coordinator import Coordinator, History, Step, Timings
 from springspread.rollout.document import Policy
 from springspread.rollout.participant import Participant
 from springspread.rollout.protocol import Acting, Decided, Grant, Prepare, Proposed, Vote, Write
@@ -42,7 +42,7 @@
         self._by_owner: dict[Owner, Connection] = {}
         self._documents: dict[Owner, set[int]] = {}  # numbers whose texts an owner has been sent
         history = History().after(Proposed(1, policy.digest)).after(Decided(1, queue.clock))
-        times = Times(lead_ms=WAY_MS)
+        times = Timings(lead_ms=WAY_MS)
         self._state: Coordinator
         self._carry_out(coordinator.begin(times, history, queue.clock, []))
         self._tick()
--- a/springspread/faults/search.py
+++ b/springspread/faults/search.py
@@ -15,7 +15,7 @@
 from typing import Any
 
 from springspread.rollout import coordinator, participant
-from springspread.rollout.coordinator import Coordinator, History, Step, Times
+from springspread.rollout.coordinator import Coordinator, History, Step, Timings
 from springspread.rollout.participant import Participant
 from springspread.rollout.protocol import (
     Begun,
@@ -31,7 +31,7 @@
     Write,
 )
 
-TIMES = Times(lease_ms=3.0, vote_ms=1.0, cut_ms=2.0, lead_ms=0.0, slack_ms=0.0)
+TIMES = Timings(lease_ms=3.0, vote_ms=1.0, cut_ms=2.0, lead_ms=0.0, slack_ms=0.0)
 
 
 @dataclass(frozen=True, slots=True)
--- a/springspread/faults/virtual.py
+++ b/springspread/faults/virtual.py
@@ -17,7 +17,7 @@
 from springspread.fleet.policy_participant import REPORT_INTERVAL_MS
 from springspread.fleet.wire import Document, Lines, Message, encode
 from springspread.rollout import coordinator, participant
-from springspread.rollout.coordinator import Coordinator, History, Step, Times
+from springspread.rollout.coordinator import Coordinator, History, Step, Timings
 from springspread.rollout.document import Policy
 from springspread.rollout.participant import Participant
 from springspread.rollout.protocol import Acting, Decided, Owner, Prepare, Proposed, Write
@@ -32,7 +32,7 @@
     sync: float = 4.0
 
 
-COSTS, TIMES = Costs(), Times()
+COSTS, TIMES = Costs(), Timings()
 
 
 @dataclass(slots=True)
@@ -53,7 +53,7 @@
         deaf: int = 0,
         seed: int = 1,
         costs: Costs = COSTS,
-        times: Times = TIMES,
+        times: Timings = TIMES,
     ) -> None:
         """``deaf`` of the instances hear nothing after their first grants."""
         self.policy, self.costs = policy, costs
--- a/springspread/fleet/plan.py
+++ b/springspread/fleet/plan.py
@@ -11,7 +11,7 @@
 from springspread.fleet.limits import MAX_CALLS, MAX_SPAN_MS, MIN_SPAN_MS, Limit, LimitMode
 from springspread.fleet.members import Pauses
 from springspread.gc_pause import collector_paused
-from springspread.rollout.coordinator import Times
+from springspread.rollout.coordinator import Timings
 from springspread.rollout.document import MAX_LIMITS, Policy, PolicyTooLarge, check_bounds
 from springspread.validation import PlanError, StrictModel, format_errors, read_toml
 
@@ -82,10 +82,10 @@
     recovery: Recovery = Recovery()
 
     @property
-    def times(self) -> Times:
+    def times(self) -> Timings:
         """As the machine of a change of policy takes them."""
         told = self.policy_times
-        return Times(told.lease_ms, told.vote_ms, cut_ms=told.vote_ms + 200.0)
+        return Timings(told.lease_ms, told.vote_ms, cut_ms=told.vote_ms + 200.0)
 
     def policy(self, base: Mapping[str, Any]) -> Policy:
         """What the files ask for, given the decoded configuration. Raises ``PlanTooLarge``."""
--- a/springspread/fleet/policy_changes.py
+++ b/springspread/fleet/policy_changes.py
@@ -22,7 +22,7 @@
 from springspread.fleet.wire import Document, Fit, Message, Question
 from springspread.net.threads import spawn
 from springspread.rollout import coordinator
-from springspread.rollout.coordinator import Coordinator, Step, Times
+from springspread.rollout.coordinator import Coordinator, Step, Timings
 from springspread.rollout.document import Policy, PolicyFault, check, lead_ms
 from springspread.rollout.policy_record import Damaged, PolicyRecord
 from springspread.rollout.protocol import (
@@ -71,10 +71,10 @@
     """
 
     def __init__(
-        self, folder: Path, first: Policy, log: Log, clock: Clock = SYSTEM, times: Times | None = None
+        self, folder: Path, first: Policy, log: Log, clock: Clock = SYSTEM, times: Timings | None = None
     ) -> None:
         """``first`` is in force at once where nothing is on record yet; raises ``PolicyFault``."""
-        self._log, self._clock, self._times = log, clock, times or Times()
+        self._log, self._clock, self._times = log, clock, times or Timings()
         self.record = PolicyRecord(folder, BOOT_ID.read_text().strip())
         if not self.record.history.in_force:
             self._record_first(first)
--- a/springspread/rollout/coordinator.py
+++ b/springspread/rollout/coordinator.py
@@ -54,7 +54,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Times:
+class Timings:
     """The times of the protocol (milliseconds)."""
 
     lease_ms: float = 5_000.0  # the length of a grant
@@ -117,7 +117,7 @@
 class Coordinator:
     """The state of one coordinator."""
 
-    times: Times
+    times: Timings
     history: History
     count: int = 0
     pending: Pending | None = None
@@ -140,7 +140,7 @@
 Step = tuple[Coordinator, list[Effect]]
 
 
-def begin(times: Times, history: History, now: float, alive: Iterable[Owner]) -> Step:
+def begin(times: Timings, history: History, now: float, alive: Iterable[Owner]) -> Step:
     """Begin on a record; ``alive``: the owners whose processes may still run."""
     effects: list[Effect] = [Write(Begun(history.generation + 1, times.lease_ms))]
     for number in history.undecided:  # safe: its proposer was not told that it was decided
--- a/tests/rollout/test_coordinator.py
+++ b/tests/rollout/test_coordinator.py
@@ -1,7 +1,7 @@
 """The coordinator alone, with more participants than a test can start processes."""
 
 from springspread.rollout import coordinator
-from springspread.rollout.coordinator import History, Times
+from springspread.rollout.coordinator import History, Timings
 from springspread.rollout.protocol import Decided, Grant, Proposed, Refused, Send, Vote, Write
 
 OWNERS = [(f"n{n:03}", 1) for n in range(50)]
@@ -9,7 +9,7 @@
 
 def test_the_last_of_fifty_refuses_and_nobody_ever_acts_on_it() -> None:
     history = History().after(Proposed(1, "a")).after(Decided(1, 0.0))
-    state, _ = coordinator.begin(Times(), history, 10.0, [])
+    state, _ = coordinator.begin(Timings(), history, 10.0, [])
     for owner in OWNERS:
         state, _ = coordinator.joined(state, 10.0, owner)
     state, _ = coordinator.propose(state, 20.0, "b")
