--- a/springspread/faults/daemon.py
+++ b/springspread/faults/daemon.py
@@ -36,10 +36,10 @@
 
     steps: Steps | None = None
 
-    def meeting_point(self, name: str) -> Path:
+    def daemon_socket(self, name: str) -> Path:
         """The instance's relay, where there is one."""
         path = relay_path(self.folder, name)
-        return path if path.exists() else super().meeting_point(name)
+        return path if path.exists() else super().daemon_socket(name)
 
     def given(self, name: str) -> dict[str, Any]:
         """What a file in the fleet's folder says of the instance."""
--- a/springspread/fleet/adoption.py
+++ b/springspread/fleet/adoption.py
@@ -35,11 +35,11 @@
     lost: bool
 
 
-def adopt(folder: Path, meeting_point: Callable[[str], Path], log: Log, clock: Clock) -> Adopted:
+def adopt(folder: Path, daemon_socket: Callable[[str], Path], log: Log, clock: Clock) -> Adopted:
     """The members, reconciled from all that survived; stale processes are killed. Raises ``OSError``."""
     rows = _recorded_rows(folder / MEMBERS_FILE, log)
     leased = latest_epochs({name: epoch} for name, epoch in leased_epochs(folder))
-    membership = reconcile(Evidence(rows, (leased, config_epochs(folder)), running(meeting_point)))
+    membership = reconcile(Evidence(rows, (leased, config_epochs(folder)), running(daemon_socket)))
     for process in membership.stale:
         log.warning("astray, ended", instance=process.name, pid=process.pid, epoch=process.epoch)
         with suppress(ProcessLookupError):
--- a/springspread/fleet/daemon.py
+++ b/springspread/fleet/daemon.py
@@ -60,7 +60,7 @@
         wanted = plan.policy(base)
         self.folder.mkdir(parents=True, exist_ok=True)
         self._held = _lock_folder(self.folder)
-        adopted = adopt(self.folder, self.meeting_point, log, clock)
+        adopted = adopt(self.folder, self.daemon_socket, log, clock)
         rows = adopted.rows
         if not rows or (adopted.lost and len(rows) < plan.instances):
             rows = scaled(rows, plan.instances)
@@ -73,7 +73,7 @@
         except Damaged as exc:
             raise Refused(str(exc)) from exc
         self._policy = PolicyOrders(self._changes, clock)
-        launcher = Launcher(plan, base, self.program, self.given, self.meeting_point)
+        launcher = Launcher(plan, base, self.program, self.given, self.daemon_socket)
         self._supervisor = Supervisor(
             plan,
             rows,
@@ -132,7 +132,7 @@
         """What an instance's configuration has beside the fleet's; all have the same."""
         return {}
 
-    def meeting_point(self, name: str) -> Path:
+    def daemon_socket(self, name: str) -> Path:
         """The socket at which an instance finds this daemon."""
         return self.folder / "allot"
 
--- a/springspread/fleet/folder.py
+++ b/springspread/fleet/folder.py
@@ -91,10 +91,10 @@
     return epochs
 
 
-def running(meeting_point: Callable[[str], Path]) -> tuple[Running, ...]:
+def running(daemon_socket: Callable[[str], Path]) -> tuple[Running, ...]:
     """The processes of this fleet's instances, found by their environment.
 
-    ``meeting_point`` gives the socket at which an instance of a name finds its daemon.
+    ``daemon_socket`` gives the socket at which an instance of a name finds its daemon.
     """
     processes = []
     for entry in Path("/proc").iterdir():
@@ -106,7 +106,7 @@
             name, pid = env["SPRINGSPREAD_INSTANCE"], int(entry.name)
             if (
                 NAME.fullmatch(name)
-                and env["SPRINGSPREAD_FLEET"] == str(meeting_point(name))
+                and env["SPRINGSPREAD_FLEET"] == str(daemon_socket(name))
                 and (start := process_start(pid))
             ):
                 processes.append(Running(name, int(env["SPRINGSPREAD_EPOCH"]), pid, start))
--- a/springspread/fleet/launcher.py
+++ b/springspread/fleet/launcher.py
@@ -46,11 +46,11 @@
         base: Mapping[str, Any],
         program: str,
         own_settings: Callable[[str], dict[str, Any]],
-        meeting_point: Callable[[str], Path],
+        daemon_socket: Callable[[str], Path],
     ) -> None:
         """``base``: the decoded configuration; ``program``: the module to run; callables take a name."""
         self._plan, self._base, self._program = plan, base, program
-        self._own_settings, self._meeting_point = own_settings, meeting_point
+        self._own_settings, self._meeting_point = own_settings, daemon_socket
 
     def prepare(self, start: Start) -> None:
         """Write the instance's configuration. Raises ``OSError``."""
--- a/tests/fleet/test_reconciliation.py
+++ b/tests/fleet/test_reconciliation.py
@@ -161,4 +161,4 @@
     place.daemon = Daemon(read_fleet(place.file), NullLog())
     until(lambda: place.serving() == ["n000", "n001"], "both are in the fleet again")
     assert {row["pid"] for row in place.rows().values()} == {row.pid for row in rows}
-    assert len(running(place.daemon.meeting_point)) == 2
+    assert len(running(place.daemon.daemon_socket)) == 2
