--- a/springspread/faults/daemon.py
+++ b/springspread/faults/daemon.py
@@ -41,7 +41,7 @@
         path = relay_path(self.folder, name)
         return path if path.exists() else super().daemon_socket(name)
 
-    def given(self, name: str) -> dict[str, Any]:
+    def instance_settings(self, name: str) -> dict[str, Any]:
         """What a file in the fleet's folder says of the instance."""
         path = given_path(self.folder)
         return dict(json.loads(path.read_text()).get(name, {})) if path.exists() else {}
--- a/springspread/fleet/daemon.py
+++ b/springspread/fleet/daemon.py
@@ -73,7 +73,7 @@
         except Damaged as exc:
             raise Refused(str(exc)) from exc
         self._policy = PolicyOrders(self._changes, clock)
-        launcher = Launcher(plan, base, self.program, self.given, self.daemon_socket)
+        launcher = Launcher(plan, base, self.program, self.instance_settings, self.daemon_socket)
         self._supervisor = Supervisor(
             plan,
             rows,
@@ -128,7 +128,7 @@
             server.schedule_limits(coming.limits, history.since, coming.default_mode)
         return server
 
-    def given(self, name: str) -> dict[str, Any]:
+    def instance_settings(self, name: str) -> dict[str, Any]:
         """What an instance's configuration has beside the fleet's; all have the same."""
         return {}
 
