--- a/springspread/fleet/client.py
+++ b/springspread/fleet/client.py
@@ -115,7 +115,7 @@
 
     def may_begin(self, policy: int) -> bool:
         """Whether a call that was decided under a policy may begin now."""
-        return self._participant.may(policy)
+        return self._participant.may_begin(policy)
 
     def acquire(self, endpoint: Endpoint) -> float:
         """Acquire the right to one call; until when it is valid, or 0 if none came in ``LEASE_WAIT_MS``."""
--- a/springspread/fleet/policy_participant.py
+++ b/springspread/fleet/policy_participant.py
@@ -6,7 +6,7 @@
     thread                      calls
     reader of a connection      received
     session (one, the writer)   connected, due, advance
-    any                         may, version
+    any                         may_begin, version
 
 The reader replaces the immutable state in one assignment, so that the others read it without a lock.
 """
@@ -61,9 +61,9 @@
         """
         self._build_config, self._deliver = build_config, deliver
 
-    def may(self, version: int) -> bool:
+    def may_begin(self, version: int) -> bool:
         """Whether a call that was decided under a policy may begin at this moment."""
-        return version == 0 or self._state.may(version, self._clock.now())
+        return version == 0 or self._state.may_begin(version, self._clock.now())
 
     # Called by the session's thread
 
--- a/springspread/rollout/participant.py
+++ b/springspread/rollout/participant.py
@@ -33,7 +33,7 @@
     grants: tuple[Grant, ...] = ()
     barrier: Serial = (0, 0)
 
-    def may(self, version: int, now: float) -> bool:
+    def may_begin(self, version: int, now: float) -> bool:
         """Whether a call may begin under a policy at ``now`` (milliseconds)."""
         return any(grant.version == version and grant.valid(now) for grant in self.grants)
 
--- a/tests/fleet/test_policy_participant.py
+++ b/tests/fleet/test_policy_participant.py
@@ -56,7 +56,7 @@
     participant.advance(110.0)
     assert recorder.delivered == [NewPolicy(2, CONFIG)] and recorder.events == []
     recorder.time = 100.0
-    assert participant.may(2) and not participant.may(1)
+    assert participant.may_begin(2) and not participant.may_begin(1)
 
 
 def test_holding_is_logged_and_reported_at_once_and_policies_at_an_interval(recorder: Recorder) -> None:
