--- a/springspread/fleet/client.py
+++ b/springspread/fleet/client.py
@@ -197,7 +197,7 @@
         last_report: Returning | None = None
         while self._open and not ended.is_set():
             now = self._clock.now()
-            due: list[Message] = [*self._participant.due(now)]
+            due: list[Message] = [*self._participant.messages_due(now)]
             report = self._start_report()
             if report is not None and report != last_report:
                 last_report = report
--- a/springspread/fleet/policy_participant.py
+++ b/springspread/fleet/policy_participant.py
@@ -5,7 +5,7 @@
 
     thread                      calls
     reader of a connection      received
-    session (one, the writer)   connected, due, advance
+    session (one, the writer)   connected, messages_due, advance
     any                         may_begin, version
 
 The reader replaces the immutable state in one assignment, so that the others read it without a lock.
@@ -73,7 +73,7 @@
         self._reported = NOT_REPORTED
         self._reported_at = 0.0
 
-    def due(self, now: float) -> list[Vote | Fit | Acting]:
+    def messages_due(self, now: float) -> list[Vote | Fit | Acting]:
         """The messages to write now."""
         messages: list[Vote | Fit | Acting] = []
         while self._replies:
@@ -119,7 +119,7 @@
     # Called by the reader's thread
 
     def received(self, message: PolicyMessage) -> None:
-        """Take in a message of the daemon; replies are given by ``due``."""
+        """Take in a message of the daemon; replies are given by ``messages_due``."""
         match message:
             case Document(number, text):
                 self._keep_text(number, text)
--- a/tests/fleet/test_policy_participant.py
+++ b/tests/fleet/test_policy_participant.py
@@ -63,15 +63,15 @@
     participant = recorder.participant
     recorder.grant(1, 1, 0.0, 2_000.0)
     participant.advance(0.0)
-    assert participant.due(0.0) == [Acting(1)]
-    assert participant.due(REPORT_INTERVAL_MS - 1.0) == []
-    assert participant.due(REPORT_INTERVAL_MS) == [Acting(1)]
+    assert participant.messages_due(0.0) == [Acting(1)]
+    assert participant.messages_due(REPORT_INTERVAL_MS - 1.0) == []
+    assert participant.messages_due(REPORT_INTERVAL_MS) == [Acting(1)]
     participant.advance(2_000.0)
-    assert participant.due(2_000.0) == [Acting(0)]
+    assert participant.messages_due(2_000.0) == [Acting(0)]
     recorder.time = 2_001.0
     recorder.grant(2, 1, 0.0, 3_000.0)
     participant.advance(2_001.0)
-    assert participant.due(2_001.0) == [Acting(1)] and recorder.events == ["holding", "acting"]
+    assert participant.messages_due(2_001.0) == [Acting(1)] and recorder.events == ["holding", "acting"]
 
 
 def test_a_faulty_policy_is_refused_and_its_fault_logged_once(recorder: Recorder) -> None:
@@ -81,7 +81,7 @@
     participant.received(Prepare((1, 2), 3, 50.0))
     participant.received(Question(7, "faulty"))
     faulty = "settings.x: faulty"
-    assert participant.due(0.0)[:3] == [
+    assert participant.messages_due(0.0)[:3] == [
         Vote(2, False, faulty),
         Vote(3, False, "its text did not arrive"),
         Fit(7, faulty),
@@ -95,10 +95,10 @@
 
 def test_replies_are_dropped_and_the_policy_reported_again_on_a_new_connection(recorder: Recorder) -> None:
     participant = recorder.participant
-    participant.due(0.0)
+    participant.messages_due(0.0)
     participant.received(Question(7, "two"))
     participant.connected()
-    assert participant.due(1.0) == [Acting(1)]
+    assert participant.messages_due(1.0) == [Acting(1)]
 
 
 def test_only_the_latest_texts_are_kept(recorder: Recorder) -> None:
@@ -107,5 +107,5 @@
         participant.received(Document(number, "text"))
     for number in (2, 3):
         participant.received(Prepare((1, number), number, 50.0))
-    votes = [message for message in participant.due(0.0) if isinstance(message, Vote)]
+    votes = [message for message in participant.messages_due(0.0) if isinstance(message, Vote)]
     assert [vote.yes for vote in votes] == [False, True]
