--- a/springspread/faults/chaos.py
+++ b/springspread/faults/chaos.py
@@ -33,7 +33,7 @@
 from springspread.faults.sabotage import VARIABLE
 from springspread.faults.schedule import Act, Kind
 from springspread.fleet.control_client import send_order
-from springspread.fleet.folder import process_start
+from springspread.fleet.folder import process_start_ticks
 
 READY_S = 30.0
 ENDS_S = 15.0  # messages live for 8 s, and may be with a process that has to be started first
@@ -413,7 +413,7 @@
                 os.kill(pid, signal.SIGKILL)
         self._daemon.wait()
         for pid in pids:  # children of nobody who waits for them: the system does
-            while process_start(pid):
+            while process_start_ticks(pid):
                 time.sleep(0.005)
         self._listens.clear()
         if between is not None:
--- a/springspread/fleet/folder.py
+++ b/springspread/fleet/folder.py
@@ -107,13 +107,13 @@
             if (
                 NAME.fullmatch(name)
                 and env["SPRINGSPREAD_FLEET"] == str(daemon_socket(name))
-                and (start := process_start(pid))
+                and (start := process_start_ticks(pid))
             ):
                 processes.append(Running(name, int(env["SPRINGSPREAD_EPOCH"]), pid, start))
     return tuple(processes)
 
 
-def process_start(pid: int) -> str:
+def process_start_ticks(pid: int) -> str:
     """When a process started, in the system's ticks since boot; empty for one that is dead."""
     try:
         values = Path(f"/proc/{pid}/stat").read_text().rpartition(")")[2].split()
--- a/springspread/fleet/supervisor.py
+++ b/springspread/fleet/supervisor.py
@@ -20,7 +20,7 @@
 from springspread.core.types import Log
 from springspread.fleet.adoption import MEMBERS_FILE
 from springspread.fleet.control_client import Refused
-from springspread.fleet.folder import process_start, write_members
+from springspread.fleet.folder import process_start_ticks, write_members
 from springspread.fleet.instance_files import first_deadline, listen_address, pending_messages, rotate_log
 from springspread.fleet.launcher import Launcher, Start
 from springspread.fleet.limits import Owner
@@ -195,7 +195,7 @@
     def _alive(self, pid: int) -> bool:
         child = self._children.get(pid)
         if child is None:
-            return process_start(pid) == self._process_starts.get(pid, "none")
+            return process_start_ticks(pid) == self._process_starts.get(pid, "none")
         if child.poll() is None:
             return True
         del self._children[pid]
--- a/tests/fleet/test_daemon.py
+++ b/tests/fleet/test_daemon.py
@@ -17,7 +17,7 @@
 
 from springspread.fleet.control_client import Refused
 from springspread.fleet.daemon import Daemon
-from springspread.fleet.folder import process_start
+from springspread.fleet.folder import process_start_ticks
 from springspread.fleet.plan import read_fleet
 from springspread.validation import PlanError
 from tests.fleet.test_allocator_server import NullLog
@@ -131,7 +131,7 @@
     assert [row["pid"] for row in status()] == pids
     second.terminate()
     assert second.wait(10.0) == 0
-    assert not any(process_start(pid) for pid in pids)
+    assert not any(process_start_ticks(pid) for pid in pids)
 
 
 def test_half_the_fleet_killed_within_a_second_comes_back(place: Place) -> None:
