--- a/springspread/fleet/daemon.py
+++ b/springspread/fleet/daemon.py
@@ -216,9 +216,9 @@
     def stop(self) -> None:
         """End every instance in order, within the time that one has, and then the daemon."""
         self._supervisor.stop()
-        self.leave()
+        self.detach()
 
-    def leave(self) -> None:
+    def detach(self) -> None:
         """End the daemon alone: a new one adopts what runs."""
         self._supervisor.close()
         self._control.close()
--- a/tests/fleet/test_daemon.py
+++ b/tests/fleet/test_daemon.py
@@ -101,7 +101,7 @@
 
 def test_a_new_daemon_adopts_what_runs(place: Place) -> None:
     before = {name: (row["pid"], row["epoch"]) for name, row in place.rows().items()}
-    place.daemon.leave()
+    place.daemon.detach()
     place.daemon = Daemon(read_fleet(place.file), NullLog())
     until(lambda: place.serving() == ["n000", "n001"], "both are in the fleet again")
     assert {name: (row["pid"], row["epoch"]) for name, row in place.rows().items()} == before
@@ -242,7 +242,7 @@
 
 def test_a_new_daemon_knows_where_an_instance_with_a_long_log_listens(place: Place) -> None:
     before = {name: row["listen"] for name, row in place.rows().items()}
-    place.daemon.leave()
+    place.daemon.detach()
     for name in before:
         with (place.daemon.folder / name / "log").open("ab") as log:
             log.write(b'{"event": "other"}\n' * 20_000)
--- a/tests/fleet/test_limit_schedule.py
+++ b/tests/fleet/test_limit_schedule.py
@@ -46,7 +46,7 @@
     (tmp_path / "sender.json").write_text(json.dumps(base))
     file.write_text(head + limit.format(10))
     first = Daemon(read_fleet(file), NullLog())
-    first.leave()
+    first.detach()
     file.write_text(head + limit.format(100))
     raised = read_fleet(file).policy(base)
     record = PolicyRecord(first.folder / "policy", BOOT_ID.read_text().strip())
@@ -61,7 +61,7 @@
     assert SYSTEM.now() < since and before == Limit(10, 1000.0)
     until(lambda: allocator.limit("g1") == Limit(100, 1000.0), "the new limits apply")
     assert SYSTEM.now() >= since
-    second.leave()
+    second.detach()
 
 
 def test_partner_limit_applies_after_operators_limit_is_removed(tmp_path: Path) -> None:
--- a/tests/fleet/test_orders.py
+++ b/tests/fleet/test_orders.py
@@ -65,7 +65,7 @@
 def place(tmp_path: Path) -> Iterator[Place]:
     made = Place(tmp_path)
     yield made
-    made.daemon.leave()
+    made.daemon.detach()
 
 
 def test_a_policy_of_140_000_limits_takes_hold(place: Place) -> None:
@@ -85,7 +85,7 @@
         return place.daemon._server.control._default_mode
 
     until(lambda: default_mode() is LimitMode.ADAPTIVE, "unknown keys are free")
-    place.daemon.leave()
+    place.daemon.detach()
     place.daemon = Daemon(read_fleet(place.file), NullLog())
     assert default_mode() is LimitMode.ADAPTIVE
 
@@ -249,7 +249,7 @@
 
 
 def test_without_a_daemon_the_command_reports_that_none_answers(place: Place) -> None:
-    place.daemon.leave()
+    place.daemon.detach()
     code, output = place.command("propose")
     assert code == 1 and "no daemon answers" in output
 
--- a/tests/fleet/test_reconciliation.py
+++ b/tests/fleet/test_reconciliation.py
@@ -129,7 +129,7 @@
     place: Place, spoil: Callable[[Path], None]
 ) -> None:
     before = {name: (row["pid"], row["epoch"]) for name, row in place.rows().items()}
-    place.daemon.leave()
+    place.daemon.detach()
     spoil(place.daemon.folder / "members.json")
     place.daemon = Daemon(read_fleet(place.file), NullLog())
     until(lambda: place.serving() == ["n000", "n001"], "both are in the fleet again")
@@ -154,7 +154,7 @@
 
 
 def test_a_daemon_that_died_before_it_noted_a_process_starts_no_second_one(place: Place) -> None:
-    place.daemon.leave()
+    place.daemon.detach()
     path = place.daemon.folder / "members.json"
     rows = read_members(path) or ()
     write_members(path, [Row(row.name, epoch=row.epoch) for row in rows])  # as it was before their start
--- a/tests/rollout/test_fleet.py
+++ b/tests/rollout/test_fleet.py
@@ -157,7 +157,7 @@
     answer = fleet.propose(within=0.1, **calls_out(7))
     assert answer["state"] == "pending" and "n001" in answer["fault"]
     frozen = fleet.rows()["n001"]["pid"]
-    fleet.daemon.leave()
+    fleet.daemon.detach()
     fleet.daemon = Daemon(read_fleet(fleet.file), NullLog())
     assert fleet.daemon.order({"do": "outcome", "version": 2})["state"] == "refused"
     os.kill(frozen, signal.SIGCONT)
@@ -198,7 +198,7 @@
     until(lambda: fleet.rows()["n000"]["epoch"] > before["epoch"], "n000 starts under 2")
     fleet.settle()
     new = log.read_bytes()
-    fleet.daemon.leave()
+    fleet.daemon.detach()
     log.write_bytes(old)
     with pytest.raises(Refused, match="an older copy was put back: its record ends at policy 1"):
         Daemon(read_fleet(fleet.file), NullLog())
--- a/tests/rollout/test_relay.py
+++ b/tests/rollout/test_relay.py
@@ -101,7 +101,7 @@
 
 def test_a_daemon_that_dies_is_followed_by_one_that_waits_for_rights_it_never_gave(fleet: Relayed) -> None:
     fleet.relays["n001"].put(Fault.LOSE)  # it acts on what the first daemon granted
-    fleet.daemon.leave()
+    fleet.daemon.detach()
     fleet.daemon = RelayedDaemon(read_fleet(fleet.file), NullLog())
     assert fleet.propose(**calls_out(7))["state"] == "in force"
     others_act_under(fleet, 2)
@@ -134,7 +134,7 @@
     assert fleet.propose(within=0.1, **calls_out(7))["state"] == "pending"
     until(lambda: fleet.daemon.order({"do": "outcome", "version": 2})["state"] == "decided", "it is decided")
     pids = [row["pid"] for row in fleet.rows().values()]
-    fleet.daemon.leave()
+    fleet.daemon.detach()
     for pid in pids:
         os.kill(pid, signal.SIGKILL)
     for relay in fleet.relays.values():
