--- a/springspread/faults/hollow/policy.py
+++ b/springspread/faults/hollow/policy.py
@@ -18,7 +18,7 @@
 from springspread.fleet.client import RECONNECT_MS
 from springspread.fleet.limits import Owner
 from springspread.fleet.messages import PROTOCOL_VERSION, Register
-from springspread.fleet.policy_changes import LOOK_MS
+from springspread.fleet.policy_changes import TICK_MS
 from springspread.fleet.policy_participant import REPORT_INTERVAL_MS
 from springspread.fleet.wire import Document, Message, encode
 from springspread.rollout import coordinator, participant
@@ -88,7 +88,7 @@
 
     def _tick(self) -> None:
         self._measured(lambda: coordinator.tick(self._state, self._queue.clock))
-        self._queue.at(self._queue.now + LOOK_MS, self._tick)
+        self._queue.at(self._queue.now + TICK_MS, self._tick)
 
     def _measured(self, step: Callable[[], Step]) -> None:
         begun = perf_counter_ns()
--- a/springspread/faults/virtual.py
+++ b/springspread/faults/virtual.py
@@ -13,7 +13,7 @@
 from itertools import count
 from random import Random
 
-from springspread.fleet.policy_changes import LOOK_MS
+from springspread.fleet.policy_changes import TICK_MS
 from springspread.fleet.policy_participant import REPORT_INTERVAL_MS
 from springspread.fleet.wire import Document, Lines, Message, encode
 from springspread.rollout import coordinator, participant
@@ -71,7 +71,7 @@
         for owner in self._owners:
             self._carry_out(coordinator.joined(self._state, self.now, owner))
             self._after(self._rng.uniform(0.0, REPORT_INTERVAL_MS), partial(self._say, owner))
-        self._after(LOOK_MS, self._tick)
+        self._after(TICK_MS, self._tick)
         self.run(1_000.0)
         self._silent = set(self._rng.sample(self._owners, deaf))
 
@@ -106,7 +106,7 @@
 
     def _tick(self) -> None:
         self._carry_out(coordinator.tick(self._state, self.now))
-        self._after(LOOK_MS, self._tick)
+        self._after(TICK_MS, self._tick)
 
     def _say(self, owner: Owner) -> None:
         self._count(Acting(self._rights[owner].version(self.now)))
--- a/springspread/fleet/policy_changes.py
+++ b/springspread/fleet/policy_changes.py
@@ -37,7 +37,7 @@
     Vote,
 )
 
-LOOK_MS = 20.0  # the interval of the coordinator's ticks
+TICK_MS = 20.0  # the interval of the coordinator's ticks
 REPORT_VALID_MS = 2_500.0  # the policy that an instance reported is known for so long
 LimitsReceiver = Callable[[Mapping[str, Limit], float, LimitMode], None]
 """Takes the limits and the default mode of a policy, and the moment (ms) from which they hold."""
@@ -150,7 +150,7 @@
             self._send(owner, Question(id, policy.settings_text))
         end = self._clock.now() + self._times.vote_ms
         while None in list(answers.values()) and self._clock.now() < end:
-            self._clock.sleep(LOOK_MS / 2.0)
+            self._clock.sleep(TICK_MS / 2.0)
         del self._answers[id]
         return answers
 
@@ -219,7 +219,7 @@
     def _run(self) -> None:
         while not self._closed.is_set():
             try:
-                event = self._inbox.get(timeout=LOOK_MS / 1000.0)
+                event = self._inbox.get(timeout=TICK_MS / 1000.0)
             except Empty:
                 event = self._tick
             try:
