--- a/springspread/faults/hollow/policy.py
+++ b/springspread/faults/hollow/policy.py
@@ -41,7 +41,7 @@
         self.connections: dict[Connection, None] = {}
         self._by_owner: dict[Owner, Connection] = {}
         self._documents: dict[Owner, set[int]] = {}  # numbers whose texts an owner has been sent
-        history = History().after(Proposed(1, policy.digest)).after(Decided(1, queue.clock))
+        history = History().with_entry(Proposed(1, policy.digest)).with_entry(Decided(1, queue.clock))
         times = Timings(lead_ms=WAY_MS)
         self._state: Coordinator
         self._carry_out(coordinator.begin(times, history, queue.clock, []))
--- a/springspread/faults/search.py
+++ b/springspread/faults/search.py
@@ -209,7 +209,7 @@
     if daemon is None:
         history = History()
         for entry in world.record:
-            history = history.after(entry)
+            history = history.with_entry(entry)
         yield from daemon_does("begins", machine.begin(TIMES, history, now, owners))
     else:
         if left.daemon_deaths:
--- a/springspread/faults/virtual.py
+++ b/springspread/faults/virtual.py
@@ -65,7 +65,7 @@
         self._told: dict[Owner, set[int]] = {owner: set() for owner in self._owners}
         self._silent: set[Owner] = set()
         self._busy = 0.0  # until when the daemon writes
-        history = History().after(Proposed(1, self.policy.digest)).after(Decided(1, 0.0))
+        history = History().with_entry(Proposed(1, self.policy.digest)).with_entry(Decided(1, 0.0))
         self._state: Coordinator
         self._carry_out(coordinator.begin(times, history, self.now, []))
         for owner in self._owners:
--- a/springspread/rollout/coordinator.py
+++ b/springspread/rollout/coordinator.py
@@ -80,7 +80,7 @@
     generation: int = 0
     lease_ms: float = 0.0  # the longest grants of earlier daemons of this start of the machine
 
-    def after(self, entry: Entry) -> History:
+    def with_entry(self, entry: Entry) -> History:
         """The history with one more entry."""
         match entry:
             case Proposed(number):
@@ -261,5 +261,5 @@
     """The state after its effects are on record."""
     for effect in effects:
         if isinstance(effect, Write):
-            state = replace(state, history=state.history.after(effect.entry))
+            state = replace(state, history=state.history.with_entry(effect.entry))
     return state
--- a/springspread/rollout/policy_record.py
+++ b/springspread/rollout/policy_record.py
@@ -108,7 +108,7 @@
             self.ends[entry.number] = entry
         elif isinstance(entry, Proposed):
             self.digests[entry.number] = entry.digest
-        self.history = self.history.after(entry)
+        self.history = self.history.with_entry(entry)
 
     def policy(self, number: int) -> Policy:
         """A policy that was proposed, by its number."""
--- a/tests/rollout/test_coordinator.py
+++ b/tests/rollout/test_coordinator.py
@@ -8,7 +8,7 @@
 
 
 def test_the_last_of_fifty_refuses_and_nobody_ever_acts_on_it() -> None:
-    history = History().after(Proposed(1, "a")).after(Decided(1, 0.0))
+    history = History().with_entry(Proposed(1, "a")).with_entry(Decided(1, 0.0))
     state, _ = coordinator.begin(Timings(), history, 10.0, [])
     for owner in OWNERS:
         state, _ = coordinator.joined(state, 10.0, owner)
