--- a/springspread/faults/planted.py
+++ b/springspread/faults/planted.py
@@ -49,7 +49,7 @@
 
 
 def _forgets_the_silent(real: Real, state: Coordinator, now: float, *rest: object) -> Step:
-    forgetful = replace(state, ends={}) if state.pending else state
+    forgetful = replace(state, grant_ends={}) if state.pending else state
     return real(forgetful, now, *rest)  # type: ignore[no-any-return]
 
 
--- a/springspread/faults/sabotage.py
+++ b/springspread/faults/sabotage.py
@@ -77,7 +77,7 @@
     real = coordinator._decide
 
     def decide(state: coordinator.Coordinator, now: float) -> coordinator.Step:
-        return real(replace(state, ends={}), now)
+        return real(replace(state, grant_ends={}), now)
 
     vars(coordinator).update(_decide=decide)
 
--- a/springspread/faults/search.py
+++ b/springspread/faults/search.py
@@ -80,7 +80,7 @@
         """Two worlds alike have the same key."""
         daemon = self.daemon
         known = () if daemon is None else (
-            daemon.history, daemon.count, daemon.pending, tuple(sorted(daemon.ends.items())),
+            daemon.history, daemon.count, daemon.pending, tuple(sorted(daemon.grant_ends.items())),
             daemon.connected, daemon.renew_at,
         )  # fmt: skip
         rest = (self.record, self.loose, self.parts, self.sent, self.votes, self.acted, self.told, self.left)
@@ -230,7 +230,7 @@
         ticked = machine.tick(daemon, now)
         if ticked[1]:
             yield from daemon_does("looks", ticked)
-        for owner in sorted(set(daemon.ends) - set(owners)):
+        for owner in sorted(set(daemon.grant_ends) - set(owners)):
             yield from daemon_does(f"sees {owner} dead", coordinator.died(daemon, now, owner))
     for n, (epoch, state) in enumerate(world.parts):
         yield from _instance(world, machine, n, epoch, state)
--- a/springspread/fleet/policy_changes.py
+++ b/springspread/fleet/policy_changes.py
@@ -296,7 +296,7 @@
         number = getattr(entry, "number", 0)
         self.record.refused(number, f"not on record: {fault}")
         self._state = Coordinator(
-            before.times, self.record.history, before.count + 1, None, before.ends, before.connected
+            before.times, self.record.history, before.count + 1, None, before.grant_ends, before.connected
         )
 
 
--- a/springspread/rollout/coordinator.py
+++ b/springspread/rollout/coordinator.py
@@ -121,7 +121,7 @@
     history: History
     count: int = 0
     pending: Pending | None = None
-    ends: Mapping[Owner, float] = field(default_factory=dict)  # of each owner's latest grant
+    grant_ends: Mapping[Owner, float] = field(default_factory=dict)  # of the latest grants
     connected: frozenset[Owner] = frozenset()
     renew_at: float = -inf
     # Those who did not vote on the last decision and whose grants it has to outlast.
@@ -146,7 +146,7 @@
     for number in history.undecided:  # safe: its proposer was not told that it was decided
         effects.append(Write(Refused(number, "", "the daemon ended before it was decided")))
     full = now + history.lease_ms
-    state = Coordinator(times, history, ends=dict.fromkeys(alive, full) if history.lease_ms else {})
+    state = Coordinator(times, history, grant_ends=dict.fromkeys(alive, full) if history.lease_ms else {})
     return _recorded(state, effects), effects
 
 
@@ -194,8 +194,8 @@
 
 def died(state: Coordinator, now: float, owner: Owner) -> Step:
     """An owner's process has certainly ended, and with it the use of its grants."""
-    ends = {other: end for other, end in state.ends.items() if other != owner}
-    state = replace(left(state, owner), ends=ends)
+    grant_ends = {other: end for other, end in state.grant_ends.items() if other != owner}
+    state = replace(left(state, owner), grant_ends=grant_ends)
     if state.pending is not None:
         awaited = state.pending.awaited - {owner}
         state = replace(state, pending=replace(state.pending, awaited=awaited))
@@ -226,7 +226,7 @@
 def _decide(state: Coordinator, now: float) -> Step:
     pending, times = state.pending, state.times
     assert pending is not None
-    unvoted_ends = {owner: end for owner, end in state.ends.items() if owner not in pending.yes}
+    unvoted_ends = {owner: end for owner, end in state.grant_ends.items() if owner not in pending.yes}
     # Guards against a mixture: nobody's right to act under the old policy goes beyond this moment.
     last_end = max([now + times.lead_ms, *unvoted_ends.values(), *([pending.cut] if pending.yes else [])])
     since = last_end + times.slack_ms + pending.lead_ms
@@ -239,7 +239,7 @@
 
 def _grant(state: Coordinator, now: float, owners: Iterable[Owner]) -> Step:
     """Grant owners the policy in force; while a decision settles, the old and the new one."""
-    history, ends, count = state.history, dict(state.ends), state.count
+    history, grant_ends, count = state.history, dict(state.grant_ends), state.count
     effects: list[Effect] = []
     until = now + state.times.lease_ms
     old_until = history.since - state.times.slack_ms
@@ -252,9 +252,9 @@
             count += 1
             new = Grant((history.generation, count), history.in_force, max(history.since, 0.0), until)
             effects.append(Send(owner, new))
-        ends[owner] = max(ends.get(owner, now), until)
+        grant_ends[owner] = max(grant_ends.get(owner, now), until)
     renew_at = min(now + state.times.lease_ms / 4.0, history.since if history.since > now else inf)
-    return replace(state, count=count, ends=ends, renew_at=renew_at), effects
+    return replace(state, count=count, grant_ends=grant_ends, renew_at=renew_at), effects
 
 
 def _recorded(state: Coordinator, effects: list[Effect]) -> Coordinator:
