--- a/springspread/fleet/policy_changes.py
+++ b/springspread/fleet/policy_changes.py
@@ -91,7 +91,7 @@
     def _record_first(self, first: Policy) -> None:
         check(first, None)
         number = self.record.history.last + 1  # an earlier first start may have died after its proposal
-        self.record.keep(number, first)
+        self.record.store(number, first)
         self.record.append(Proposed(number, first.digest))
         self.record.append(Decided(number, self._clock.now()))
 
@@ -251,7 +251,7 @@
             lead = lead_ms(past.latest, proposal.policy)
             step = coordinator.propose(state, now, proposal.policy.digest, lead)
             proposal.number = step[0].history.last
-            self.record.keep(proposal.number, proposal.policy)
+            self.record.store(proposal.number, proposal.policy)
         except (PolicyFault, ValueError, OSError) as exc:
             proposal.number, proposal.fault = 0, str(exc)
             step = (state, [])
--- a/springspread/rollout/policy_record.py
+++ b/springspread/rollout/policy_record.py
@@ -140,7 +140,7 @@
         """The numbers of the policies that are or were in force, or are decided, oldest first."""
         return [entry.number for entry in self.entries if isinstance(entry, Decided)]
 
-    def keep(self, number: int, policy: Policy) -> None:
+    def store(self, number: int, policy: Policy) -> None:
         """Write a policy's text, synced; its ``Proposed`` entry may follow."""
         path = self._folder / str(number)
         with path.open("wb") as file:
--- a/tests/fleet/test_limit_schedule.py
+++ b/tests/fleet/test_limit_schedule.py
@@ -51,7 +51,7 @@
     raised = read_fleet(file).policy(base)
     record = PolicyRecord(first.folder / "policy", BOOT_ID.read_text().strip())
     since = SYSTEM.now() + 600.0
-    record.keep(2, raised)
+    record.store(2, raised)
     record.append(Proposed(2, raised.digest))
     record.append(Decided(2, since))
     record.close()
--- a/tests/rollout/test_policy_record.py
+++ b/tests/rollout/test_policy_record.py
@@ -40,7 +40,7 @@
 
 def with_one(folder: Path, boot: str = "b1") -> PolicyRecord:
     record = PolicyRecord(folder, boot)
-    record.keep(1, policy())
+    record.store(1, policy())
     for entry in (Proposed(1, policy().digest), Decided(1, 500.0), Begun(1, 5000.0)):
         record.append(entry)
     return record
@@ -92,7 +92,7 @@
 
 def test_a_first_start_that_died_after_its_proposal_is_begun_anew(tmp_path: Path) -> None:
     record = PolicyRecord(tmp_path, "b1")
-    record.keep(1, policy(slots=5))
+    record.store(1, policy(slots=5))
     record.append(Proposed(1, policy(slots=5).digest))
     record.close()
     changes = PolicyChanges(tmp_path, policy(), NullLog())
@@ -152,7 +152,7 @@
     first = record.policy(1)
     without = policy(classes=SETTINGS["classes"][1:])
     for number in range(2, 30):
-        record.keep(number, without)
+        record.store(number, without)
         record.append(Proposed(number, without.digest))
         record.append(Decided(number, 1_000.0 * number))
     assert len(record._policies) <= KEPT_POLICIES
