--- a/springspread/faults/sabotage.py
+++ b/springspread/faults/sabotage.py
@@ -96,7 +96,7 @@
 
     def append(self: PolicyRecord, entry: Entry) -> None:
         if isinstance(entry, Decided) and self.history.in_force:
-            self._note(entry)
+            self._add_entry(entry)
         else:
             real(self, entry)
 
--- a/springspread/rollout/policy_record.py
+++ b/springspread/rollout/policy_record.py
@@ -64,7 +64,7 @@
         data = self._path.read_bytes() if self._path.exists() else b""
         size = 0
         for number, line in enumerate(data.split(b"\n")[:-1], 1):
-            self._note(self._parse(number, line))
+            self._add_entry(self._parse(number, line))
             size += len(line) + 1
         for entry in self.entries:
             if isinstance(entry, Proposed) and sha256(self._bytes(entry.number)).hexdigest() != entry.digest:
@@ -102,7 +102,7 @@
     def _damaged(self, what: str) -> Damaged:
         return Damaged(f"{self._path}: {what}; {ADVICE}")
 
-    def _note(self, entry: Entry) -> None:
+    def _add_entry(self, entry: Entry) -> None:
         self.entries.append(entry)
         if isinstance(entry, Decided | Refused):
             self.ends[entry.number] = entry
@@ -166,7 +166,7 @@
             self._remove_unsynced(exc)
             raise
         self._size += len(line)
-        self._note(entry)
+        self._add_entry(entry)
         if isinstance(entry, Decided):
             self._effects.update(effects_of(self.policy(entry.number).settings))
 
@@ -181,7 +181,7 @@
 
     def refused(self, number: int, fault: str) -> None:
         """Note a refusal that can't be written; the next daemon refuses what has no decision on record."""
-        self._note(Refused(number, "", fault))
+        self._add_entry(Refused(number, "", fault))
 
     def close(self) -> None:
         """Close the log."""
