--- a/springspread/cli/fleet.py
+++ b/springspread/cli/fleet.py
@@ -53,7 +53,7 @@
 
     SIGTERM ends the instances in order, too. SIGKILL ends nobody else: the next `run` adopts what runs.
     """
-    from springspread.fleet.control_client import Refused
+    from springspread.fleet.control_client import OrderRefused
     from springspread.fleet.daemon import Daemon
     from springspread.fleet.plan import PlanTooLarge
     from springspread.logs import make_log
@@ -65,7 +65,7 @@
         daemon = Daemon(plan, log)
     except PlanTooLarge as exc:
         raise _faulty(PlanTooLarge(_located(file, plan, str(exc)))) from exc
-    except (Refused, OSError, ValueError, TypeError) as exc:
+    except (OrderRefused, OSError, ValueError, TypeError) as exc:
         raise click.ClickException(str(exc)) from exc
     log.info("fleet ready", control=str(plan.folder / "control"))
     signal.sigwait(ENDS)
--- a/springspread/fleet/control.py
+++ b/springspread/fleet/control.py
@@ -18,7 +18,7 @@
 
 from springspread.core.clock import Clock
 from springspread.core.types import Log
-from springspread.fleet.control_client import Refused
+from springspread.fleet.control_client import OrderRefused
 from springspread.net.threads import spawn
 from springspread.rollout.document import MAX_POLICY_BYTES, oversize
 
@@ -32,7 +32,7 @@
 BACKLOG = 16
 
 
-class OrderTooLarge(Refused):
+class OrderTooLarge(OrderRefused):
     """An order over its bound."""
 
 
@@ -42,7 +42,7 @@
     def __init__(
         self, path: Path, carry_out: Callable[[object], dict[str, Any]], log: Log, clock: Clock
     ) -> None:
-        """``carry_out`` takes a decoded order and gives its answer; it raises ``Refused``."""
+        """``carry_out`` takes a decoded order and gives its answer; it raises ``OrderRefused``."""
         self._carry_out, self._log, self._clock = carry_out, log, clock
         self._listener = socket.socket(socket.AF_UNIX)
         path.unlink(missing_ok=True)
@@ -74,7 +74,7 @@
     def _answer(self, sock: socket.socket) -> dict[str, Any]:
         try:
             return {"ok": True, **self._carry_out(json.loads(read_order(sock, self._clock)))}
-        except (Refused, ValueError, RecursionError) as exc:
+        except (OrderRefused, ValueError, RecursionError) as exc:
             return {"ok": False, "fault": str(exc)}
 
     def close(self) -> None:
--- a/springspread/fleet/control_client.py
+++ b/springspread/fleet/control_client.py
@@ -13,7 +13,7 @@
 ANSWER_S_PER_MB = 2.0  # more for a long order: a document is parsed, compared and hashed before the answer
 
 
-class Refused(Exception):
+class OrderRefused(Exception):
     """An order that can't be carried out, or a folder that another daemon holds; the text says why."""
 
 
--- a/springspread/fleet/daemon.py
+++ b/springspread/fleet/daemon.py
@@ -24,7 +24,7 @@
 from springspread.fleet.adoption import adopt
 from springspread.fleet.allocator_server import AllocatorServer
 from springspread.fleet.control import ControlSocket
-from springspread.fleet.control_client import Refused
+from springspread.fleet.control_client import OrderRefused
 from springspread.fleet.instance_files import pending_messages, policy_started_with
 from springspread.fleet.launcher import Launcher, fleet_id
 from springspread.fleet.limits import Owner
@@ -47,8 +47,8 @@
 class Daemon:
     """Runs a fleet until ``stop``.
 
-    Raises ``Refused`` or ``OSError`` where its folder can't be used, and ``PlanTooLarge`` where its files are
-    over a bound.
+    Raises ``OrderRefused`` or ``OSError`` where its folder can't be used, and ``PlanTooLarge`` where its
+    files are over a bound.
     """
 
     program = "springspread"  # what each instance runs
@@ -71,7 +71,7 @@
         try:
             self._changes.begin(_running(rows.values()), self._server.send, self._server.schedule_limits)
         except Damaged as exc:
-            raise Refused(str(exc)) from exc
+            raise OrderRefused(str(exc)) from exc
         self._policy = PolicyOrders(self._changes, clock)
         launcher = Launcher(plan, base, self.program, self.instance_settings, self.daemon_socket)
         self._supervisor = Supervisor(
@@ -88,7 +88,7 @@
         self._supervisor.begin()
 
     def _load_policies(self, wanted: Policy, names: Iterable[str]) -> PolicyChanges:
-        """The record of policies; raises ``Refused`` where it can't be followed."""
+        """The record of policies; raises ``OrderRefused`` where it can't be followed."""
         folder = self.folder / "policy"
         try:
             changes = PolicyChanges(folder, wanted, self._log, self._clock, self._plan.times)
@@ -101,9 +101,9 @@
                     )
             current = changes.policy(in_force)
         except Damaged as exc:
-            raise Refused(str(exc)) from exc
+            raise OrderRefused(str(exc)) from exc
         except PolicyFault as exc:
-            raise Refused(f"{self._plan.config}: {exc}") from exc
+            raise OrderRefused(f"{self._plan.config}: {exc}") from exc
         if differing := differences(current, wanted)[:MAX_DIFFERENCES_LOGGED]:
             self._log.warning("files differ from the policy in force; propose them", differing=differing)
         return changes
@@ -139,9 +139,9 @@
     # Orders
 
     def order(self, order: object) -> dict[str, Any]:
-        """Carry an order out; raises ``Refused``."""
+        """Carry an order out; raises ``OrderRefused``."""
         if not isinstance(order, dict):
-            raise Refused("an order must be an object")
+            raise OrderRefused("an order must be an object")
         answer = self._policy_order(order)
         return self._instance_order(order) if answer is None else answer
 
@@ -174,7 +174,7 @@
             case {"do": "scale", "count": int(count)} if 0 <= count <= MAX_INSTANCES:
                 self._supervisor.scale(count)
             case {"do": "scale"}:
-                raise Refused(f"scale: the count must be a whole number from 0 to {MAX_INSTANCES}")
+                raise OrderRefused(f"scale: the count must be a whole number from 0 to {MAX_INSTANCES}")
             case {"do": "drain", "name": str(name)}:
                 self._supervisor.drain(name)
             case {"do": "restart", "name": str(name)}:
@@ -183,7 +183,7 @@
                 self._supervisor.roll()
             case _:
                 known = "status, recovery, scale, drain, restart, roll and policy"
-                raise Refused(f"no such order; there are {known}")
+                raise OrderRefused(f"no such order; there are {known}")
         return {"instances": self._status()}
 
     def propose(self, text: str, within_s: float) -> dict[str, Any]:
@@ -232,19 +232,19 @@
 
 
 def _read_config(path: Path) -> dict[str, Any]:
-    """The decoded configuration; raises ``OSError``, ``ValueError`` or ``Refused``."""
+    """The decoded configuration; raises ``OSError``, ``ValueError`` or ``OrderRefused``."""
     base = json.loads(path.read_text())
     if not isinstance(base, dict):
-        raise Refused(f"{path}: must hold an object")
+        raise OrderRefused(f"{path}: must hold an object")
     return base
 
 
 def _lock_folder(folder: Path) -> IO[str]:
-    """Hold the folder for this process alone; raises ``Refused`` where another daemon does."""
+    """Hold the folder for this process alone; raises ``OrderRefused`` where another daemon does."""
     held = (folder / "lock").open("w")
     try:
         fcntl.flock(held, fcntl.LOCK_EX | fcntl.LOCK_NB)
     except OSError as exc:
         held.close()
-        raise Refused(f"{folder}: another daemon runs this fleet") from exc
+        raise OrderRefused(f"{folder}: another daemon runs this fleet") from exc
     return held
--- a/springspread/fleet/policy_orders.py
+++ b/springspread/fleet/policy_orders.py
@@ -9,7 +9,7 @@
 from typing import Any
 
 from springspread.core.clock import Clock
-from springspread.fleet.control_client import Refused
+from springspread.fleet.control_client import OrderRefused
 from springspread.fleet.limits import Owner
 from springspread.fleet.members import Row
 from springspread.fleet.policy_changes import PolicyChanges
@@ -29,13 +29,13 @@
     def propose(self, text: str, within_s: float) -> dict[str, Any]:
         """Propose a policy; wait up to ``within_s`` seconds until it is in force or refused.
 
-        Proposed again while it is the latest, it gets the same answer. Raises ``Refused`` where the text is
+        Proposing the latest policy again returns the same answer. Raises ``OrderRefused`` where the text is
         no policy.
         """
         try:
             policy = parse_policy(text)
         except PolicyFault as exc:
-            raise Refused(str(exc)) from exc
+            raise OrderRefused(str(exc)) from exc
         end = self._clock.now() + 1000.0 * within_s
         number = self._latest
         if not number or self._changes.record.digests[number] != policy.digest:
@@ -64,10 +64,10 @@
         return {"state": outcome.state, "version": number, "fault": outcome.detail}
 
     def text(self, number: int) -> dict[str, Any]:
-        """The document of a policy that is or was in force; raises ``Refused``."""
+        """The document of a policy that is or was in force; raises ``OrderRefused``."""
         decided = self._changes.record.decided
         if number not in decided:
-            raise Refused(f"no policy {number} held; there are {', '.join(map(str, decided))}")
+            raise OrderRefused(f"no policy {number} held; there are {', '.join(map(str, decided))}")
         return {"policy": self._changes.policy(number).text}
 
     def check(self, text: str, running: Iterable[Owner]) -> dict[str, Any]:
--- a/springspread/fleet/supervisor.py
+++ b/springspread/fleet/supervisor.py
@@ -19,7 +19,7 @@
 from springspread.core.clock import Clock
 from springspread.core.types import Log
 from springspread.fleet.adoption import MEMBERS_FILE
-from springspread.fleet.control_client import Refused
+from springspread.fleet.control_client import OrderRefused
 from springspread.fleet.folder import process_start_ticks, write_members
 from springspread.fleet.instance_files import first_deadline, listen_address, pending_messages, rotate_log
 from springspread.fleet.launcher import Launcher, Start
@@ -90,13 +90,13 @@
             self._save()
 
     def drain(self, name: str) -> None:
-        """Have one instance leave; raises ``Refused``."""
+        """Have one instance leave; raises ``OrderRefused``."""
         with self._lock:
             self._rows[name] = replace(self._known("drain", name), desired=DesiredState.LEAVING)
             self._save()
 
     def restart(self, name: str) -> None:
-        """End one instance in order and start it again; raises ``Refused``."""
+        """End one instance in order and start it again; raises ``OrderRefused``."""
         with self._lock:
             self._rows[name] = replace(self._known("restart", name), restart=True)
             self._save()
@@ -108,7 +108,7 @@
 
     def _known(self, order: str, name: str) -> Row:
         if name not in self._rows:
-            raise Refused(f"{order}: no such instance: {name}; there are {', '.join(self._rows)}")
+            raise OrderRefused(f"{order}: no such instance: {name}; there are {', '.join(self._rows)}")
         return self._rows[name]
 
     # The supervisor's thread
--- a/tests/fleet/test_daemon.py
+++ b/tests/fleet/test_daemon.py
@@ -15,7 +15,7 @@
 
 import pytest
 
-from springspread.fleet.control_client import Refused
+from springspread.fleet.control_client import OrderRefused
 from springspread.fleet.daemon import Daemon
 from springspread.fleet.folder import process_start_ticks
 from springspread.fleet.plan import read_fleet
@@ -189,7 +189,7 @@
 
 
 def test_two_daemons_on_one_file_and_orders_that_are_wrong(place: Place) -> None:
-    with pytest.raises(Refused, match="another daemon runs this fleet"):
+    with pytest.raises(OrderRefused, match="another daemon runs this fleet"):
         Daemon(read_fleet(place.file), NullLog())
     for order, fault in (
         ({"do": "dance"}, "no such order"),
@@ -197,7 +197,7 @@
         ({"do": "scale", "count": -1}, "from 0 to 1000"),
         ({"do": "drain", "name": "n9"}, "no such instance: n9; there are n000, n001"),
     ):
-        with pytest.raises(Refused, match=fault):
+        with pytest.raises(OrderRefused, match=fault):
             place.daemon.order(order)
     assert stat.S_IMODE((place.daemon.folder / "control").stat().st_mode) == 0o600
 
--- a/tests/rollout/test_fleet.py
+++ b/tests/rollout/test_fleet.py
@@ -15,7 +15,7 @@
 import pytest
 
 from springspread.faults.observer import begun, mixtures
-from springspread.fleet.control_client import Refused
+from springspread.fleet.control_client import OrderRefused
 from springspread.fleet.daemon import Daemon
 from springspread.fleet.plan import read_fleet
 from tests.fleet.test_allocator_server import NullLog
@@ -115,7 +115,7 @@
     calls = begun(fleet.daemon.folder)
     assert {call.policy for call in calls} == {1, 2} and mixtures(calls) == []
     assert fleet.propose(**calls_out(7))["version"] == 2  # asked again: the one answer
-    with pytest.raises(Refused, match="no policy 9 held; there are 1, 2"):
+    with pytest.raises(OrderRefused, match="no policy 9 held; there are 1, 2"):
         fleet.daemon.order({"do": "text", "version": 9})
 
 
@@ -200,10 +200,10 @@
     new = log.read_bytes()
     fleet.daemon.detach()
     log.write_bytes(old)
-    with pytest.raises(Refused, match="an older copy was put back: its record ends at policy 1"):
+    with pytest.raises(OrderRefused, match="an older copy was put back: its record ends at policy 1"):
         Daemon(read_fleet(fleet.file), NullLog())
     log.write_bytes(new[:40] + b"x" + new[41:])
-    with pytest.raises(Refused, match="line 1 is damaged"):
+    with pytest.raises(OrderRefused, match="line 1 is damaged"):
         Daemon(read_fleet(fleet.file), NullLog())
     log.write_bytes(new + b"torn")
     fleet.daemon = Daemon(read_fleet(fleet.file), NullLog())
