--- a/springspread/faults/planted.py
+++ b/springspread/faults/planted.py
@@ -94,7 +94,7 @@
 
 
 def _reuses_numbers(real: Real, state: Coordinator, now: float, digest: str, lead_ms: float = 0.0) -> Step:
-    history = replace(state.history, last=state.history.in_force)
+    history = replace(state.history, last_number=state.history.in_force)
     return real(replace(state, history=history), now, digest, lead_ms)  # type: ignore[no-any-return]
 
 
--- a/springspread/fleet/policy_changes.py
+++ b/springspread/fleet/policy_changes.py
@@ -90,7 +90,9 @@
 
     def _record_first(self, first: Policy) -> None:
         check(first, None)
-        number = self.record.history.last + 1  # an earlier first start may have died after its proposal
+        number = (
+            self.record.history.last_number + 1
+        )  # an earlier first start may have died after its proposal
         self.record.store(number, first)
         self.record.append(Proposed(number, first.digest))
         self.record.append(Decided(number, self._clock.now()))
@@ -250,7 +252,7 @@
             check(proposal.policy, past)
             lead = lead_ms(past.latest, proposal.policy)
             step = coordinator.propose(state, now, proposal.policy.digest, lead)
-            proposal.number = step[0].history.last
+            proposal.number = step[0].history.last_number
             self.record.store(proposal.number, proposal.policy)
         except (PolicyFault, ValueError, OSError) as exc:
             proposal.number, proposal.fault = 0, str(exc)
--- a/springspread/rollout/coordinator.py
+++ b/springspread/rollout/coordinator.py
@@ -72,7 +72,7 @@
     before it.
     """
 
-    last: int = 0  # the highest number of any proposal
+    last_number: int = 0  # the highest number of any proposal
     in_force: int = 0
     previous: int = 0  # the policy in force until ``since``
     since: float = -inf
@@ -84,7 +84,9 @@
         """The history with one more entry."""
         match entry:
             case Proposed(number):
-                return replace(self, last=max(self.last, number), undecided=(*self.undecided, number))
+                return replace(
+                    self, last_number=max(self.last_number, number), undecided=(*self.undecided, number)
+                )
             case Decided(number, since):
                 history = self._without_undecided(number)
                 return replace(history, previous=self.in_force, in_force=number, since=since)
@@ -151,7 +153,7 @@
 
 
 def propose(state: Coordinator, now: float, digest: str, lead_ms: float = 0.0) -> Step:
-    """Start a vote on a proposal; its number is the new state's ``history.last``.
+    """Start a vote on a proposal; its number is the new state's ``history.last_number``.
 
     Raises ``ValueError`` where another change is under way.
     """
@@ -160,7 +162,7 @@
     if not state.settled(now):
         wait = (state.history.since - now) / 1000.0
         raise ValueError(f"change {state.history.in_force} takes hold in {wait:.1f} s; one change at a time")
-    number, times = state.history.last + 1, state.times
+    number, times = state.history.last_number + 1, state.times
     effects: list[Effect] = [Write(Proposed(number, digest))]
     state = replace(_recorded(state, effects), count=state.count + 1)
     cut = now + times.cut_ms
