--- a/springspread/fleet/control.py
+++ b/springspread/fleet/control.py
@@ -20,7 +20,7 @@
 from springspread.core.types import Log
 from springspread.fleet.control_client import OrderRefused
 from springspread.net.threads import spawn
-from springspread.rollout.document import MAX_POLICY_BYTES, oversize
+from springspread.rollout.document import MAX_POLICY_BYTES, oversize_message
 
 MAX_ORDER_BYTES = 2 * MAX_POLICY_BYTES + (1 << 16)  # a policy is a JSON string in it: a quote takes two bytes
 MAX_DISCARDED_BYTES = 2 * MAX_ORDER_BYTES
@@ -111,7 +111,7 @@
         if len(data) > MAX_ORDER_BYTES:
             size, ended = _discard(sock, clock, data.endswith(b"\n"))
             size += len(data)
-            raise OrderTooLarge(oversize("order", size, MAX_ORDER_BYTES, at_least=not ended))
+            raise OrderTooLarge(oversize_message("order", size, MAX_ORDER_BYTES, at_least=not ended))
         if clock.now() > end:
             raise TimeoutError("the order did not arrive in time")
     return bytes(data)
--- a/springspread/fleet/daemon.py
+++ b/springspread/fleet/daemon.py
@@ -35,8 +35,8 @@
 from springspread.fleet.reconciliation import raise_epochs
 from springspread.fleet.status import instance_status, recovery_status, unreported_recovery
 from springspread.fleet.supervisor import Supervisor
-from springspread.rollout.document import Policy, PolicyFault, differences
-from springspread.rollout.policy_record import Damaged
+from springspread.rollout.document import Policy, PolicyError, differences
+from springspread.rollout.policy_record import DamagedRecord
 
 MAX_INSTANCES = 1000
 MAX_WITHIN_S = 600.0
@@ -70,7 +70,7 @@
         self._server = self._serve_limits(had_predecessor=any(row.epoch for row in rows.values()))
         try:
             self._changes.begin(_running(rows.values()), self._server.send, self._server.schedule_limits)
-        except Damaged as exc:
+        except DamagedRecord as exc:
             raise OrderRefused(str(exc)) from exc
         self._policy = PolicyOrders(self._changes, clock)
         launcher = Launcher(plan, base, self.program, self.instance_settings, self.daemon_socket)
@@ -95,14 +95,14 @@
             in_force = changes.record.history.in_force
             for name in names:
                 if (started := policy_started_with(self.folder / name)) > in_force:
-                    raise Damaged(
+                    raise DamagedRecord(
                         f"{folder}: an older copy was put back: its record ends at policy {in_force},"
                         f" and {name} was started with {started}; put the newer one back"
                     )
             current = changes.policy(in_force)
-        except Damaged as exc:
+        except DamagedRecord as exc:
             raise OrderRefused(str(exc)) from exc
-        except PolicyFault as exc:
+        except PolicyError as exc:
             raise OrderRefused(f"{self._plan.config}: {exc}") from exc
         if differing := differences(current, wanted)[:MAX_DIFFERENCES_LOGGED]:
             self._log.warning("files differ from the policy in force; propose them", differing=differing)
--- a/springspread/fleet/policy_changes.py
+++ b/springspread/fleet/policy_changes.py
@@ -23,8 +23,8 @@
 from springspread.net.threads import spawn
 from springspread.rollout import coordinator
 from springspread.rollout.coordinator import Coordinator, Step, Timings
-from springspread.rollout.document import Policy, PolicyFault, check, lead_ms
-from springspread.rollout.policy_record import Damaged, PolicyRecord
+from springspread.rollout.document import Policy, PolicyError, lead_ms, validate_policy
+from springspread.rollout.policy_record import DamagedRecord, PolicyRecord
 from springspread.rollout.protocol import (
     Acting,
     Decided,
@@ -67,13 +67,13 @@
 class PolicyChanges:
     """The policies of a fleet, and changes of them, until ``close``.
 
-    Raises ``Damaged`` or ``OSError`` where the record can't be used.
+    Raises ``DamagedRecord`` or ``OSError`` where the record can't be used.
     """
 
     def __init__(
         self, folder: Path, first: Policy, log: Log, clock: Clock = SYSTEM, times: Timings | None = None
     ) -> None:
-        """``first`` is in force at once where nothing is on record yet; raises ``PolicyFault``."""
+        """``first`` is in force at once where nothing is on record yet; raises ``PolicyError``."""
         self._log, self._clock, self._times = log, clock, times or Timings()
         self.record = PolicyRecord(folder, BOOT_ID.read_text().strip())
         if not self.record.history.in_force:
@@ -89,7 +89,7 @@
         self._closed = threading.Event()
 
     def _record_first(self, first: Policy) -> None:
-        check(first, None)
+        validate_policy(first, None)
         number = (
             self.record.history.last_number + 1
         )  # an earlier first start may have died after its proposal
@@ -106,7 +106,7 @@
         """Start the coordinator.
 
         ``alive``: the owners whose processes may run; ``send`` sends a message to an owner; ``follow_limits``
-        is called with the limits of each policy that is decided. Raises ``Damaged``.
+        is called with the limits of each policy that is decided. Raises ``DamagedRecord``.
         """
         self._send, self._follow_limits = send, follow_limits
         self._carry_out(coordinator.begin(self._times, self.record.history, self._clock.now(), alive))
@@ -170,12 +170,12 @@
         return history.in_force if self._current.settled(self._clock.now()) else history.previous
 
     def policy(self, number: int) -> Policy:
-        """A policy by its number; raises ``Damaged``."""
+        """A policy by its number; raises ``DamagedRecord``."""
         return self.record.policy(number)
 
     def outcome(self, number: int) -> Outcome:
         """The outcome of a proposal; "in force" and "refused" are final, also for a policy since replaced."""
-        match self.record.ends.get(number):
+        match self.record.outcomes.get(number):
             case Refused(_, by, fault):
                 return Outcome("refused", f"{by}: {fault}" if by else fault)
             case Decided(_, since) if since > (now := self._clock.now()):
@@ -227,7 +227,7 @@
             try:
                 self._carry_out(event(self._clock.now()))
                 self._carry_out(self._tick(self._clock.now()))
-            except Damaged as exc:
+            except DamagedRecord as exc:
                 # What is on record is unknown, so nothing that relies on it may be sent any more.
                 self._log.error("policy record lost; nothing more is granted", error=str(exc))
                 return
@@ -246,15 +246,15 @@
 
     def _propose(self, now: float, proposal: Proposal) -> Step:
         state = self._current
-        past = self.record.past
-        assert past is not None  # the first policy is on record since ``__init__``
+        baseline = self.record.baseline
+        assert baseline is not None  # the first policy is on record since ``__init__``
         try:
-            check(proposal.policy, past)
-            lead = lead_ms(past.latest, proposal.policy)
+            validate_policy(proposal.policy, baseline)
+            lead = lead_ms(baseline.latest, proposal.policy)
             step = coordinator.propose(state, now, proposal.policy.digest, lead)
             proposal.number = step[0].history.last_number
             self.record.store(proposal.number, proposal.policy)
-        except (PolicyFault, ValueError, OSError) as exc:
+        except (PolicyError, ValueError, OSError) as exc:
             proposal.number, proposal.fault = 0, str(exc)
             step = (state, [])
         proposal.taken.set()
@@ -294,9 +294,9 @@
         """Go on after an entry that is not on record: the proposal that it belongs to is refused."""
         self._log.error("not on record", entry=repr(entry), error=fault)
         if before is None:
-            raise Damaged(f"the daemon's start is not on record: {fault}")
+            raise DamagedRecord(f"the daemon's start is not on record: {fault}")
         number = getattr(entry, "number", 0)
-        self.record.refused(number, f"not on record: {fault}")
+        self.record.add_refusal(number, f"not on record: {fault}")
         self._state = Coordinator(
             before.times, self.record.history, before.count + 1, None, before.grant_ends, before.connected
         )
--- a/springspread/fleet/policy_orders.py
+++ b/springspread/fleet/policy_orders.py
@@ -13,7 +13,7 @@
 from springspread.fleet.limits import Owner
 from springspread.fleet.members import Row
 from springspread.fleet.policy_changes import PolicyChanges
-from springspread.rollout.document import Policy, PolicyFault, check, differences, parse_policy
+from springspread.rollout.document import Policy, PolicyError, differences, parse_policy, validate_policy
 from springspread.rollout.protocol import Proposed
 
 OUTCOME_LOOK_MS = 10.0
@@ -34,7 +34,7 @@
         """
         try:
             policy = parse_policy(text)
-        except PolicyFault as exc:
+        except PolicyError as exc:
             raise OrderRefused(str(exc)) from exc
         end = self._clock.now() + 1000.0 * within_s
         number = self._latest
@@ -74,8 +74,8 @@
         """What a proposal would change, who would refuse it, and who does not answer; changes nothing."""
         try:
             policy = parse_policy(text)
-            check(policy, self._changes.record.past)
-        except PolicyFault as exc:
+            validate_policy(policy, self._changes.record.baseline)
+        except PolicyError as exc:
             return {"usable": False, "fault": str(exc), "changes": [], "refuse": {}, "silent": []}
         answers = self._changes.would_fit(policy, running)
         refusals = {name: fault for (name, _), fault in answers.items() if fault}
--- a/springspread/rollout/participant.py
+++ b/springspread/rollout/participant.py
@@ -1,19 +1,19 @@
-"""A participant in changes of policy: under which policy an instance may begin a call now.
+"""A participant in policy changes: under which policy an instance may begin a call now.
 
-Theory of operation. It holds grants, each of one policy and with absolute bounds on the clock that all
-processes of the machine share, so a late or duplicated message grants no more than the original. A call's
+Theory of operation. A participant has grants, each for one policy and with absolute bounds on the clock that
+all processes of the machine share, so a late or duplicated message grants no more than the original. A call's
 first byte is sent under a policy only while a grant of that policy is valid; this is checked just before the
 byte is sent, so an instance that was frozen or cut off needs no message to stop. The transitions:
 
     message   its serial          its policy    result
-    Grant     above the barrier                 it is kept
-    Grant     not above                         ignored: it was given up
+    Grant     above the barrier                 it is added
+    Grant     not above                         ignored: it is given up
     Prepare   above the barrier   usable        a vote of yes; earlier grants end at its ``cut``, and the
                                                 barrier becomes its serial
     Prepare   above the barrier   not usable    a vote of no with the fault; nothing else changes
-    Prepare   not above                         ignored: it was answered
+    Prepare   not above                         ignored: already answered
 
-The state is not on disk: a participant that dies holds no grant, and its next start is granted anew.
+The state is not on disk: a process starts without grants and gets new ones when it connects.
 """
 
 from __future__ import annotations
@@ -27,7 +27,7 @@
 class Participant:
     """The state of one process.
 
-    ``grants``: in the order of their serials; ``barrier``: the serial up to which grants are given up.
+    ``grants``: in the order of their serials; ``barrier``: grants up to this serial are given up.
     """
 
     grants: tuple[Grant, ...] = ()
@@ -42,12 +42,12 @@
         return max((grant.version for grant in self.grants if grant.valid(now)), default=0)
 
     def next_since(self, now: float) -> float | None:
-        """When the next grant becomes valid, where there is one to come."""
+        """When the next grant becomes valid; ``None`` where there is none."""
         return min((grant.since for grant in self.grants if grant.since > now), default=None)
 
 
 def granted(state: Participant, grant: Grant, now: float) -> Participant:
-    """Take in a grant."""
+    """Handle a grant."""
     if grant.serial <= state.barrier:
         return state
     kept = [other for other in state.grants if other.until > now and not _covers(grant, other)]
@@ -57,7 +57,7 @@
 
 
 def prepared(state: Participant, prepare: Prepare, fault: str) -> tuple[Participant, Vote | None]:
-    """Take in a proposal; ``fault`` says why its policy can't be used here, and is empty if it can."""
+    """Handle a proposal; ``fault``: why its policy can't be used here, empty if it can."""
     if prepare.serial <= state.barrier:
         return state, None
     if fault:
@@ -71,6 +71,6 @@
 
 
 def _covers(wide: Grant, narrow: Grant) -> bool:
-    """Whether one grant gives all that another does, and is not older."""
+    """Whether one grant includes another and is not older."""
     supersedes = wide.version == narrow.version and wide.serial >= narrow.serial
     return supersedes and wide.since <= narrow.since and wide.until >= narrow.until
--- a/springspread/rollout/protocol.py
+++ b/springspread/rollout/protocol.py
@@ -1,4 +1,4 @@
-"""Messages between coordinator and participants, entries of the record, and the coordinator's effects.
+"""Messages between the coordinator and its participants, entries of the record, and effects.
 
 Times are milliseconds on the machine's clock, which all processes share.
 """
@@ -8,7 +8,7 @@
 from dataclasses import dataclass
 
 Owner = tuple[str, int]
-"""An instance's name and epoch: each start of an instance is another owner."""
+"""An instance's name and epoch: each start of an instance is a new owner."""
 
 Serial = tuple[int, int]
 """The daemon's generation and a count within it: the order in which messages were sent."""
@@ -39,7 +39,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Vote:
-    """A participant's answer to ``Prepare``; ``fault`` says why it is no."""
+    """A participant's answer to ``Prepare``; ``fault``: the reason for a no."""
 
     number: int
     yes: bool
@@ -58,7 +58,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Proposed:
-    """On record: a proposal has this number and this digest of its text."""
+    """Entry: a proposal with this number, and the digest of its text."""
 
     number: int
     digest: str
@@ -66,7 +66,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Decided:
-    """On record: the policy is in force from ``since``; nobody acts under an earlier one from then on."""
+    """Entry: the policy is in force from ``since``; no instance acts under an earlier one from then on."""
 
     number: int
     since: float
@@ -74,7 +74,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Refused:
-    """On record: the policy never comes into force. ``by``: an instance, or empty for the daemon itself."""
+    """Entry: the policy never comes into force. ``by``: an instance, or empty for the daemon itself."""
 
     number: int
     by: str
@@ -83,7 +83,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Begun:
-    """On record: a daemon began under this generation; its grants last ``lease_ms`` at most."""
+    """Entry: a daemon began under this generation; its grants last ``lease_ms`` at most."""
 
     generation: int
     lease_ms: float
@@ -94,7 +94,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Write:
-    """Effect: put an entry on record and sync it before any later effect of the same step."""
+    """Effect: append an entry to the record and sync it, before any later effect of the same step."""
 
     entry: Entry
 
--- a/tests/rollout/test_fleet.py
+++ b/tests/rollout/test_fleet.py
@@ -132,7 +132,7 @@
     answer = fleet.propose(classes=rest)
     assert answer["state"] == "refused" and answer["version"] == 2
     assert answer["fault"].startswith("n000: settings.classes: pay: messages of it are held here")
-    assert fleet.propose(kinds=["other"])["fault"].startswith("settings.kinds: serves a start")
+    assert fleet.propose(kinds=["other"])["fault"].startswith("settings.kinds: is read only at start-up")
     fleet.peer.answer_calls.set()
     until(lambda: fleet.all_act_under(1), "all go on under what holds")
     fleet.settle()
--- a/tests/rollout/test_policy_record.py
+++ b/tests/rollout/test_policy_record.py
@@ -16,17 +16,17 @@
 from springspread.fleet.policy_changes import PolicyChanges
 from springspread.interface import Effect
 from springspread.rollout.document import (
-    Past,
     Policy,
-    PolicyFault,
-    check,
+    PolicyBaseline,
+    PolicyError,
+    class_effects,
     differences,
-    effects_of,
     lead_ms,
     parse_policy,
-    shrunk,
+    stricter_limits,
+    validate_policy,
 )
-from springspread.rollout.policy_record import KEPT_POLICIES, Damaged, PolicyRecord
+from springspread.rollout.policy_record import CACHED_POLICIES, DamagedRecord, PolicyRecord
 from springspread.rollout.protocol import Begun, Decided, Proposed
 from tests.fleet.test_allocator_server import NullLog
 from tests.test_config import SETTINGS
@@ -86,7 +86,7 @@
         raise OSError(errno.EIO, "broken")
 
     monkeypatch.setattr(os, "fsync", fails)
-    with pytest.raises(Damaged, match="broken after .*end the daemon and start it anew"):
+    with pytest.raises(DamagedRecord, match="broken after .*restart the daemon"):
         record.append(Decided(2, 9.0))
 
 
@@ -109,42 +109,44 @@
     log.write_bytes(good + b"0123 {to")
     assert PolicyRecord(tmp_path, "b1").history.in_force == 1 and log.read_bytes() == good
     log.write_bytes(good.replace(b"decided", b"decidex"))
-    with pytest.raises(Damaged, match=r"log: line 2 is damaged"):
+    with pytest.raises(DamagedRecord, match=r"log: line 2 is damaged"):
         PolicyRecord(tmp_path, "b1")
     log.write_bytes(good)
     (tmp_path / "1").write_text(policy(slots=9).text)
-    with pytest.raises(Damaged, match="1: is not what was proposed"):
+    with pytest.raises(DamagedRecord, match="1: differs from its proposal"):
         PolicyRecord(tmp_path, "b1")
     (tmp_path / "1").write_text(text[:50])
-    with pytest.raises(Damaged, match="1: is not what was proposed"):
+    with pytest.raises(DamagedRecord, match="1: differs from its proposal"):
         PolicyRecord(tmp_path, "b1")
 
 
-def past(*policies: Policy) -> Past:
+def baseline(*policies: Policy) -> PolicyBaseline:
     """Policies that were in force, oldest first."""
     effects: dict[str, Effect] = {}
     for one in policies:
-        effects.update(effects_of(one.settings))
-    return Past(policies[-1], effects)
+        effects.update(class_effects(one.settings))
+    return PolicyBaseline(policies[-1], effects)
 
 
 def test_what_may_not_change_is_refused_with_its_key() -> None:
     once = copy.deepcopy(SETTINGS["classes"])
     once[0]["effect"] = "once"
     for new, fault in (
-        (policy(classes=once), "settings.classes.note.effect: is safe for ever"),
-        (policy(kinds=["portal"]), "settings.kinds: serves a start"),
-        (policy(zones=["b", "a"]), "settings.zones: serves a start"),
+        (policy(classes=once), "settings.classes.note.effect: is safe and can't change"),
+        (policy(kinds=["portal"]), "settings.kinds: is read only at start-up"),
+        (policy(zones=["b", "a"]), "settings.zones: is read only at start-up"),
         (policy(classes=[]), "settings.classes: at least one is needed"),
         (policy(clases=[]), "settings.clases: no such key"),
     ):
-        with pytest.raises(PolicyFault) as caught:
-            check(new, past(policy()))
+        with pytest.raises(PolicyError) as caught:
+            validate_policy(new, baseline(policy()))
         assert str(caught.value).startswith(fault)
     without = policy(classes=SETTINGS["classes"][1:])
-    check(without, past(policy()))
-    with pytest.raises(PolicyFault, match="is safe for ever"):  # not by way of a policy without it, either
-        check(policy(classes=once), past(policy(), without))
+    validate_policy(without, baseline(policy()))
+    with pytest.raises(
+        PolicyError, match="is safe and can't change"
+    ):  # not by way of a policy without it, either
+        validate_policy(policy(classes=once), baseline(policy(), without))
 
 
 def test_the_record_checks_against_all_that_was_in_force_and_holds_few_in_memory(tmp_path: Path) -> None:
@@ -155,20 +157,20 @@
         record.store(number, without)
         record.append(Proposed(number, without.digest))
         record.append(Decided(number, 1_000.0 * number))
-    assert len(record._policies) <= KEPT_POLICIES
+    assert len(record._policies) <= CACHED_POLICIES
     again = PolicyRecord(tmp_path, "b1")
     for one in (record, again):
-        assert one.past is not None and one.past.latest.digest == without.digest
-        assert one.past.effects == past(first, without).effects  # also of the class that is gone
+        assert one.baseline is not None and one.baseline.latest.digest == without.digest
+        assert one.baseline.effects == baseline(first, without).effects  # also of the class that is gone
         assert (one.digests[1], one.policy(1).digest) == (first.digest, first.digest)
-        assert len(one._policies) <= KEPT_POLICIES
+        assert len(one._policies) <= CACHED_POLICIES
         one.close()
 
 
 def test_limits_that_shrink_bind_before_the_border() -> None:
     old = policy(limits={"g1": Limit(40, 2000.0), "g2": Limit(10, 1000.0)})
     new = policy(slots=7, limits={"g1": Limit(8, 2000.0), "g2": Limit(100, 1000.0), "g3": Limit(5, 4000.0)})
-    assert shrunk(old, new) == {"g1": Limit(8, 2000.0), "g3": Limit(5, 4000.0)}
+    assert stricter_limits(old, new) == {"g1": Limit(8, 2000.0), "g3": Limit(5, 4000.0)}
     assert lead_ms(old, new) == 4300.0 and lead_ms(old, old) == 0.0
     assert "limits.g1: 40 in 2000 ms -> 8 in 2000 ms" in differences(old, new)
     assert "settings.specifics.callsOut: 6 -> 7" in differences(old, new)
@@ -199,7 +201,7 @@
 def test_a_document_of_an_unknown_mode_is_refused_by_its_key(
     entry: str, default_mode: str, fault: str
 ) -> None:
-    with pytest.raises(PolicyFault) as caught:
+    with pytest.raises(PolicyError) as caught:
         parse_policy(f'{{"settings":{{}},"limits":{{"g1":{entry}}},"default_mode":"{default_mode}"}}')
     assert str(caught.value).startswith(fault)
 
@@ -212,8 +214,8 @@
 def test_a_limit_that_becomes_exact_binds_before_the_border() -> None:
     adaptive = Policy({}, {"g1": Limit(40, 2000.0, LimitMode.ADAPTIVE)})
     exact = Policy({}, {"g1": Limit(40, 2000.0)})
-    assert shrunk(adaptive, exact) == exact.limits and lead_ms(adaptive, exact) == 4100.0
-    assert shrunk(exact, adaptive) == {} and lead_ms(exact, adaptive) == 0.0
+    assert stricter_limits(adaptive, exact) == exact.limits and lead_ms(adaptive, exact) == 4100.0
+    assert stricter_limits(exact, adaptive) == {} and lead_ms(exact, adaptive) == 0.0
 
 
 @pytest.mark.parametrize(
@@ -221,8 +223,10 @@
 )
 def test_a_proposed_limit_that_no_allocator_can_keep_is_refused_by_its_key(entry: str) -> None:
     settings = json.dumps(SETTINGS)
-    with pytest.raises(PolicyFault, match="g7"):
-        check(parse_policy(f'{{"limits":{{"g7":{entry}}},"settings":{settings}}}'), past(policy()))
+    with pytest.raises(PolicyError, match="g7"):
+        validate_policy(
+            parse_policy(f'{{"limits":{{"g7":{entry}}},"settings":{settings}}}'), baseline(policy())
+        )
 
 
 @pytest.mark.parametrize(
@@ -242,5 +246,5 @@
 
 
 def test_a_document_with_an_endless_count_is_refused() -> None:
-    with pytest.raises(PolicyFault, match="not a policy"):
+    with pytest.raises(PolicyError, match="not a policy"):
         parse_policy('{"settings":{},"limits":{"g1":[1e400,2000]}}')
