--- a/springspread/fleet/daemon.py
+++ b/springspread/fleet/daemon.py
@@ -1,14 +1,14 @@
-"""The daemon of a fleet: puts its parts together, in order, and hands each order to the part that it is for.
+"""The daemon of a fleet: starts its components in order, and dispatches orders to them.
 
-    part            module             job
-    adoption        adoption           what a daemon before left: rows, processes
-    changes         change             one policy for all instances
-    allocator       allocator_server   shares of limits
+    component       module             task
+    adoption        adoption           rows and processes left by an earlier daemon
+    policy changes  policy_changes     one policy for all instances
+    allocator       allocator_server   leases of limits
     supervisor      supervisor         the instances' processes
     control socket  control            orders from outside
 
-The death of the daemon ends nobody, and stops calls only where it lasts longer than the instances' grants
-(``policy_changes``): another one adopts what runs. One daemon at a time holds the folder.
+Instances outlive their daemon: the next one adopts them. Their calls stop only where there is no daemon for
+longer than their grants last (``policy_changes``). One daemon at a time locks the folder.
 """
 
 from __future__ import annotations
@@ -41,7 +41,7 @@
 MAX_INSTANCES = 1000
 MAX_WITHIN_S = 600.0
 MAX_DIFFERENCES_LOGGED = 20
-MAX_BOUND_SHOWN = 100
+MAX_BOUND_LIMITS_SHOWN = 100
 
 
 class Daemon:
@@ -51,28 +51,30 @@
     files are over a bound.
     """
 
-    program = "springspread"  # what each instance runs
+    program = "springspread"  # the module that instances run
 
     def __init__(self, plan: FleetPlan, log: Log, clock: Clock = SYSTEM) -> None:
         self._plan, self._log, self._clock = plan, log, clock
         self.folder = plan.folder
         base = _read_config(plan.config)
-        wanted = plan.policy(base)
+        configured = plan.policy(base)
         self.folder.mkdir(parents=True, exist_ok=True)
-        self._held = _lock_folder(self.folder)
+        self._folder_lock = _lock_folder(self.folder)
         adopted = adopt(self.folder, self.daemon_socket, log, clock)
         rows = adopted.rows
         if not rows or (adopted.file_lost and len(rows) < plan.instances):
             rows = scaled(rows, plan.instances)
-        self._changes = self._load_policies(wanted, rows)
+        self._changes = self._load_policies(configured, rows)
         if adopted.file_lost:
             rows = raise_epochs(rows, self._changes.record.history.generation + 1)
         self._server = self._serve_limits(had_predecessor=any(row.epoch for row in rows.values()))
         try:
-            self._changes.begin(_running(rows.values()), self._server.send, self._server.schedule_limits)
+            self._changes.begin(
+                _running_owners(rows.values()), self._server.send, self._server.schedule_limits
+            )
         except DamagedRecord as exc:
             raise OrderRefused(str(exc)) from exc
-        self._policy = PolicyOrders(self._changes, clock)
+        self._policy_orders = PolicyOrders(self._changes, clock)
         launcher = Launcher(plan, base, self.program, self.instance_settings, self.daemon_socket)
         self._supervisor = Supervisor(
             plan,
@@ -87,31 +89,33 @@
         self._control = ControlSocket(self.folder / "control", self.order, log, clock)
         self._supervisor.begin()
 
-    def _load_policies(self, wanted: Policy, names: Iterable[str]) -> PolicyChanges:
-        """The record of policies; raises ``OrderRefused`` where it can't be followed."""
+    def _load_policies(self, configured: Policy, names: Iterable[str]) -> PolicyChanges:
+        """Open the policy record; raises ``OrderRefused`` where it can't be used."""
         folder = self.folder / "policy"
         try:
-            changes = PolicyChanges(folder, wanted, self._log, self._clock, self._plan.times)
+            changes = PolicyChanges(folder, configured, self._log, self._clock, self._plan.times)
             in_force = changes.record.history.in_force
             for name in names:
                 if (started := policy_started_with(self.folder / name)) > in_force:
                     raise DamagedRecord(
-                        f"{folder}: an older copy was put back: its record ends at policy {in_force},"
-                        f" and {name} was started with {started}; put the newer one back"
+                        f"{folder}: an older copy was restored: its record ends at policy {in_force},"
+                        f" but {name} was started with {started}; restore the newer copy"
                     )
             current = changes.policy(in_force)
         except DamagedRecord as exc:
             raise OrderRefused(str(exc)) from exc
         except PolicyError as exc:
             raise OrderRefused(f"{self._plan.config}: {exc}") from exc
-        if differing := differences(current, wanted)[:MAX_DIFFERENCES_LOGGED]:
-            self._log.warning("files differ from the policy in force; propose them", differing=differing)
+        if differing := differences(current, configured)[:MAX_DIFFERENCES_LOGGED]:
+            self._log.warning(
+                "configuration differs from the policy in force; propose it to apply it", differing=differing
+            )
         return changes
 
     def _serve_limits(self, had_predecessor: bool) -> AllocatorServer:
         history, clock = self._changes.record.history, self._clock
-        undecided = clock.now() < history.since  # the daemon before decided it, for a moment to come
-        policy = self._changes.policy(history.previous if undecided else history.in_force)
+        upcoming = clock.now() < history.since  # decided by an earlier daemon, not yet in force
+        policy = self._changes.policy(history.previous if upcoming else history.in_force)
         server = AllocatorServer(
             self.folder / "allot",
             self.folder,
@@ -123,17 +127,17 @@
             policy.default_mode,
             fleet_id(self.folder),
         )
-        if undecided:
-            coming = self._changes.policy(history.in_force)
-            server.schedule_limits(coming.limits, history.since, coming.default_mode)
+        if upcoming:
+            next_policy = self._changes.policy(history.in_force)
+            server.schedule_limits(next_policy.limits, history.since, next_policy.default_mode)
         return server
 
     def instance_settings(self, name: str) -> dict[str, Any]:
-        """What an instance's configuration has beside the fleet's; all have the same."""
+        """Additional configuration of one instance; none here."""
         return {}
 
     def daemon_socket(self, name: str) -> Path:
-        """The socket at which an instance finds this daemon."""
+        """The socket at which an instance connects to this daemon."""
         return self.folder / "allot"
 
     # Orders
@@ -142,33 +146,33 @@
         """Carry an order out; raises ``OrderRefused``."""
         if not isinstance(order, dict):
             raise OrderRefused("an order must be an object")
-        answer = self._policy_order(order)
-        return self._instance_order(order) if answer is None else answer
+        answer = self._carry_out_policy_order(order)
+        return self._carry_out_instance_order(order) if answer is None else answer
 
-    def _policy_order(self, order: dict[str, Any]) -> dict[str, Any] | None:
+    def _carry_out_policy_order(self, order: dict[str, Any]) -> dict[str, Any] | None:
         match order:
             case {"do": "propose", "policy": str(text), "within": int() | float() as within} if (
                 0 <= within <= MAX_WITHIN_S
             ):
                 return self.propose(text, float(within))
             case {"do": "check", "policy": str(text)}:
-                return self._policy.check(text, _running(self._supervisor.rows))
+                return self._policy_orders.check(text, _running_owners(self._supervisor.rows))
             case {"do": "outcome", "version": int(number)}:
-                return self._policy.outcome(number)
+                return self._policy_orders.outcome(number)
             case {"do": "text", "version": int(number)}:
-                return self._policy.text(number)
+                return self._policy_orders.text(number)
             case {"do": "policy"}:
-                return self._policy.status(self._supervisor.rows)
+                return self._policy_orders.status(self._supervisor.rows)
             case {"do": "history"}:
-                return {"history": self._policy.history()}
+                return {"history": self._policy_orders.history()}
         return None
 
-    def _instance_order(self, order: dict[str, Any]) -> dict[str, Any]:
+    def _carry_out_instance_order(self, order: dict[str, Any]) -> dict[str, Any]:
         match order:
             case {"do": "recovery"}:
                 return {"recovery": self._recovery()}
             case {"do": "limits"}:
-                return {"limits": self._server.limits_status(MAX_BOUND_SHOWN)}
+                return {"limits": self._server.limits_status(MAX_BOUND_LIMITS_SHOWN)}
             case {"do": "status"}:
                 pass
             case {"do": "scale", "count": int(count)} if 0 <= count <= MAX_INSTANCES:
@@ -187,8 +191,8 @@
         return {"instances": self._status()}
 
     def propose(self, text: str, within_s: float) -> dict[str, Any]:
-        """Ask for a policy to take hold; waits until it does, is refused, or the time is over."""
-        return self._policy.propose(text, within_s)
+        """Propose a policy; waits until it is in force or refused, or the time is up."""
+        return self._policy_orders.propose(text, within_s)
 
     def _status(self) -> list[dict[str, Any]]:
         connected, now = dict(self._server.members), self._clock.now()
@@ -203,7 +207,7 @@
         ]
 
     def _recovery(self) -> list[dict[str, Any]]:
-        """How far each instance's return has come."""
+        """The recovery progress of each instance."""
         return [self._recovery_of(row) for row in self._supervisor.rows]
 
     def _recovery_of(self, row: Row) -> dict[str, Any]:
@@ -214,20 +218,20 @@
         return unreported_recovery(row, pending_messages(self.folder / row.name), now)
 
     def stop(self) -> None:
-        """End every instance in order, within the time that one has, and then the daemon."""
+        """Stop every instance gracefully, then the daemon."""
         self._supervisor.stop()
         self.detach()
 
     def detach(self) -> None:
-        """End the daemon alone: a new one adopts what runs."""
+        """End the daemon alone; a new one adopts the running instances."""
         self._supervisor.close()
         self._control.close()
         self._changes.close()
         self._server.close()
-        self._held.close()
+        self._folder_lock.close()
 
 
-def _running(rows: Iterable[Row]) -> list[Owner]:
+def _running_owners(rows: Iterable[Row]) -> list[Owner]:
     return [(row.name, row.epoch) for row in rows if row.pid]
 
 
@@ -240,11 +244,11 @@
 
 
 def _lock_folder(folder: Path) -> IO[str]:
-    """Hold the folder for this process alone; raises ``OrderRefused`` where another daemon does."""
-    held = (folder / "lock").open("w")
+    """Lock the folder for this process; raises ``OrderRefused`` where another daemon does."""
+    lock = (folder / "lock").open("w")
     try:
-        fcntl.flock(held, fcntl.LOCK_EX | fcntl.LOCK_NB)
+        fcntl.flock(lock, fcntl.LOCK_EX | fcntl.LOCK_NB)
     except OSError as exc:
-        held.close()
+        lock.close()
         raise OrderRefused(f"{folder}: another daemon runs this fleet") from exc
-    return held
+    return lock
--- a/springspread/fleet/supervisor.py
+++ b/springspread/fleet/supervisor.py
@@ -1,7 +1,7 @@
 """Supervises the instances' processes: starts, ends and restarts them, as ``members`` decides.
 
-The members' file is written before a step is taken, so that another daemon can take over at any moment. A
-process is identified by its id together with the moment of its start.
+The members' file is written before each step, so that another daemon can take over at any time. A process is
+identified by its id and its start time.
 """
 
 from __future__ import annotations
@@ -38,14 +38,14 @@
 from springspread.fleet.policy_changes import PolicyChanges
 from springspread.net.threads import spawn
 
-LOOK_MS = 50.0
-STARTS_MS = 5_000.0  # a process that is not connected by then no longer counts as starting
-LISTENS_MS = 60_000.0  # after its start an instance's log is searched for its address for so long
-STOP_LOOK_MS = 20.0
+CHECK_INTERVAL_MS = 50.0
+CONNECT_TIMEOUT_MS = 5_000.0  # a process that is not connected by then no longer counts as starting
+ADDRESS_SEARCH_MS = 60_000.0  # how long after its start an instance's log is searched for its address
+STOP_POLL_MS = 20.0
 
 
 class Supervisor:
-    """Supervises a fleet's instances on a thread of its own, from ``begin`` until ``stop`` or ``close``."""
+    """Supervises a fleet's instances on its own thread, from ``begin`` until ``stop`` or ``close``."""
 
     def __init__(
         self,
@@ -58,7 +58,7 @@
         log: Log,
         clock: Clock,
     ) -> None:
-        """``process_starts``: of adopted processes, by id; ``connected``: gives the connected owners."""
+        """``process_starts``: by id, of adopted processes; ``connected`` returns the connected owners."""
         self._plan, self._launcher, self._changes = plan, launcher, changes
         self._connected, self._log, self._clock = connected, log, clock
         self._lock = threading.Lock()
@@ -66,47 +66,47 @@
         self._process_starts = dict(process_starts)
         self._children: dict[int, subprocess.Popen[bytes]] = {}
         self._rolling: list[str] = []
-        # Instances that were down start in the order of the deadlines in their journals.
-        away = [name for name, row in rows.items() if not row.pid]
-        self._start_deadlines = {name: first_deadline(plan.folder / name) for name in away}
+        # Stopped instances start in the order of the deadlines in their journals.
+        stopped = [name for name, row in rows.items() if not row.pid]
+        self._start_deadlines = {name: first_deadline(plan.folder / name) for name in stopped}
         self._closed = threading.Event()
 
     def begin(self) -> None:
         """Start the thread."""
-        spawn("fleet-look", self._run, self._log)
+        spawn("fleet-supervisor", self._run, self._log)
 
     @property
     def rows(self) -> list[Row]:
-        """The instances at this moment."""
+        """The current rows."""
         with self._lock:
             return list(self._rows.values())
 
     # Orders
 
     def scale(self, count: int) -> None:
-        """Have ``count`` instances serve."""
+        """Scale the fleet to ``count`` serving instances."""
         with self._lock:
             self._rows = scaled(self._rows, count)
             self._save()
 
     def drain(self, name: str) -> None:
-        """Have one instance leave; raises ``OrderRefused``."""
+        """Make one instance leave; raises ``OrderRefused``."""
         with self._lock:
-            self._rows[name] = replace(self._known("drain", name), desired=DesiredState.LEAVING)
+            self._rows[name] = replace(self._find_row("drain", name), desired=DesiredState.LEAVING)
             self._save()
 
     def restart(self, name: str) -> None:
-        """End one instance in order and start it again; raises ``OrderRefused``."""
+        """Restart one instance gracefully; raises ``OrderRefused``."""
         with self._lock:
-            self._rows[name] = replace(self._known("restart", name), restart=True)
+            self._rows[name] = replace(self._find_row("restart", name), restart=True)
             self._save()
 
     def roll(self) -> None:
-        """Restart all serving instances, one after the other."""
+        """Restart all serving instances, one at a time."""
         with self._lock:
             self._rolling = [row.name for row in self._rows.values() if row.desired is DesiredState.SERVING]
 
-    def _known(self, order: str, name: str) -> Row:
+    def _find_row(self, order: str, name: str) -> Row:
         if name not in self._rows:
             raise OrderRefused(f"{order}: no such instance: {name}; there are {', '.join(self._rows)}")
         return self._rows[name]
@@ -120,20 +120,20 @@
                     self._take_step(name)
                     rotate_log(self._plan.folder / name)
                 self._continue_roll()
-            self._closed.wait(LOOK_MS / 1000.0)
+            self._closed.wait(CHECK_INTERVAL_MS / 1000.0)
 
     def _take_step(self, name: str) -> None:
         row, now = self._rows[name], self._clock.now()
         alive = row.pid != 0 and self._alive(row.pid)
         if row.pid and not alive:
-            row = self._note_death(row, now)
+            row = self._record_death(row, now)
         if alive:
-            row = self._note_address(row, now)
+            row = self._record_address(row, now)
         leaving = row.desired is DesiredState.LEAVING
         pending = pending_messages(self._plan.folder / name) if leaving else 0
         match step(row, Observation(alive, pending), now, self._plan.restart_timings):
             case Step.START | Step.EMPTY as kind:
-                if self._starting() < self._plan.recovery.at_once:
+                if self._count_starting() < self._plan.recovery.at_once:
                     self._start(row, emptying=kind is Step.EMPTY)
             case Step.TERM:
                 _signal(row, signal.SIGTERM)
@@ -144,17 +144,17 @@
             case Step.DROP:
                 self._drop(name)
 
-    def _note_death(self, row: Row, now: float) -> Row:
+    def _record_death(self, row: Row, now: float) -> Row:
         self._log.info("instance ended", instance=row.name, pid=row.pid)
         self._changes.died((row.name, row.epoch))
-        return self._put(after_exit(row, now, self._plan.restart_timings))
+        return self._store_row(after_exit(row, now, self._plan.restart_timings))
 
-    def _note_address(self, row: Row, now: float) -> Row:
-        if row.listen or row.emptying or now >= row.started_at + LISTENS_MS:
+    def _record_address(self, row: Row, now: float) -> Row:
+        if row.listen or row.emptying or now >= row.started_at + ADDRESS_SEARCH_MS:
             return row
         address = listen_address(self._plan.folder / row.name, row.pid)
-        # Recorded, as the log may have been rotated by the time that another daemon begins.
-        return self._put(replace(row, listen=address)) if address else row
+        # Recorded, as the log may be rotated before another daemon starts.
+        return self._store_row(replace(row, listen=address)) if address else row
 
     def _drop(self, name: str) -> None:
         self._log.info("instance left", instance=name)
@@ -162,11 +162,13 @@
         self._save()
         shutil.rmtree(self._plan.folder / name, ignore_errors=True)
 
-    def _starting(self) -> int:
-        """How many processes have been started and are not yet connected."""
+    def _count_starting(self) -> int:
+        """How many started processes are not yet connected."""
         connected, now = set(self._connected()), self._clock.now()
         return sum(
-            row.pid != 0 and (row.name, row.epoch) not in connected and now < row.started_at + STARTS_MS
+            row.pid != 0
+            and (row.name, row.epoch) not in connected
+            and now < row.started_at + CONNECT_TIMEOUT_MS
             for row in self._rows.values()
         )
 
@@ -174,18 +176,18 @@
         number = self._changes.in_force
         start = Start(row.name, row.epoch + 1, emptying, number, self._changes.policy(number))
         self._launcher.prepare(start)
-        # On record first: a daemon that dies before the launch leaves an epoch unused, never used twice.
-        self._put(replace(row, epoch=start.epoch))
+        # Recorded before the launch: a daemon that dies in between skips an epoch, but none is reused.
+        self._store_row(replace(row, epoch=start.epoch))
         child = self._launcher.launch(start)
         self._children[child.pid] = child
         started = replace(row, epoch=start.epoch, pid=child.pid, term_sent_at=inf, emptying=emptying)
-        self._put(replace(started, started_at=self._clock.now()))
+        self._store_row(replace(started, started_at=self._clock.now()))
         self._log.info(
             "instance started", instance=row.name, pid=child.pid, epoch=start.epoch, emptying=emptying
         )
 
     def _continue_roll(self) -> None:
-        """Restart the next instance of a roll once all others run again."""
+        """Restart the next instance of a roll once all others are running."""
         if not self._rolling or any(not row.pid or row.restart for row in self._rows.values()):
             return
         name = self._rolling.pop(0)
@@ -201,8 +203,8 @@
         del self._children[pid]
         return False
 
-    def _put(self, row: Row) -> Row:
-        """Replace a row, and write the members' file."""
+    def _store_row(self, row: Row) -> Row:
+        """Replace a row and write the members' file."""
         self._rows[row.name] = row
         self._save()
         return row
@@ -211,7 +213,7 @@
         write_members(self._plan.folder / MEMBERS_FILE, self._rows.values())
 
     def stop(self) -> None:
-        """End every instance with SIGTERM, and with SIGKILL those that run ``stop_ms`` later."""
+        """Send SIGTERM to every instance, and SIGKILL to those still running after ``stop_ms``."""
         self.close()
         with self._lock:
             rows = [row for row in self._rows.values() if row.pid]
@@ -219,13 +221,13 @@
                 _signal(row, signal.SIGTERM)
             end = self._clock.now() + self._plan.restart_timings.stop_ms
             while (rows := [row for row in rows if self._alive(row.pid)]) and self._clock.now() < end:
-                self._clock.sleep(STOP_LOOK_MS)
+                self._clock.sleep(STOP_POLL_MS)
             for row in rows:
                 _signal(row, signal.SIGKILL)
             self._save()
 
     def close(self) -> None:
-        """Stop the thread; the processes go on."""
+        """Stop the thread; the processes keep running."""
         self._closed.set()
 
 
--- a/tests/rollout/test_fleet.py
+++ b/tests/rollout/test_fleet.py
@@ -200,7 +200,7 @@
     new = log.read_bytes()
     fleet.daemon.detach()
     log.write_bytes(old)
-    with pytest.raises(OrderRefused, match="an older copy was put back: its record ends at policy 1"):
+    with pytest.raises(OrderRefused, match="an older copy was restored: its record ends at policy 1"):
         Daemon(read_fleet(fleet.file), NullLog())
     log.write_bytes(new[:40] + b"x" + new[41:])
     with pytest.raises(OrderRefused, match="line 1 is damaged"):
