--- a/springspread/fleet/daemon.py
+++ b/springspread/fleet/daemon.py
@@ -200,7 +200,7 @@
             instance_status(
                 row,
                 connected.get(row.name) == row.epoch,
-                self._changes.acts_under((row.name, row.epoch)),
+                self._changes.reported_version((row.name, row.epoch)),
                 now,
             )
             for row in self._supervisor.rows
--- a/springspread/fleet/policy_changes.py
+++ b/springspread/fleet/policy_changes.py
@@ -1,8 +1,8 @@
-"""The daemon's driver of policy changes: one thread that owns the coordinator's state and its record.
+"""The daemon's driver of policy changes: one thread owns the coordinator's state and record.
 
-Theory of operation. Other threads put events into a queue (connections, votes, proposals). The one thread
-takes each, steps the coordinator, and carries out the effects in order. An entry that can't be written to the
-record cancels the effects after it, so nothing is sent that relies on an entry that is not on disk.
+Theory of operation. Other threads queue events (connections, votes, proposals). The coordinator's thread
+handles each: it steps the coordinator and carries out the effects in order. An entry that can't be written to
+the record cancels the effects after it, so no message is sent that relies on an entry that is not on disk.
 """
 
 from __future__ import annotations
@@ -38,9 +38,9 @@
 )
 
 TICK_MS = 20.0  # the interval of the coordinator's ticks
-REPORT_VALID_MS = 2_500.0  # the policy that an instance reported is known for so long
+REPORT_VALID_MS = 2_500.0  # how long an instance's report of its policy is valid
 LimitsReceiver = Callable[[Mapping[str, Limit], float, LimitMode], None]
-"""Takes the limits and the default mode of a policy, and the moment (ms) from which they hold."""
+"""Called with a policy's limits, the time (ms) from which they apply, and its default mode."""
 BOOT_ID = Path("/proc/sys/kernel/random/boot_id")
 
 
@@ -48,7 +48,7 @@
 class Proposal:
     """A proposal, and the coordinator's answer.
 
-    ``taken`` is set once ``number`` or, where it can't be voted on, ``fault`` is.
+    ``taken`` is set once there is a ``number`` or, where it can't be voted on, a ``fault``.
     """
 
     policy: Policy
@@ -58,7 +58,7 @@
 
 
 class Outcome(NamedTuple):
-    """``state``: "in force", "decided", "pending" or "refused"; ``detail``: why, or what is waited for."""
+    """``state``: "in force", "decided", "pending" or "refused"; ``detail``: the reason or what is awaited."""
 
     state: str
     detail: str = ""
@@ -73,26 +73,24 @@
     def __init__(
         self, folder: Path, first: Policy, log: Log, clock: Clock = SYSTEM, times: Timings | None = None
     ) -> None:
-        """``first`` is in force at once where nothing is on record yet; raises ``PolicyError``."""
+        """``first`` is in force at once where the record is empty; raises ``PolicyError``."""
         self._log, self._clock, self._times = log, clock, times or Timings()
         self.record = PolicyRecord(folder, BOOT_ID.read_text().strip())
         if not self.record.history.in_force:
             self._record_first(first)
         self._inbox: SimpleQueue[Callable[[float], Step]] = SimpleQueue()
         self._state: Coordinator | None = None
-        self._answers: dict[int, dict[Owner, str | None]] = {}  # to each open question, by owner
+        self._answers: dict[int, dict[Owner, str | None]] = {}  # by question, then owner
         self._question_ids = count(1)
-        self._texts_sent: dict[Owner, set[int]] = {}  # the policies sent on an owner's connection
-        self._reported: dict[Owner, tuple[int, float]] = {}  # the policy acted under, and when that came
-        self._send: Callable[[Owner, Message], None] = _send_nowhere
-        self._follow_limits: LimitsReceiver = _ignore_limits
+        self._texts_sent: dict[Owner, set[int]] = {}  # numbers of the policies sent on an owner's connection
+        self._reported: dict[Owner, tuple[int, float]] = {}  # the version, and when it was received
+        self._send: Callable[[Owner, Message], None] = _discard_message
+        self._apply_limits: LimitsReceiver = _ignore_limits
         self._closed = threading.Event()
 
     def _record_first(self, first: Policy) -> None:
         validate_policy(first, None)
-        number = (
-            self.record.history.last_number + 1
-        )  # an earlier first start may have died after its proposal
+        number = self.record.history.last_number + 1  # an earlier first start may have proposed
         self.record.store(number, first)
         self.record.append(Proposed(number, first.digest))
         self.record.append(Decided(number, self._clock.now()))
@@ -101,21 +99,21 @@
         self,
         alive: Iterable[Owner],
         send: Callable[[Owner, Message], None],
-        follow_limits: LimitsReceiver,
+        apply_limits: LimitsReceiver,
     ) -> None:
         """Start the coordinator.
 
-        ``alive``: the owners whose processes may run; ``send`` sends a message to an owner; ``follow_limits``
-        is called with the limits of each policy that is decided. Raises ``DamagedRecord``.
+        ``alive``: the owners whose processes may run; ``send`` sends a message to an owner; ``apply_limits``
+        is called with the limits of each decided policy. Raises ``DamagedRecord``.
         """
-        self._send, self._follow_limits = send, follow_limits
+        self._send, self._apply_limits = send, apply_limits
         self._carry_out(coordinator.begin(self._times, self.record.history, self._clock.now(), alive))
         self._thread = spawn("fleet-policy", self._run, self._log)
 
     # Called from any thread
 
     def received(self, owner: Owner, message: Vote | Acting | Fit | None, connected: bool) -> None:
-        """A message of an owner; ``None``: its connection has begun or, not ``connected``, ended."""
+        """Handle an owner's message; ``None``: its connection has begun or, not ``connected``, ended."""
         match message:
             case Acting(version):
                 self._reported[owner] = (version, self._clock.now())
@@ -131,7 +129,7 @@
                 self._inbox.put(lambda now: (coordinator.left(self._current, owner), []))
 
     def died(self, owner: Owner) -> None:
-        """An owner's process has certainly ended."""
+        """Handle the certain end of an owner's process."""
         self._inbox.put(lambda now: self._died(now, owner))
 
     def propose(self, policy: Policy) -> Proposal:
@@ -140,10 +138,10 @@
         self._inbox.put(lambda now: self._propose(now, proposal))
         return proposal
 
-    def would_fit(self, policy: Policy, owners: Iterable[Owner]) -> dict[Owner, str | None]:
-        """Ask instances whether they could use a policy; nothing is changed.
+    def query_compatibility(self, policy: Policy, owners: Iterable[Owner]) -> dict[Owner, str | None]:
+        """Ask instances whether they could use a policy; changes nothing.
 
-        Returns the fault that each found: empty for none, ``None`` where it did not answer in time.
+        Returns each one's fault: empty for none, ``None`` where it did not answer in time.
         """
         id = next(self._question_ids)
         answers: dict[Owner, str | None] = dict.fromkeys(owners)
@@ -187,7 +185,7 @@
 
     @property
     def pending(self) -> int:
-        """The number of the policy that is voted on or decided and not yet in force; 0: none."""
+        """The number of the policy that is voted on, or decided but not yet in force; 0: none."""
         state = self._current
         if state.pending is not None:
             return state.pending.number
@@ -195,7 +193,7 @@
 
     @property
     def awaited(self) -> list[Owner]:
-        """The owners whose votes, or the ends of whose grants, are waited for."""
+        """The owners whose votes or ends of grants are awaited."""
         state = self._current
         if state.pending is not None:
             return sorted(state.pending.awaited)
@@ -203,13 +201,13 @@
             return []
         return sorted(state.awaited)
 
-    def acts_under(self, owner: Owner) -> int:
-        """The policy that an owner lately reported; 0: it begins no calls, or there is no recent report."""
+    def reported_version(self, owner: Owner) -> int:
+        """The policy that an owner reported to act under; 0: it begins no calls, or no recent report."""
         version, received_at = self._reported.get(owner, (0, -inf))
         return version if self._clock.now() < received_at + REPORT_VALID_MS else 0
 
     def close(self) -> None:
-        """Stop the thread, after the step that it is in, and close the record."""
+        """Stop the thread after its current step, and close the record."""
         if self._closed.is_set():
             return
         self._closed.set()
@@ -228,8 +226,8 @@
                 self._carry_out(event(self._clock.now()))
                 self._carry_out(self._tick(self._clock.now()))
             except DamagedRecord as exc:
-                # What is on record is unknown, so nothing that relies on it may be sent any more.
-                self._log.error("policy record lost; nothing more is granted", error=str(exc))
+                # The record's content is unknown, so no message may rely on it any more.
+                self._log.error("policy record unusable; no more grants", error=str(exc))
                 return
 
     def _tick(self, now: float) -> Step:
@@ -277,11 +275,11 @@
     def _after_record(self, entry: Entry) -> None:
         if isinstance(entry, Decided):
             policy = self.record.policy(entry.number)
-            self._follow_limits(policy.limits, entry.since, policy.default_mode)
-        self._log.info("policy record", entry=repr(entry))
+            self._apply_limits(policy.limits, entry.since, policy.default_mode)
+        self._log.info("policy entry recorded", entry=repr(entry))
 
     def _send_with_text(self, effect: Send) -> None:
-        """Send a message, after the text of its policy where this connection has not had it."""
+        """Send a message, preceded by its policy's text where this connection has not received it."""
         message = effect.message
         number = message.number if isinstance(message, Prepare) else message.version
         sent = self._texts_sent.setdefault(effect.owner, set())
@@ -291,20 +289,20 @@
         self._send(effect.owner, message)
 
     def _refuse_unrecorded(self, before: Coordinator | None, entry: Entry, fault: str) -> None:
-        """Go on after an entry that is not on record: the proposal that it belongs to is refused."""
-        self._log.error("not on record", entry=repr(entry), error=fault)
+        """Refuse the proposal that an unwritten entry belongs to."""
+        self._log.error("policy entry not recorded", entry=repr(entry), error=fault)
         if before is None:
-            raise DamagedRecord(f"the daemon's start is not on record: {fault}")
+            raise DamagedRecord(f"the daemon's start could not be recorded: {fault}")
         number = getattr(entry, "number", 0)
-        self.record.add_refusal(number, f"not on record: {fault}")
+        self.record.add_refusal(number, f"could not be recorded: {fault}")
         self._state = Coordinator(
             before.times, self.record.history, before.count + 1, None, before.grant_ends, before.connected
         )
 
 
-def _send_nowhere(owner: Owner, message: Message) -> None:
-    """Before ``begin`` there is no connection to send on."""
+def _discard_message(owner: Owner, message: Message) -> None:
+    """Used before ``begin``, when there are no connections."""
 
 
 def _ignore_limits(limits: Mapping[str, Limit], since: float, default_mode: LimitMode) -> None:
-    """Before ``begin`` nobody follows limits."""
+    """Used before ``begin``."""
--- a/springspread/fleet/policy_orders.py
+++ b/springspread/fleet/policy_orders.py
@@ -1,4 +1,4 @@
-"""Orders about the policy: propose one, check one, and report which is and was in force.
+"""Orders about the policy: propose or check one, and report the current and earlier ones.
 
 Each answer is a JSON object, as the command line reads it.
 """
@@ -16,8 +16,8 @@
 from springspread.rollout.document import Policy, PolicyError, differences, parse_policy, validate_policy
 from springspread.rollout.protocol import Proposed
 
-OUTCOME_LOOK_MS = 10.0
-MIN_NUMBER_WAIT_S = 2.0  # a proposal's number is waited for this long, at the least
+OUTCOME_POLL_MS = 10.0
+MIN_NUMBER_WAIT_S = 2.0  # the least wait for a proposal's number
 
 
 class PolicyOrders:
@@ -40,7 +40,7 @@
         number = self._latest
         if not number or self._changes.record.digests[number] != policy.digest:
             proposal = self._changes.propose(policy)
-            proposal.taken.wait(max(within_s, MIN_NUMBER_WAIT_S))  # so that there is a number to ask about
+            proposal.taken.wait(max(within_s, MIN_NUMBER_WAIT_S))  # the outcome is looked up by number
             if proposal.fault:
                 return {"state": "refused", "version": 0, "fault": proposal.fault}
             number = proposal.number
@@ -48,13 +48,13 @@
 
     @property
     def _latest(self) -> int:
-        """The number of the policy that is being changed to, or else of the one in force."""
+        """The number of the pending policy, or else of the one in force."""
         return self._changes.pending or self._changes.record.history.in_force
 
     def _outcome_by(self, end: float, number: int) -> dict[str, Any]:
         outcome = self.outcome(number)
         while outcome["state"] not in ("in force", "refused") and self._clock.now() < end:
-            self._clock.sleep(OUTCOME_LOOK_MS)
+            self._clock.sleep(OUTCOME_POLL_MS)
             outcome = self.outcome(number)
         return outcome
 
@@ -67,17 +67,17 @@
         """The document of a policy that is or was in force; raises ``OrderRefused``."""
         decided = self._changes.record.decided
         if number not in decided:
-            raise OrderRefused(f"no policy {number} held; there are {', '.join(map(str, decided))}")
+            raise OrderRefused(f"no policy {number} on record; there are {', '.join(map(str, decided))}")
         return {"policy": self._changes.policy(number).text}
 
     def check(self, text: str, running: Iterable[Owner]) -> dict[str, Any]:
-        """What a proposal would change, who would refuse it, and who does not answer; changes nothing."""
+        """What a proposal would change, which instances refuse it or do not answer; changes nothing."""
         try:
             policy = parse_policy(text)
             validate_policy(policy, self._changes.record.baseline)
         except PolicyError as exc:
             return {"usable": False, "fault": str(exc), "changes": [], "refuse": {}, "silent": []}
-        answers = self._changes.would_fit(policy, running)
+        answers = self._changes.query_compatibility(policy, running)
         refusals = {name: fault for (name, _), fault in answers.items() if fault}
         return {
             "usable": not refusals,
@@ -92,18 +92,18 @@
         return self._changes.policy(self._changes.record.history.in_force)
 
     def status(self, rows: Iterable[Row]) -> dict[str, Any]:
-        """The policy in force, the change under way, and the policy that each instance acts under."""
+        """The policy in force, the pending one, and the policy that each instance acts under."""
         changes = self._changes
         number, pending = changes.in_force, changes.pending
         awaited = [name for name, _ in changes.awaited]
         return {
             "in_force": {"version": number, "digest": changes.record.digests[number]},
             "pending": {"version": pending, "waits_for": awaited} if pending else None,
-            "instances": {row.name: self._acting(row) for row in rows},
+            "instances": {row.name: self._instance_policy(row) for row in rows},
         }
 
-    def _acting(self, row: Row) -> Mapping[str, Any]:
-        version = self._changes.acts_under((row.name, row.epoch))
+    def _instance_policy(self, row: Row) -> Mapping[str, Any]:
+        version = self._changes.reported_version((row.name, row.epoch))
         state = "acting" if version else "holding" if row.pid else "away"
         return {"version": version, "state": state}
 
@@ -111,9 +111,9 @@
         """Every proposal with its outcome, in order."""
         record = self._changes.record
         numbers = [entry.number for entry in record.entries if isinstance(entry, Proposed)]
-        return [self._proposed(number) for number in numbers]
+        return [self._proposal_status(number) for number in numbers]
 
-    def _proposed(self, number: int) -> dict[str, Any]:
+    def _proposal_status(self, number: int) -> dict[str, Any]:
         outcome = self._changes.outcome(number)
         digest = self._changes.record.digests[number]
         return {"version": number, "state": outcome.state, "fault": outcome.detail, "digest": digest}
--- a/springspread/fleet/policy_participant.py
+++ b/springspread/fleet/policy_participant.py
@@ -1,6 +1,6 @@
-"""An instance's part in changes of the fleet's policy: it follows the one in force and answers proposals.
+"""The participant of an instance in policy changes: follows the policy in force and votes on proposals.
 
-``rollout.participant`` decides; this keeps its state, the texts of policies, and what is to be written to
+``rollout.participant`` decides; this class keeps its state, the policies' texts, and the messages to write to
 the daemon. It does no I/O. Three kinds of threads use it:
 
     thread                      calls
@@ -8,7 +8,7 @@
     session (one, the writer)   connected, messages_due, advance
     any                         may_begin, version
 
-The reader replaces the immutable state in one assignment, so that the others read it without a lock.
+The reader replaces the immutable state in one assignment, so the others read it without a lock.
 """
 
 from __future__ import annotations
@@ -26,11 +26,11 @@
 from springspread.rollout.participant import Participant
 from springspread.rollout.protocol import Acting, Grant, Prepare, Vote
 
-REPORT_INTERVAL_MS = 1_000.0  # the policy acted under is reported this often, and when it changes
-MAX_TEXTS = 3  # the policy in force, the one that follows, and one that is proposed
-WAKE_MARGIN_MS = 0.2  # added to a wait for a moment, so that it has passed on waking
+REPORT_INTERVAL_MS = 1_000.0  # the policy is reported this often, and when it changes
+MAX_TEXTS = 3  # the policies in force, decided and proposed
+WAKE_MARGIN_MS = 0.2  # added to a wait, so that the time has passed on waking
 NOT_REPORTED = -1
-HOLDING = 0  # reported as the policy acted under while no call may begin
+HOLDING = 0  # the version that is reported while no call may begin
 
 
 class PolicyParticipant:
@@ -46,29 +46,29 @@
         self._texts: dict[int, str] = {}
         self._texts_lock = threading.Lock()  # the reader adds texts, the session drops them
         self._holding = False
-        self._unusable = 0  # the version whose fault was logged last
+        self._unusable = 0  # the latest version whose fault was logged
         self._replies: deque[Vote | Fit] = deque()
         self._reported = NOT_REPORTED
         self._reported_at = 0.0
         self._build_config: Callable[[str], Config] = _no_config
-        self._deliver: Callable[[NewPolicy], None] = _deliver_nowhere
+        self._deliver: Callable[[NewPolicy], None] = _discard_policy
 
     def follow(self, build_config: Callable[[str], Config], deliver: Callable[[NewPolicy], None]) -> None:
-        """Set what to use policies with, before the first connection.
+        """Set the callbacks for policies, before the first connection.
 
-        ``build_config`` makes a configuration of a policy's text or raises ``ConfigError``; ``deliver`` takes
-        each policy as it comes into force.
+        ``build_config`` makes a configuration from a policy's text or raises ``ConfigError``; ``deliver`` is
+        called with each policy that comes into force.
         """
         self._build_config, self._deliver = build_config, deliver
 
     def may_begin(self, version: int) -> bool:
-        """Whether a call that was decided under a policy may begin at this moment."""
+        """Whether a call that was decided under a policy may begin now."""
         return version == 0 or self._state.may_begin(version, self._clock.now())
 
     # Called by the session's thread
 
     def connected(self) -> None:
-        """A connection begins: replies to questions of the one before are dropped."""
+        """Handle a new connection: replies to messages of the previous one are dropped."""
         self._replies.clear()
         self._reported = NOT_REPORTED
         self._reported_at = 0.0
@@ -86,10 +86,10 @@
         return messages
 
     def advance(self, now: float) -> float:
-        """Follow the policy in force at ``now``; returns how long until another may be (milliseconds)."""
+        """Follow the policy in force at ``now``; returns the time until another may be (milliseconds)."""
         version = self._state.version(now)
         self._adopt(version)
-        self._note_holding(version)
+        self._update_holding(version)
         since = self._state.next_since(now)
         return IDLE_MS if since is None else max(since - now, 0.0) + WAKE_MARGIN_MS
 
@@ -109,8 +109,8 @@
             self._texts = {number: kept for number, kept in self._texts.items() if number > version}
         self._deliver(NewPolicy(version, config))
 
-    def _note_holding(self, version: int) -> None:
-        """Log the moments at which calls stop and go on; ``version``: the policy in force, 0 for none."""
+    def _update_holding(self, version: int) -> None:
+        """Log when calls stop and resume; ``version``: the policy in force, 0 for none."""
         holding = self.version > 0 and version != self.version
         if holding != self._holding:
             self._holding = holding
@@ -119,10 +119,10 @@
     # Called by the reader's thread
 
     def received(self, message: PolicyMessage) -> None:
-        """Take in a message of the daemon; replies are given by ``messages_due``."""
+        """Handle a message of the daemon; ``messages_due`` returns the replies."""
         match message:
             case Document(number, text):
-                self._keep_text(number, text)
+                self._store_text(number, text)
             case Grant():
                 self._state = participant.granted(self._state, message, self._clock.now())
             case Question(id, text):
@@ -145,7 +145,7 @@
             return str(exc)
         return ""
 
-    def _keep_text(self, number: int, text: str) -> None:
+    def _store_text(self, number: int, text: str) -> None:
         with self._texts_lock:
             self._texts = dict(sorted({**self._texts, number: text}.items())[-MAX_TEXTS:])
 
@@ -155,8 +155,8 @@
 
 
 def _no_config(text: str) -> Config:
-    raise ConfigError("policy: this process does not follow any yet")
+    raise ConfigError("policy: this process does not follow policies yet")
 
 
-def _deliver_nowhere(event: NewPolicy) -> None:
-    """Before ``follow`` there is nobody to take a policy."""
+def _discard_policy(event: NewPolicy) -> None:
+    """Used before ``follow``."""
--- a/tests/rollout/test_fleet.py
+++ b/tests/rollout/test_fleet.py
@@ -115,7 +115,7 @@
     calls = begun(fleet.daemon.folder)
     assert {call.policy for call in calls} == {1, 2} and mixtures(calls) == []
     assert fleet.propose(**calls_out(7))["version"] == 2  # asked again: the one answer
-    with pytest.raises(OrderRefused, match="no policy 9 held; there are 1, 2"):
+    with pytest.raises(OrderRefused, match="no policy 9 on record; there are 1, 2"):
         fleet.daemon.order({"do": "text", "version": 9})
 
 
@@ -128,10 +128,10 @@
     order = {"do": "check", "policy": read_fleet(fleet.file).policy(raw).text}
     asked = fleet.daemon.order(order)
     assert not asked["usable"] and asked["silent"] == [] and list(asked["refuse"]) == ["n000"]
-    assert asked["refuse"]["n000"].startswith("settings.classes: pay: messages of it are held here")
+    assert asked["refuse"]["n000"].startswith("settings.classes: pay: messages of it are pending here")
     answer = fleet.propose(classes=rest)
     assert answer["state"] == "refused" and answer["version"] == 2
-    assert answer["fault"].startswith("n000: settings.classes: pay: messages of it are held here")
+    assert answer["fault"].startswith("n000: settings.classes: pay: messages of it are pending here")
     assert fleet.propose(kinds=["other"])["fault"].startswith("settings.kinds: is read only at start-up")
     fleet.peer.answer_calls.set()
     until(lambda: fleet.all_act_under(1), "all go on under what holds")
