--- a/benchmarks/capacity/policy.py
+++ b/benchmarks/capacity/policy.py
@@ -78,7 +78,7 @@
             before, cpu, own = traffic.now, time.process_time(), asked("now")
             proposed_at = SYSTEM.now()
             proposal = changes.propose(Policy(settings, new, MODE))
-            proposal.taken.wait(FORCE_S)
+            proposal.answered.wait(FORCE_S)
             if proposal.fault:
                 return {"fault": f"refused: {proposal.fault[:80]}"}
             told = asked(f"policy {proposal.number} {FORCE_S}")
--- a/springspread/fleet/policy_changes.py
+++ b/springspread/fleet/policy_changes.py
@@ -48,13 +48,13 @@
 class Proposal:
     """A proposal, and the coordinator's answer.
 
-    ``taken`` is set once there is a ``number`` or, where it can't be voted on, a ``fault``.
+    ``answered`` is set once there is a ``number`` or, where it can't be voted on, a ``fault``.
     """
 
     policy: Policy
     number: int = 0
     fault: str = ""
-    taken: threading.Event = field(default_factory=threading.Event)
+    answered: threading.Event = field(default_factory=threading.Event)
 
 
 class Outcome(NamedTuple):
@@ -255,7 +255,7 @@
         except (PolicyError, ValueError, OSError) as exc:
             proposal.number, proposal.fault = 0, str(exc)
             step = (state, [])
-        proposal.taken.set()
+        proposal.answered.set()
         return step
 
     def _carry_out(self, step: Step) -> None:
--- a/springspread/fleet/policy_orders.py
+++ b/springspread/fleet/policy_orders.py
@@ -40,7 +40,7 @@
         number = self._latest
         if not number or self._changes.record.digests[number] != policy.digest:
             proposal = self._changes.propose(policy)
-            proposal.taken.wait(max(within_s, MIN_NUMBER_WAIT_S))  # the outcome is looked up by number
+            proposal.answered.wait(max(within_s, MIN_NUMBER_WAIT_S))  # the outcome is looked up by number
             if proposal.fault:
                 return {"state": "refused", "version": 0, "fault": proposal.fault}
             number = proposal.number
