--- a/springspread/fleet/control.py
+++ b/springspread/fleet/control.py
@@ -1,8 +1,8 @@
-"""The daemon's control socket: one JSON object a connection, ended by a newline, and one back.
+"""The daemon's control socket: each connection carries one order and its answer, JSON objects on a line each.
 
-Only the owner of the fleet's folder may open it. An order has a bound of bytes and of time. The rest of one
-that is longer is read and discarded, up to bounds of its own, so that its sender reads the refusal and not a
-broken pipe.
+Only the user that runs the daemon may connect. The size and the time of an order are bounded. The rest of one
+that is too long is read and discarded, up to a further bound, so that its sender receives the refusal instead
+of a broken pipe.
 """
 
 from __future__ import annotations
@@ -22,31 +22,31 @@
 from springspread.net.threads import spawn
 from springspread.rollout.document import MAX_POLICY_BYTES, oversize_message
 
-MAX_ORDER_BYTES = 2 * MAX_POLICY_BYTES + (1 << 16)  # a policy is a JSON string in it: a quote takes two bytes
+MAX_ORDER_BYTES = 2 * MAX_POLICY_BYTES + (1 << 16)  # a policy is a JSON string in it, with quotes escaped
 MAX_DISCARDED_BYTES = 2 * MAX_ORDER_BYTES
 READ_BYTES = 1 << 18
 SEND_BYTES = 1 << 16
-IDLE_S = 2.0  # the longest pause of a peer, in either direction
-ORDER_MS = 10_000.0  # the longest time for an order to arrive, and for the rest of one that is too long
-ANSWER_MS = 30_000.0  # the longest time for an answer to be read: the longest is a policy's text
+IDLE_TIMEOUT_S = 2.0  # in either direction
+ORDER_TIMEOUT_MS = 10_000.0  # for an order to arrive, and again for the rest of one that is too long
+ANSWER_TIMEOUT_MS = 30_000.0  # for an answer to be read; the longest is a policy's text
 BACKLOG = 16
 
 
 class OrderTooLarge(OrderRefused):
-    """An order over its bound."""
+    """An order over ``MAX_ORDER_BYTES``."""
 
 
 class ControlSocket:
-    """Takes orders, each on its own thread, until ``close``. Raises ``OSError`` where it can't listen."""
+    """Serves orders, each on its own thread, until ``close``. Raises ``OSError`` where it can't listen."""
 
     def __init__(
         self, path: Path, carry_out: Callable[[object], dict[str, Any]], log: Log, clock: Clock
     ) -> None:
-        """``carry_out`` takes a decoded order and gives its answer; it raises ``OrderRefused``."""
+        """``carry_out`` returns the answer to a decoded order or raises ``OrderRefused``."""
         self._carry_out, self._log, self._clock = carry_out, log, clock
         self._listener = socket.socket(socket.AF_UNIX)
         path.unlink(missing_ok=True)
-        mask = os.umask(0o177)  # nobody else may open it, not even for a moment
+        mask = os.umask(0o177)  # no other user may connect, not even before a chmod
         try:
             self._listener.bind(str(path))
         finally:
@@ -61,7 +61,7 @@
                 sock, _ = self._listener.accept()
             except OSError:
                 return
-            sock.settimeout(IDLE_S)
+            sock.settimeout(IDLE_TIMEOUT_S)
             spawn("fleet-order", partial(self._serve, sock), self._log, vital=False)
 
     def _serve(self, sock: socket.socket) -> None:
@@ -69,7 +69,7 @@
             try:
                 send_answer(sock, self._clock, json.dumps(self._answer(sock)).encode() + b"\n")
             except OSError as exc:
-                self._log.warning("order broken off", error=str(exc))
+                self._log.warning("order aborted", error=str(exc))
 
     def _answer(self, sock: socket.socket) -> dict[str, Any]:
         try:
@@ -78,20 +78,19 @@
             return {"ok": False, "fault": str(exc)}
 
     def close(self) -> None:
-        """Take no more orders; those that were taken get their answers."""
+        """Accept no more orders; accepted ones are still answered."""
         self._closed = True
-        with suppress(OSError):  # Guards against the thread that waits in ``accept``: it would take one more
+        with suppress(OSError):  # wakes the thread that waits in ``accept``
             self._listener.shutdown(socket.SHUT_RDWR)
         self._listener.close()
 
 
 def send_answer(sock: socket.socket, clock: Clock, line: bytes) -> None:
-    """Send an answer; raises ``OSError`` where its reader pauses for ``IDLE_S``, or takes over ``ANSWER_MS``.
+    """Send an answer; raises ``OSError`` after a pause of ``IDLE_TIMEOUT_S`` or ``ANSWER_TIMEOUT_MS`` in all.
 
-    Guards a long answer against ``sendall``, which takes the socket's timeout as its time for all bytes: a
-    busy machine's reader would get the answer's first part alone.
+    ``sendall`` applies the socket's timeout to the whole answer, so a slow reader would get only part of it.
     """
-    end = clock.now() + ANSWER_MS
+    end = clock.now() + ANSWER_TIMEOUT_MS
     unsent = memoryview(line)
     while unsent:
         unsent = unsent[sock.send(unsent[:SEND_BYTES]) :]
@@ -100,8 +99,8 @@
 
 
 def read_order(sock: socket.socket, clock: Clock) -> bytes:
-    """An order's bytes; raises ``OrderTooLarge``, or ``OSError`` where it does not arrive in time."""
-    end = clock.now() + ORDER_MS
+    """Read an order; raises ``OrderTooLarge``, or ``OSError`` where it does not arrive in time."""
+    end = clock.now() + ORDER_TIMEOUT_MS
     data = bytearray()
     while not data.endswith(b"\n"):
         received = sock.recv(READ_BYTES)
@@ -118,8 +117,8 @@
 
 
 def _discard(sock: socket.socket, clock: Clock, ended: bool) -> tuple[int, bool]:
-    """Read on to an order's end, within bounds; how many bytes came, and whether its end did."""
-    size, end = 0, clock.now() + ORDER_MS
+    """Discard the rest of an order, within bounds; returns the bytes read, and whether its end was."""
+    size, end = 0, clock.now() + ORDER_TIMEOUT_MS
     while not ended and size < MAX_DISCARDED_BYTES and clock.now() < end:
         try:
             received = sock.recv(READ_BYTES)
--- a/springspread/fleet/daemon.py
+++ b/springspread/fleet/daemon.py
@@ -93,7 +93,7 @@
         """Open the policy record; raises ``OrderRefused`` where it can't be used."""
         folder = self.folder / "policy"
         try:
-            changes = PolicyChanges(folder, configured, self._log, self._clock, self._plan.times)
+            changes = PolicyChanges(folder, configured, self._log, self._clock, self._plan.policy_timings)
             in_force = changes.record.history.in_force
             for name in names:
                 if (started := policy_started_with(self.folder / name)) > in_force:
--- a/springspread/fleet/instance_files.py
+++ b/springspread/fleet/instance_files.py
@@ -1,4 +1,4 @@
-"""Reads the folder of one instance for the daemon: its configuration, journal and log."""
+"""Reads an instance's folder for the daemon: its configuration, journal and log."""
 
 from __future__ import annotations
 
@@ -11,38 +11,38 @@
 
 from springspread.core.journal_ownership import read_pending
 
-LOG_BYTES = 4 << 20
-LOG_TAIL_BYTES = 1 << 18  # the ready line is searched for in the last part of a log
+MAX_LOG_BYTES = 4 << 20
+LOG_TAIL_BYTES = 1 << 18  # the end of a log, which is searched for the ready line
 
 
-def policy_started_with(place: Path) -> int:
-    """The number of the policy that its configuration was last written for; 0 where it names none."""
+def policy_started_with(folder: Path) -> int:
+    """The number of the policy in its configuration; 0 where it names none."""
     try:
-        return int(json.loads((place / "config.json").read_text()).get("policy", 0))
+        return int(json.loads((folder / "config.json").read_text()).get("policy", 0))
     except (OSError, ValueError, TypeError, AttributeError):
         return 0
 
 
-def pending_messages(place: Path) -> int:
-    """How many messages without an end its journal holds; 1 where it can't be read at the moment."""
-    if not (state := place / "state").is_dir():
+def pending_messages(folder: Path) -> int:
+    """The number of messages pending in its journal; 1 where it can't be read at the moment."""
+    if not (state := folder / "state").is_dir():
         return 0
-    with suppress(OSError):  # its process clears files away
+    with suppress(OSError):  # its process deletes files
         return len(read_pending(state))
     return 1
 
 
-def first_deadline(place: Path) -> float:
-    """The first deadline of its pending messages (Unix time, ms); inf where it has none."""
+def first_deadline(folder: Path) -> float:
+    """The earliest deadline of its pending messages (Unix time, ms); inf where there is none."""
     with suppress(OSError):
-        pending = read_pending(place / "state")
+        pending = read_pending(folder / "state")
         return min((message.deadline_wall for message in pending.values()), default=inf)
     return inf
 
 
-def listen_address(place: Path, pid: int) -> str:
+def listen_address(folder: Path, pid: int) -> str:
     """The ``host:port`` in the ready line that its process logged; empty where there is none yet."""
-    log = place / "log"
+    log = folder / "log"
     try:
         with log.open("rb") as source:
             source.seek(max(log.stat().st_size - LOG_TAIL_BYTES, 0))
@@ -57,10 +57,10 @@
     return ""
 
 
-def rotate_log(place: Path) -> None:
-    """Move a log over ``LOG_BYTES`` to ``log.1``, in place of the one there, and empty it."""
-    log = place / "log"
+def rotate_log(folder: Path) -> None:
+    """Copy a log over ``MAX_LOG_BYTES`` to ``log.1`` and truncate it."""
+    log = folder / "log"
     with suppress(FileNotFoundError):
-        if log.stat().st_size > LOG_BYTES:
+        if log.stat().st_size > MAX_LOG_BYTES:
             shutil.copyfile(log, log.with_suffix(".1"))
-            os.truncate(log, 0)  # its process opened it to append, so it goes on at the beginning
+            os.truncate(log, 0)  # its process appends, so it continues at offset 0
--- a/springspread/fleet/launcher.py
+++ b/springspread/fleet/launcher.py
@@ -1,4 +1,4 @@
-"""Starts the process of an instance: its configuration, its environment, its log."""
+"""Starts an instance's process with its configuration, environment and log."""
 
 from __future__ import annotations
 
@@ -15,15 +15,15 @@
 from springspread.fleet.plan import FleetPlan
 from springspread.rollout.document import Policy
 
-SEED_STEP = 7919  # between the seeds of instances
+SEED_STEP = 7919  # between the seeds of two instances
 SEED_RANGE = 1 << 63
 FLEET_ID_CHARS = 16
-OWN_VARIABLES = ("RELAY_", "SPRINGSPREAD_")  # of the daemon; only what sets its log is handed on
+DAEMON_PREFIXES = ("RELAY_", "SPRINGSPREAD_")  # of variables that are not inherited, except for logging
 
 
 @dataclass(frozen=True, slots=True)
 class Start:
-    """One start of an instance: ``emptying`` without clients, until its journal holds nothing."""
+    """One start of an instance; ``emptying``: without clients, until its journal is empty."""
 
     name: str
     epoch: int
@@ -33,44 +33,47 @@
 
 
 def fleet_id(folder: Path) -> str:
-    """What tells a fleet from others: the same for each daemon of its folder."""
+    """An identifier of the fleet, the same for each daemon of its folder."""
     return sha256(str(folder.resolve()).encode()).hexdigest()[:FLEET_ID_CHARS]
 
 
 class Launcher:
-    """Makes processes of instances. What one needs beside the fleet's files comes from ``own_settings``."""
+    """Starts instances' processes."""
 
     def __init__(
         self,
         plan: FleetPlan,
         base: Mapping[str, Any],
         program: str,
-        own_settings: Callable[[str], dict[str, Any]],
+        instance_settings: Callable[[str], dict[str, Any]],
         daemon_socket: Callable[[str], Path],
     ) -> None:
-        """``base``: the decoded configuration; ``program``: the module to run; callables take a name."""
+        """``base``: the shared configuration; ``program``: the module to run; the callables take a name.
+
+        ``instance_settings`` returns additional configuration of one instance.
+        """
         self._plan, self._base, self._program = plan, base, program
-        self._own_settings, self._meeting_point = own_settings, daemon_socket
+        self._instance_settings, self._daemon_socket = instance_settings, daemon_socket
 
     def prepare(self, start: Start) -> None:
         """Write the instance's configuration. Raises ``OSError``."""
-        place = self._plan.folder / start.name
-        (place / "state").mkdir(parents=True, exist_ok=True)
-        (place / "config.json").write_text(json.dumps(self._configuration(start, place)))
+        instance_folder = self._plan.folder / start.name
+        (instance_folder / "state").mkdir(parents=True, exist_ok=True)
+        (instance_folder / "config.json").write_text(json.dumps(self._configuration(start, instance_folder)))
 
     def launch(self, start: Start) -> subprocess.Popen[bytes]:
-        """Start the process, after ``prepare`` and once its epoch is on record. Raises ``OSError``."""
-        place = self._plan.folder / start.name
-        with (place / "log").open("ab") as log:
+        """Start the process, after ``prepare`` and once its epoch is recorded. Raises ``OSError``."""
+        instance_folder = self._plan.folder / start.name
+        with (instance_folder / "log").open("ab") as log:
             return subprocess.Popen(
                 [sys.executable, "-m", self._program],
-                env=self._environment(start, place),
+                env=self._environment(start, instance_folder),
                 stdin=subprocess.DEVNULL,
                 stderr=log,
                 start_new_session=True,
             )
 
-    def _configuration(self, start: Start, place: Path) -> dict[str, Any]:
+    def _configuration(self, start: Start, instance_folder: Path) -> dict[str, Any]:
         number = int(start.name[1:])
         fixed_port = self._plan.first_port and not start.emptying
         port = self._plan.first_port + number if fixed_port else 0
@@ -80,23 +83,23 @@
             "name": start.name,
             "listen": f"{self._plan.host}:{port}",
             "epoch": start.epoch,
-            "state": str(place / "state"),
+            "state": str(instance_folder / "state"),
             "seed": f"{seed % SEED_RANGE:x}",
             "recovery": self._plan.recovery.waits,
-            **self._own_settings(start.name),
+            **self._instance_settings(start.name),
             "settings": start.policy.settings,
             "policy": start.policy_number,
         }
 
-    def _environment(self, start: Start, place: Path) -> dict[str, str]:
+    def _environment(self, start: Start, instance_folder: Path) -> dict[str, str]:
         inherited = {
             key: value
             for key, value in os.environ.items()
-            if not key.startswith(OWN_VARIABLES) or "_LOG_" in key
+            if not key.startswith(DAEMON_PREFIXES) or "_LOG_" in key
         }
         return inherited | {
-            "RELAY_CONFIG": str(place / "config.json"),
-            "SPRINGSPREAD_FLEET": str(self._meeting_point(start.name)),
+            "RELAY_CONFIG": str(instance_folder / "config.json"),
+            "SPRINGSPREAD_FLEET": str(self._daemon_socket(start.name)),
             "SPRINGSPREAD_INSTANCE": start.name,
             "SPRINGSPREAD_EPOCH": str(start.epoch),
             "SPRINGSPREAD_POLICY": str(start.policy_number),
--- a/springspread/fleet/plan.py
+++ b/springspread/fleet/plan.py
@@ -1,4 +1,4 @@
-"""The operator file of a fleet (TOML), checked whole: each fault names its file and key."""
+"""The operator's file of a fleet (TOML); each error names its file and key."""
 
 from __future__ import annotations
 
@@ -15,16 +15,16 @@
 from springspread.rollout.document import MAX_LIMITS, Policy, PolicyTooLarge, check_bounds
 from springspread.validation import PlanError, StrictModel, format_errors, read_toml
 
-Name = Annotated[str, Field(pattern=r"^[gr][A-Za-z0-9/._-]{1,100}$")]
+LimitKey = Annotated[str, Field(pattern=r"^[gr][A-Za-z0-9/._-]{1,100}$")]
 Mode = Annotated[LimitMode, BeforeValidator(LimitMode.named)]
 
 
 class PlanTooLarge(PlanError):
-    """A file that is over a bound of its size; the text names the key and the bound."""
+    """A file over a size bound; the message names the key and the bound."""
 
 
 class LimitEntry(StrictModel):
-    """So many calls in any span, whatever number of instances makes them."""
+    """At most ``calls`` in any ``span_ms``, over all instances."""
 
     calls: Annotated[int, Field(ge=1, le=MAX_CALLS)]
     span_ms: Annotated[float, Field(ge=MIN_SPAN_MS, le=MAX_SPAN_MS)] = 2_000.0
@@ -32,12 +32,12 @@
 
     @property
     def limit(self) -> Limit:
-        """As the policy and the allocator take it."""
+        """As used by the policy and the allocator."""
         return Limit(self.calls, self.span_ms, self.mode)
 
 
 class Restarts(StrictModel):
-    """How soon instances that died are started again."""
+    """The backoff of restarts, and the time to stop."""
 
     first_ms: Annotated[float, Field(ge=10.0, le=60_000.0)] = 100.0
     most_ms: Annotated[float, Field(ge=100.0, le=600_000.0)] = 10_000.0
@@ -46,14 +46,14 @@
 
 
 class PolicyTimes(StrictModel):
-    """How long a right to act lasts while nobody renews it, and how long votes may take."""
+    """The length of a grant, and the timeout for votes."""
 
     lease_ms: Annotated[float, Field(ge=1_000.0, le=600_000.0)] = 5_000.0
     vote_ms: Annotated[float, Field(ge=50.0, le=60_000.0)] = 300.0
 
 
 class Recovery(StrictModel):
-    """The longest wait in each stage of a start (``core.startup_stages``), and how many start at once."""
+    """The timeout of each startup stage (``core.startup_stages``), and how many instances start at once."""
 
     clock_ms: Annotated[float, Field(ge=0.0, le=600_000.0)] = 2_000.0
     policy_ms: Annotated[float, Field(ge=0.0, le=600_000.0)] = 3_000.0
@@ -63,35 +63,37 @@
 
     @property
     def waits(self) -> dict[str, float]:
-        """As an instance's configuration has them."""
+        """The timeouts, as in an instance's configuration."""
         return {key: value for key, value in self.model_dump().items() if key != "at_once"}
 
 
 class FleetPlan(StrictModel):
-    """A fleet: its folder, its size, the configuration that instances share, and the limits that bind all."""
+    """A fleet: its folder, its size, and the configuration and limits that its instances share."""
 
     folder: Path = Field(strict=False)
     config: Path = Field(strict=False)
     instances: Annotated[int, Field(ge=0, le=1000)] = 2
     host: str = "127.0.0.1"
     first_port: Annotated[int, Field(ge=0, le=65_000)] = 0
-    limits: dict[Name, LimitEntry] = Field(default_factory=dict)
-    default_mode: Mode = LimitMode.EXACT  # of a destination that a sender knows nothing of
+    limits: dict[LimitKey, LimitEntry] = Field(default_factory=dict)
+    default_mode: Mode = LimitMode.EXACT  # for destinations that are unknown to a sender
     restarts: Restarts = Restarts()
     policy_times: PolicyTimes = PolicyTimes()
     recovery: Recovery = Recovery()
 
     @property
-    def times(self) -> Timings:
-        """As the machine of a change of policy takes them."""
-        told = self.policy_times
-        return Timings(told.lease_ms, told.vote_ms, cut_ms=told.vote_ms + 200.0)
+    def policy_timings(self) -> Timings:
+        """As used by the policy coordinator."""
+        configured = self.policy_times
+        return Timings(configured.lease_ms, configured.vote_ms, cut_ms=configured.vote_ms + 200.0)
 
     def policy(self, base: Mapping[str, Any]) -> Policy:
-        """What the files ask for, given the decoded configuration. Raises ``PlanTooLarge``."""
+        """The policy of the files, given the decoded configuration. Raises ``PlanTooLarge``."""
         settings = base.get("settings")
         with collector_paused():
-            policy = Policy(settings if isinstance(settings, dict) else {}, self.shared, self.default_mode)
+            policy = Policy(
+                settings if isinstance(settings, dict) else {}, self.shared_limits, self.default_mode
+            )
             try:
                 check_bounds(policy)
             except PolicyTooLarge as exc:
@@ -100,25 +102,25 @@
 
     @property
     def restart_timings(self) -> RestartTimings:
-        """As the members' machine takes them."""
+        """As used by ``members``."""
         return RestartTimings(**self.restarts.model_dump())
 
     @property
-    def shared(self) -> dict[str, Limit]:
-        """As the allocator takes them."""
+    def shared_limits(self) -> dict[str, Limit]:
+        """The limits as used by the allocator, by key."""
         return {key: entry.limit for key, entry in self.limits.items()}
 
 
-PARTS = {
+TABLE_KEYS = {
     "restarts": tuple(Restarts.model_fields),
     "policy_times": tuple(PolicyTimes.model_fields),
     "recovery": tuple(Recovery.model_fields),
 }
-"""The keys of the file's tables, for whoever meant another one."""
+"""The keys of each table, for suggestions on misspelt ones."""
 
 
 def read_fleet(path: Path) -> FleetPlan:
-    """Read an operator file; raises ``PlanError``. Relative paths count from the file's folder."""
+    """Read an operator's file; raises ``PlanError``. Relative paths are relative to the file's folder."""
     try:
         with collector_paused():
             raw = read_toml(path)
@@ -127,7 +129,7 @@
     except OSError as exc:
         raise PlanError(f"{path}: {exc.strerror}") from exc
     except ValidationError as exc:
-        lines = format_errors(exc, list(FleetPlan.model_fields), PARTS).splitlines()
+        lines = format_errors(exc, list(FleetPlan.model_fields), TABLE_KEYS).splitlines()
         raise PlanError("\n".join(f"{path}: {line}" for line in lines)) from exc
     except ValueError as exc:
         raise PlanError(f"{path}: not TOML: {exc}") from exc
@@ -136,6 +138,6 @@
 
 
 def _check_count(path: Path, limits: object) -> None:
-    """Guards the time that it takes to check each limit of a file that has too many."""
+    """Raise before each limit is checked, which takes long for too many of them."""
     if isinstance(limits, dict) and len(limits) > MAX_LIMITS:
         raise PlanTooLarge(f"{path}: limits: there are {len(limits):,}; the bound is {MAX_LIMITS:,}")
--- a/springspread/fleet/status.py
+++ b/springspread/fleet/status.py
@@ -1,6 +1,6 @@
-"""Reports on each instance: its process, its place in the fleet, and its recovery after a start.
+"""Reports on each instance: its process, its membership, and its recovery after a start.
 
-Each is a JSON object, as the command line reads it. Times are milliseconds unless a key ends with ``_s``.
+Each report is a JSON object. Times are milliseconds unless a key ends with ``_s``.
 """
 
 from __future__ import annotations
@@ -12,7 +12,7 @@
 
 
 def instance_status(row: Row, connected: bool, policy: int, now: float) -> dict[str, Any]:
-    """One instance. ``connected``: its process is, to the allocator; ``policy``: the number it acts under."""
+    """One instance. ``connected``: to the allocator; ``policy``: the number of the one it acts under."""
     return {
         "name": row.name,
         "want": row.desired.value,
@@ -27,7 +27,7 @@
 
 
 def recovery_status(row: Row, report: Returning, now: float) -> dict[str, Any]:
-    """How far the recovery of an instance has come, by its own last report."""
+    """The recovery progress of an instance, by its latest report."""
     return {
         "name": row.name,
         "want": row.desired.value,
@@ -41,7 +41,7 @@
 
 
 def unreported_recovery(row: Row, pending: int, now: float) -> dict[str, Any]:
-    """The same for an instance that has not reported; ``pending``: messages without an end in its journal."""
+    """The same for an instance that has not reported; ``pending``: messages in its journal."""
     return {
         "name": row.name,
         "want": row.desired.value,
@@ -55,7 +55,7 @@
 
 
 def _expected_s(report: Returning, up_ms: float) -> float | None:
-    """Seconds until its pending messages have ended, at the pace so far; ``None`` where none has yet."""
+    """Seconds until its pending messages have ended, at the rate so far; ``None`` where none has ended."""
     if not report.owed:
         return 0.0
     ended = report.at_start - report.owed
--- a/tests/fleet/test_orders.py
+++ b/tests/fleet/test_orders.py
@@ -115,7 +115,7 @@
 
 def test_a_long_answer_has_time_for_a_slow_reader(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
     """The reader pauses for less than the longest pause each time, and for more than it in all."""
-    monkeypatch.setattr(control_module, "IDLE_S", 1.0)
+    monkeypatch.setattr(control_module, "IDLE_TIMEOUT_S", 1.0)
     policy = "x" * 3_000_000
     control = ControlSocket(tmp_path / "control", lambda order: {"policy": policy}, NullLog(), SYSTEM)
     answer = bytearray()
@@ -131,7 +131,7 @@
 
 
 def test_an_answer_that_nobody_reads_is_given_up(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(control_module, "ANSWER_MS", 0.0)
+    monkeypatch.setattr(control_module, "ANSWER_TIMEOUT_MS", 0.0)
     here, there = socket.socketpair()
     here.settimeout(0.01)
     with here, there:
@@ -154,7 +154,7 @@
             sock.close()
 
         serve_connections(listener, answer_in_part)
-        with pytest.raises(ConnectionError, match="broke off after 11 bytes"):
+        with pytest.raises(ConnectionError, match="truncated after 11 bytes"):
             send_order(tmp_path / "control", {"do": "status"})
 
 
--- a/tests/fleet/test_plan.py
+++ b/tests/fleet/test_plan.py
@@ -36,8 +36,8 @@
 mode = "adaptive"
 """,
     )
-    assert plan.shared == {"g1": Limit(5, 2000.0), "g2": Limit(6, 2000.0, LimitMode.ADAPTIVE)}
-    assert plan.policy({}).limits == plan.shared and plan.policy({}).default_mode is LimitMode.ADAPTIVE
+    assert plan.shared_limits == {"g1": Limit(5, 2000.0), "g2": Limit(6, 2000.0, LimitMode.ADAPTIVE)}
+    assert plan.policy({}).limits == plan.shared_limits and plan.policy({}).default_mode is LimitMode.ADAPTIVE
     assert read(tmp_path, "").default_mode is LimitMode.EXACT
 
 
@@ -101,4 +101,4 @@
     file.write_text('folder = "fleet"\nconfig = "sender.json"\n' + example)
     plan = read_fleet(file)
     assert plan.default_mode is LimitMode.ADAPTIVE
-    assert plan.shared == {"g7": Limit(40, 2000.0, LimitMode.ADAPTIVE), "g8": Limit(4, 2000.0)}
+    assert plan.shared_limits == {"g7": Limit(40, 2000.0, LimitMode.ADAPTIVE), "g8": Limit(4, 2000.0)}
