--- a/tests/fleet/test_limits_regressions.py
+++ b/tests/fleet/test_limits_regressions.py
@@ -337,7 +337,7 @@
     monkeypatch.setattr(
         os, "write", lambda file, data: real_write(file, data[: len(data) // 2])
     )  # a full disk
-    with pytest.raises(OSError, match="not complete on disk"):
+    with pytest.raises(OSError, match="partial write"):
         record.append([Lease(2, ("n0", 1), "g1", 1, 200.0)], 1.0)
     monkeypatch.undo()
     record.append([Lease(3, ("n0", 1), "g1", 1, 200.0)], 2.0)
