--- a/tests/fleet/test_daemon.py
+++ b/tests/fleet/test_daemon.py
@@ -1,4 +1,4 @@
-"""The daemon with real instances: started, killed, scaled, rolled, adopted, and their journals emptied."""
+"""The daemon with real instances: starts, kills, scaling, rolls, adoption and the emptying of journals."""
 
 from __future__ import annotations
 
@@ -35,8 +35,8 @@
 """
 
 
-class Place:
-    """A fleet's file and its daemon."""
+class DaemonHarness:
+    """A fleet with its file and its daemon."""
 
     def __init__(self, folder: Path) -> None:
         self.folder, self.peer = folder, Peer()
@@ -53,7 +53,7 @@
         rows = self.rows().values()
         return [row["name"] for row in rows if row["want"] == "serving" and row["listen"] and row["in_fleet"]]
 
-    def hand_in(self, name: str, id: str, cls: str = "note") -> int:
+    def submit(self, name: str, id: str, cls: str = "note") -> int:
         host, _, port = self.rows()[name]["listen"].rpartition(":")
         connection = http.client.HTTPConnection(host, int(port), timeout=5.0)
         headers = {"X-Correlation-Id": id, "X-Service-Class": cls, "X-Consignee": "dest=7"}
@@ -64,59 +64,59 @@
 
 
 @pytest.fixture
-def place(tmp_path: Path) -> Iterator[Place]:
-    made = Place(tmp_path)
+def harness(tmp_path: Path) -> Iterator[DaemonHarness]:
+    made = DaemonHarness(tmp_path)
     until(lambda: made.serving() == ["n000", "n001"], "both serve")
     yield made
     made.peer.answer_calls.set()
     for row in made.rows().values():
         if row["in_fleet"]:
-            os.kill(row["pid"], signal.SIGKILL)  # an orderly end takes a second, and is not tested here
+            os.kill(row["pid"], signal.SIGKILL)  # faster than a graceful stop
     made.daemon.stop()
     made.peer.close()
 
 
-def test_a_killed_instance_is_started_again_and_tells_what_it_owes(place: Place) -> None:
-    place.peer.answer_calls.clear()
-    assert place.hand_in("n000", "owed-1") in (200, 202)
-    before = place.rows()["n000"]
+def test_killed_instance_restarts_and_delivers_its_pending_messages(harness: DaemonHarness) -> None:
+    harness.peer.answer_calls.clear()
+    assert harness.submit("n000", "pending-1") in (200, 202)
+    before = harness.rows()["n000"]
     os.kill(before["pid"], signal.SIGKILL)
-    until(lambda: place.rows()["n000"]["epoch"] == before["epoch"] + 1, "its next start")
-    until(lambda: place.serving() == ["n000", "n001"], "both serve again")
-    place.peer.answer_calls.set()
-    until(lambda: any(id == "owed-1" for _, id, _ in place.peer.calls), "its message goes out")
-    assert place.rows()["n000"]["deaths"] == 1
-
-
-def test_one_that_leaves_has_what_it_owes_delivered_and_is_gone(place: Place) -> None:
-    place.peer.answer_calls.clear()
-    assert place.hand_in("n001", "owed-2") in (200, 202)
-    os.kill(place.rows()["n001"]["pid"], signal.SIGKILL)
-    place.daemon.order({"do": "scale", "count": 1})
-    place.peer.answer_calls.set()
-    until(lambda: set(place.rows()) == {"n000"}, "it is gone")
-    assert "owed-2" in {id for _, id, _ in place.peer.calls}
-    assert not (place.daemon.folder / "n001").exists()
-
-
-def test_a_new_daemon_adopts_what_runs(place: Place) -> None:
-    before = {name: (row["pid"], row["epoch"]) for name, row in place.rows().items()}
-    place.daemon.detach()
-    place.daemon = Daemon(read_fleet(place.file), NullLog())
-    until(lambda: place.serving() == ["n000", "n001"], "both are in the fleet again")
-    assert {name: (row["pid"], row["epoch"]) for name, row in place.rows().items()} == before
-    assert place.hand_in("n000", "after") in (200, 202)
-    until(lambda: "after" in {id for _, id, _ in place.peer.calls}, "it has a lease of the new allocator")
-
-
-def test_a_daemon_that_is_killed_stops_nobody_and_the_next_one_goes_on(place: Place) -> None:
-    place.daemon.stop()
-    line = [sys.executable, "-m", "springspread.cli", "fleet", "run", str(place.file)]
+    until(lambda: harness.rows()["n000"]["epoch"] == before["epoch"] + 1, "its next start")
+    until(lambda: harness.serving() == ["n000", "n001"], "both serve again")
+    harness.peer.answer_calls.set()
+    until(lambda: any(id == "pending-1" for _, id, _ in harness.peer.calls), "its message goes out")
+    assert harness.rows()["n000"]["deaths"] == 1
+
+
+def test_leaving_instance_delivers_its_pending_messages_and_is_dropped(harness: DaemonHarness) -> None:
+    harness.peer.answer_calls.clear()
+    assert harness.submit("n001", "pending-2") in (200, 202)
+    os.kill(harness.rows()["n001"]["pid"], signal.SIGKILL)
+    harness.daemon.order({"do": "scale", "count": 1})
+    harness.peer.answer_calls.set()
+    until(lambda: set(harness.rows()) == {"n000"}, "it is gone")
+    assert "pending-2" in {id for _, id, _ in harness.peer.calls}
+    assert not (harness.daemon.folder / "n001").exists()
+
+
+def test_new_daemon_adopts_running_instances(harness: DaemonHarness) -> None:
+    before = {name: (row["pid"], row["epoch"]) for name, row in harness.rows().items()}
+    harness.daemon.detach()
+    harness.daemon = Daemon(read_fleet(harness.file), NullLog())
+    until(lambda: harness.serving() == ["n000", "n001"], "both are in the fleet again")
+    assert {name: (row["pid"], row["epoch"]) for name, row in harness.rows().items()} == before
+    assert harness.submit("n000", "after") in (200, 202)
+    until(lambda: "after" in {id for _, id, _ in harness.peer.calls}, "it has a lease of the new allocator")
+
+
+def test_instances_outlive_a_killed_daemon_and_the_next_one_stops_them(harness: DaemonHarness) -> None:
+    harness.daemon.stop()
+    line = [sys.executable, "-m", "springspread.cli", "fleet", "run", str(harness.file)]
     first = subprocess.Popen(line, stderr=subprocess.DEVNULL)
 
     def status() -> list[dict[str, Any]]:
         done = subprocess.run(
-            [*line[:-2], "status", str(place.file), "--json"], capture_output=True, text=True, timeout=30.0
+            [*line[:-2], "status", str(harness.file), "--json"], capture_output=True, text=True, timeout=30.0
         )
         rows: list[dict[str, Any]] = json.loads(done.stdout) if done.returncode == 0 else []
         return rows if all(row["in_fleet"] for row in rows) else []
@@ -134,63 +134,63 @@
     assert not any(process_start_ticks(pid) for pid in pids)
 
 
-def test_half_the_fleet_killed_within_a_second_comes_back(place: Place) -> None:
-    place.daemon.order({"do": "scale", "count": 6})
-    until(lambda: len(place.serving()) == 6, "six serve")
-    before = {name: row["pid"] for name, row in place.rows().items()}
+def test_half_the_fleet_restarts_after_being_killed(harness: DaemonHarness) -> None:
+    harness.daemon.order({"do": "scale", "count": 6})
+    until(lambda: len(harness.serving()) == 6, "six serve")
+    before = {name: row["pid"] for name, row in harness.rows().items()}
     for name in list(before)[::2]:
         os.kill(before[name], signal.SIGKILL)
 
-    def back() -> bool:
-        return len(place.serving()) == 6 and sum(row["deaths"] for row in place.rows().values()) == 3
+    def recovered() -> bool:
+        return len(harness.serving()) == 6 and sum(row["deaths"] for row in harness.rows().values()) == 3
 
-    until(back, "all six serve")
-    after = {name: row["pid"] for name, row in place.rows().items()}
+    until(recovered, "all six serve")
+    after = {name: row["pid"] for name, row in harness.rows().items()}
     assert [after[name] == before[name] for name in before] == [False, True] * 3
 
 
-def test_an_adopter_that_is_killed_is_followed_by_another(place: Place) -> None:
-    place.peer.answer_calls.clear()
-    assert place.hand_in("n001", "owed-3") in (200, 202)
-    os.kill(place.rows()["n001"]["pid"], signal.SIGKILL)
-    place.daemon.order({"do": "drain", "name": "n001"})
-    epoch = place.rows()["n001"]["epoch"]
+def test_killed_emptying_process_is_replaced(harness: DaemonHarness) -> None:
+    harness.peer.answer_calls.clear()
+    assert harness.submit("n001", "pending-3") in (200, 202)
+    os.kill(harness.rows()["n001"]["pid"], signal.SIGKILL)
+    harness.daemon.order({"do": "drain", "name": "n001"})
+    epoch = harness.rows()["n001"]["epoch"]
 
     def emptied() -> bool:
-        row = place.rows()["n001"]
+        row = harness.rows()["n001"]
         return bool(row["pid"]) and row["epoch"] > epoch
 
     until(emptied, "its folder is being emptied")
-    os.kill(place.rows()["n001"]["pid"], signal.SIGKILL)
-    until(lambda: place.rows()["n001"]["epoch"] > epoch + 1, "another process empties it")
-    place.peer.answer_calls.set()
-    until(lambda: "n001" not in place.rows(), "it is gone")
-    assert "owed-3" in {id for _, id, _ in place.peer.calls}
+    os.kill(harness.rows()["n001"]["pid"], signal.SIGKILL)
+    until(lambda: harness.rows()["n001"]["epoch"] > epoch + 1, "another process empties it")
+    harness.peer.answer_calls.set()
+    until(lambda: "n001" not in harness.rows(), "it is gone")
+    assert "pending-3" in {id for _, id, _ in harness.peer.calls}
 
 
-def test_one_that_is_frozen_does_not_outlive_its_leaving(place: Place) -> None:
-    pid = place.rows()["n001"]["pid"]
+def test_frozen_instance_is_killed_when_it_leaves(harness: DaemonHarness) -> None:
+    pid = harness.rows()["n001"]["pid"]
     os.kill(pid, signal.SIGSTOP)
-    place.daemon.order({"do": "drain", "name": "n001"})
-    until(lambda: "n001" not in place.rows(), "it is killed and gone")
+    harness.daemon.order({"do": "drain", "name": "n001"})
+    until(lambda: "n001" not in harness.rows(), "it is killed and gone")
     assert not Path(f"/proc/{pid}").exists()
 
 
-def test_a_roll_restarts_all_one_after_the_other(place: Place) -> None:
-    place.daemon.order({"do": "roll"})
+def test_roll_restarts_instances_one_at_a_time(harness: DaemonHarness) -> None:
+    harness.daemon.order({"do": "roll"})
 
     def rolled() -> bool:
-        rows = place.rows()
+        rows = harness.rows()
         assert sum(not row["pid"] for row in rows.values()) <= 1
-        return [row["epoch"] for row in rows.values()] == [2, 2] and len(place.serving()) == 2
+        return [row["epoch"] for row in rows.values()] == [2, 2] and len(harness.serving()) == 2
 
     until(rolled, "both are at their second start")
-    assert all(row["deaths"] == 0 for row in place.rows().values())
+    assert all(row["deaths"] == 0 for row in harness.rows().values())
 
 
-def test_two_daemons_on_one_file_and_orders_that_are_wrong(place: Place) -> None:
+def test_second_daemon_and_invalid_orders_are_refused(harness: DaemonHarness) -> None:
     with pytest.raises(OrderRefused, match="another daemon runs this fleet"):
-        Daemon(read_fleet(place.file), NullLog())
+        Daemon(read_fleet(harness.file), NullLog())
     for order, fault in (
         ({"do": "dance"}, "no such order"),
         ([], "must be an object"),
@@ -198,23 +198,23 @@
         ({"do": "drain", "name": "n9"}, "no such instance: n9; there are n000, n001"),
     ):
         with pytest.raises(OrderRefused, match=fault):
-            place.daemon.order(order)
-    assert stat.S_IMODE((place.daemon.folder / "control").stat().st_mode) == 0o600
+            harness.daemon.order(order)
+    assert stat.S_IMODE((harness.daemon.folder / "control").stat().st_mode) == 0o600
 
 
-def test_the_command_line_gives_orders(place: Place) -> None:
+def test_command_line_sends_orders(harness: DaemonHarness) -> None:
     def ask(*args: str) -> subprocess.CompletedProcess[str]:
         line = [sys.executable, "-m", "springspread.cli", "fleet", *args]
         return subprocess.run(line, capture_output=True, text=True, timeout=30.0)
 
-    rows = json.loads(ask("status", str(place.file), "--json").stdout)
+    rows = json.loads(ask("status", str(harness.file), "--json").stdout)
     assert [row["name"] for row in rows] == ["n000", "n001"]
-    assert "n001" in ask("restart", str(place.file), "n001").stdout
-    faulty = ask("drain", str(place.file), "n7")
+    assert "n001" in ask("restart", str(harness.file), "n001").stdout
+    faulty = ask("drain", str(harness.file), "n7")
     assert faulty.returncode == 1 and "no such instance: n7" in faulty.stderr
 
 
-def test_a_faulty_operator_file_is_refused_with_its_keys(tmp_path: Path) -> None:
+def test_invalid_operator_file_is_refused_with_its_keys(tmp_path: Path) -> None:
     file = tmp_path / "fleet.toml"
     file.write_text('folder = "f"\nconfg = "c"\ninstances = 2000\n[limits.x]\ncalls = 0\n')
     with pytest.raises(PlanError) as caught:
@@ -224,7 +224,7 @@
     assert "config: Field required" in text and "instances: " in text and "limits.x" in text
 
 
-def test_the_example_under_deploy_starts_as_it_stands(tmp_path: Path) -> None:
+def test_deploy_example_starts(tmp_path: Path) -> None:
     deploy = Path(__file__).parents[2] / "deploy"
     (tmp_path / "deploy").mkdir()
     for name in ("fleet.toml", "sender.json"):
@@ -240,12 +240,12 @@
     daemon.stop()
 
 
-def test_a_new_daemon_knows_where_an_instance_with_a_long_log_listens(place: Place) -> None:
-    before = {name: row["listen"] for name, row in place.rows().items()}
-    place.daemon.detach()
+def test_new_daemon_knows_the_address_of_an_instance_with_a_long_log(harness: DaemonHarness) -> None:
+    before = {name: row["listen"] for name, row in harness.rows().items()}
+    harness.daemon.detach()
     for name in before:
-        with (place.daemon.folder / name / "log").open("ab") as log:
+        with (harness.daemon.folder / name / "log").open("ab") as log:
             log.write(b'{"event": "other"}\n' * 20_000)
-    place.daemon = Daemon(read_fleet(place.file), NullLog())
-    until(lambda: place.serving() == ["n000", "n001"], "both are in the fleet again")
-    assert {name: row["listen"] for name, row in place.rows().items()} == before
+    harness.daemon = Daemon(read_fleet(harness.file), NullLog())
+    until(lambda: harness.serving() == ["n000", "n001"], "both are in the fleet again")
+    assert {name: row["listen"] for name, row in harness.rows().items()} == before
--- a/tests/fleet/test_launcher.py
+++ b/tests/fleet/test_launcher.py
@@ -1,4 +1,4 @@
-"""What a process of an instance is started with: its configuration and its environment."""
+"""The configuration and the environment that an instance's process is started with."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 from springspread.fleet.plan import FleetPlan
 from springspread.rollout.document import Policy
 
-SHOW = """import json, os
+DUMP_ENVIRONMENT = """import json, os
 json.dump(dict(os.environ), open(os.environ["RELAY_CONFIG"] + ".env", "w"))
 """
 
@@ -32,7 +32,7 @@
     return configuration
 
 
-def test_a_configuration_is_the_fleets_with_what_the_instance_has_of_its_own(tmp_path: Path) -> None:
+def test_configuration_merges_the_fleets_and_the_instances_settings(tmp_path: Path) -> None:
     launcher(tmp_path, zone="b", policy=9).prepare(start())
     configuration = written(tmp_path)
     del configuration["recovery"]
@@ -49,15 +49,15 @@
     assert (tmp_path / "n002" / "state").is_dir()
 
 
-def test_one_that_empties_its_journal_has_no_port_of_its_own(tmp_path: Path) -> None:
+def test_emptying_process_has_no_fixed_port(tmp_path: Path) -> None:
     launcher(tmp_path).prepare(start(emptying=True))
     assert written(tmp_path)["listen"] == "127.0.0.9:0"
 
 
-def test_the_daemons_own_variables_are_not_handed_on_but_for_the_logs(
+def test_only_the_daemons_log_variables_are_inherited(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    (tmp_path / "shown.py").write_text(SHOW)
+    (tmp_path / "shown.py").write_text(DUMP_ENVIRONMENT)
     monkeypatch.setenv("PYTHONPATH", str(tmp_path))
     monkeypatch.setenv("RELAY_ZONE", "c")
     monkeypatch.setenv("RELAY_LOG_LEVEL", "debug")
--- a/tests/fleet/test_members.py
+++ b/tests/fleet/test_members.py
@@ -1,4 +1,4 @@
-"""Which instances are started, ended, emptied and dropped, and when."""
+"""When instances are started, ended, emptied and dropped."""
 
 from __future__ import annotations
 
@@ -46,11 +46,11 @@
         (replace(DOWN, desired=DesiredState.LEAVING), Observation(False, 3), 50.0, None),
     ],
 )
-def test_each_state_has_its_step(row: Row, observed: Observation, now: float, expected: Step | None) -> None:
+def test_step_for_each_state(row: Row, observed: Observation, now: float, expected: Step | None) -> None:
     assert step(row, observed, now, TIMINGS) is expected
 
 
-def test_one_that_keeps_dying_waits_longer_each_time_up_to_a_bound() -> None:
+def test_backoff_doubles_with_each_death_up_to_a_bound() -> None:
     row, backoffs = RUNNING, []
     for _ in range(6):
         row = after_exit(replace(row, pid=1, started_at=1_000.0), 1_100.0, TIMINGS)
@@ -60,16 +60,16 @@
     assert restart_backoff(row, TIMINGS) == 100.0
 
 
-def test_one_that_was_ordered_to_end_is_started_again_at_once() -> None:
+def test_ordered_restart_has_no_backoff() -> None:
     row = after_exit(replace(RUNNING, restart=True, term_sent_at=10.0), 500.0, TIMINGS)
     assert step(row, Observation(False, 4), 500.0, TIMINGS) is Step.START and not row.restart
 
 
-def test_scaling_adds_the_lowest_free_names_and_takes_the_highest_away() -> None:
+def test_scaling_adds_the_lowest_free_names_and_removes_the_highest() -> None:
     rows = scaled({}, 3)
     assert list(rows) == ["n000", "n001", "n002"]
     less = scaled(rows, 1)
     assert [name for name, row in less.items() if row.desired is DesiredState.LEAVING] == ["n001", "n002"]
-    more = scaled(less, 2)  # what leaves is not taken back: its folder may be half emptied
+    more = scaled(less, 2)  # a leaving instance is not reused
     assert [name for name, row in more.items() if row.desired is DesiredState.SERVING] == ["n000", "n003"]
     assert scaled(more, 0)["n000"].desired is DesiredState.LEAVING
--- a/tests/fleet/test_orders.py
+++ b/tests/fleet/test_orders.py
@@ -1,4 +1,4 @@
-"""Orders over the control socket, by size: what has room is taken, what is too large is refused by name."""
+"""Orders over the control socket: large ones within the bounds, and refusals of those beyond."""
 
 from __future__ import annotations
 
@@ -40,8 +40,8 @@
 LONG_KEYS = {f"g{'x' * (MAX_POLICY_BYTES // 4)}{number}": Limit(5, 10.0) for number in range(4)}
 
 
-class Place:
-    """A fleet's file and a daemon without instances."""
+class DaemonHarness:
+    """A fleet with its file and a daemon without instances."""
 
     def __init__(self, folder: Path) -> None:
         self.settings: dict[str, Any] = make(folder)["settings"]
@@ -56,54 +56,54 @@
         return send_order(self.control, {"do": "propose", "policy": text, "within": 20.0}, 20.0)
 
     def command(self, *words: str) -> tuple[int, str]:
-        """The exit status and the words of ``fleet policy WORDS`` with the file."""
+        """The exit status and the output of ``fleet policy WORDS`` for the file."""
         result = CliRunner().invoke(cli, ["fleet", "policy", words[0], str(self.file), *words[1:]])
         return result.exit_code, result.output
 
 
 @pytest.fixture
-def place(tmp_path: Path) -> Iterator[Place]:
-    made = Place(tmp_path)
+def harness(tmp_path: Path) -> Iterator[DaemonHarness]:
+    made = DaemonHarness(tmp_path)
     yield made
     made.daemon.detach()
 
 
-def test_a_policy_of_140_000_limits_takes_hold(place: Place) -> None:
+def test_policy_of_140_000_limits_comes_into_force(harness: DaemonHarness) -> None:
     limits = {f"g{number}": Limit(50, 10.0, LimitMode.ADAPTIVE) for number in range(140_000)}
-    answer = place.propose(limits)
+    answer = harness.propose(limits)
     assert (answer["ok"], answer["state"], answer["version"]) == (True, "in force", 2)
-    kept = send_order(place.control, {"do": "text", "version": 2})
-    assert kept["policy"] == Policy(place.settings, limits).text
+    kept = send_order(harness.control, {"do": "text", "version": 2})
+    assert kept["policy"] == Policy(harness.settings, limits).text
 
 
-def test_the_default_mode_of_a_policy_reaches_the_allocator_and_its_successor(place: Place) -> None:
-    text = Policy(place.settings, {"g7": Limit(50, 10.0)}, LimitMode.ADAPTIVE).text
-    answer = send_order(place.control, {"do": "propose", "policy": text, "within": 5.0}, 5.0)
+def test_default_mode_reaches_the_allocator_and_its_successor(harness: DaemonHarness) -> None:
+    text = Policy(harness.settings, {"g7": Limit(50, 10.0)}, LimitMode.ADAPTIVE).text
+    answer = send_order(harness.control, {"do": "propose", "policy": text, "within": 5.0}, 5.0)
     assert answer["state"] == "in force"
 
     def default_mode() -> LimitMode:
-        return place.daemon._server.control._default_mode
+        return harness.daemon._server.control._default_mode
 
     until(lambda: default_mode() is LimitMode.ADAPTIVE, "unknown keys are free")
-    place.daemon.detach()
-    place.daemon = Daemon(read_fleet(place.file), NullLog())
+    harness.daemon.detach()
+    harness.daemon = Daemon(read_fleet(harness.file), NullLog())
     assert default_mode() is LimitMode.ADAPTIVE
 
 
-def test_the_daemon_refuses_a_policy_that_is_too_large_by_size_and_bound(place: Place) -> None:
+def test_too_large_policy_is_refused_with_its_size_and_bound(harness: DaemonHarness) -> None:
     policy = Policy(
-        place.settings, {f"g{'x' * (MAX_POLICY_BYTES // 4)}{n}": Limit(5, 10.0) for n in range(4)}
+        harness.settings, {f"g{'x' * (MAX_POLICY_BYTES // 4)}{n}": Limit(5, 10.0) for n in range(4)}
     )
     fault = f"limits: the policy has {len(policy.text):,} bytes; the bound is {MAX_POLICY_BYTES:,}"
     order = {"policy": policy.text, "within": 5.0}
-    proposed = send_order(place.control, {"do": "propose", **order})
+    proposed = send_order(harness.control, {"do": "propose", **order})
     assert proposed == {"ok": True, "state": "refused", "version": 0, "fault": fault}
-    checked = send_order(place.control, {"do": "check", **order})
+    checked = send_order(harness.control, {"do": "check", **order})
     assert not checked["usable"] and checked["fault"] == fault
-    assert send_order(place.control, {"do": "policy"})["in_force"]["version"] == 1
+    assert send_order(harness.control, {"do": "policy"})["in_force"]["version"] == 1
 
 
-def test_the_rest_of_an_order_that_is_too_long_is_read_before_it_is_refused(tmp_path: Path) -> None:
+def test_too_long_order_is_read_to_its_end_before_it_is_refused(tmp_path: Path) -> None:
     control = ControlSocket(tmp_path / "control", lambda order: {"order": order}, NullLog(), SYSTEM)
     order = {"do": "propose", "policy": "x" * (MAX_ORDER_BYTES + 5_000_000), "within": 5.0}
     size = len(json.dumps(order)) + 1
@@ -113,8 +113,8 @@
     control.close()
 
 
-def test_a_long_answer_has_time_for_a_slow_reader(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
-    """The reader pauses for less than the longest pause each time, and for more than it in all."""
+def test_slow_reader_gets_the_whole_of_a_long_answer(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
+    """Each pause of the reader is below the idle timeout, their sum above it."""
     monkeypatch.setattr(control_module, "IDLE_TIMEOUT_S", 1.0)
     policy = "x" * 3_000_000
     control = ControlSocket(tmp_path / "control", lambda order: {"policy": policy}, NullLog(), SYSTEM)
@@ -125,12 +125,12 @@
         sock.sendall(b"{}\n")
         while received := sock.recv(1 << 16):
             answer += received
-            SYSTEM.sleep(40.0)  # the reader's pace; nothing is waited for
+            SYSTEM.sleep(40.0)  # between two reads
     assert json.loads(answer) == {"ok": True, "policy": policy}
     control.close()
 
 
-def test_an_answer_that_nobody_reads_is_given_up(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_unread_answer_times_out(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(control_module, "ANSWER_TIMEOUT_MS", 0.0)
     here, there = socket.socketpair()
     here.settimeout(0.01)
@@ -143,7 +143,7 @@
             control_module.send_answer(here, SYSTEM, b"x" * 10_000_000)
 
 
-def test_an_answer_that_breaks_off_is_no_answer(tmp_path: Path) -> None:
+def test_truncated_answer_raises(tmp_path: Path) -> None:
     with socket.socket(socket.AF_UNIX) as listener:
         listener.bind(str(tmp_path / "control"))
         listener.listen()
@@ -158,9 +158,7 @@
             send_order(tmp_path / "control", {"do": "status"})
 
 
-def test_an_order_without_end_is_refused_after_a_bound(
-    tmp_path: Path, monkeypatch: pytest.MonkeyPatch
-) -> None:
+def test_endless_order_is_refused_after_a_bound(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(control_module, "MAX_ORDER_BYTES", 1000)
     monkeypatch.setattr(control_module, "MAX_DISCARDED_BYTES", 10_000)
     control = ControlSocket(tmp_path / "control", lambda order: {}, NullLog(), SYSTEM)
@@ -178,8 +176,8 @@
     control.close()
 
 
-def test_an_order_that_trickles_is_broken_off(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
-    class Hasty:
+def test_slow_order_times_out(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
+    class FastClock:
         """A clock that advances by a second with each reading."""
 
         def __init__(self) -> None:
@@ -200,28 +198,28 @@
     there.sendall(b"x" * 20)
     monkeypatch.setattr(control_module, "READ_BYTES", 1)
     with here, there, pytest.raises(TimeoutError, match="did not arrive in time"):
-        control_module.read_order(here, Hasty())
+        control_module.read_order(here, FastClock())
 
 
-def test_a_file_over_a_bound_has_its_exit_status_with_key_and_bound(
-    place: Place, monkeypatch: pytest.MonkeyPatch
+def test_file_over_a_bound_has_its_own_exit_status_and_message(
+    harness: DaemonHarness, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    size = len(place.daemon.order({"do": "text", "version": 1})["policy"])
+    size = len(harness.daemon.order({"do": "text", "version": 1})["policy"])
     monkeypatch.setattr(document, "MAX_POLICY_BYTES", size - 1)
     over = f"settings: the policy has {size:,} bytes; the bound is {size - 1:,}"
-    config = place.file.parent / "sender.json"
-    assert place.command("check") == (2, f"Error: {config}: {over}\n")
-    assert place.command("propose") == (5, f"refused, in force nowhere: {config}: {over}\n")
-    code, output = place.command("propose", "--json")
+    config = harness.file.parent / "sender.json"
+    assert harness.command("check") == (2, f"Error: {config}: {over}\n")
+    assert harness.command("propose") == (5, f"refused, in force nowhere: {config}: {over}\n")
+    code, output = harness.command("propose", "--json")
     assert code == 5
     assert json.loads(output) == {"state": "refused", "version": 0, "fault": f"{config}: {over}"}
     monkeypatch.setattr(plan_module, "MAX_LIMITS", 0)
     many = "limits: there are 1; the bound is 0"
-    assert place.command("check") == (2, f"Error: {place.file}: {many}\n")
-    assert place.command("propose") == (5, f"refused, in force nowhere: {place.file}: {many}\n")
+    assert harness.command("check") == (2, f"Error: {harness.file}: {many}\n")
+    assert harness.command("propose") == (5, f"refused, in force nowhere: {harness.file}: {many}\n")
 
 
-def test_a_fleet_over_a_bound_does_not_start(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
+def test_fleet_over_a_bound_does_not_start(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
     (tmp_path / "sender.json").write_text(json.dumps(make(tmp_path)))
     file = tmp_path / "fleet.toml"
     file.write_text(TOML)
@@ -231,7 +229,7 @@
         assert result.exit_code == 2 and f"; the bound is {bound}\n" in result.output
 
 
-def test_a_configuration_that_is_no_object_is_refused_by_its_file(tmp_path: Path) -> None:
+def test_configuration_that_is_no_object_is_refused_with_its_file(tmp_path: Path) -> None:
     (tmp_path / "sender.json").write_text("[]")
     file = tmp_path / "fleet.toml"
     file.write_text(TOML)
@@ -240,31 +238,33 @@
     assert result.output == f"Error: {tmp_path / 'sender.json'}: must hold an object\n"
 
 
-def test_a_refusal_by_the_daemon_is_a_refused_proposal(place: Place, monkeypatch: pytest.MonkeyPatch) -> None:
-    """As of a daemon whose bound is lower than the command's."""
+def test_refusal_by_the_daemon_is_a_refused_proposal(
+    harness: DaemonHarness, monkeypatch: pytest.MonkeyPatch
+) -> None:
+    """Guards against a daemon with a lower bound than the command's."""
     monkeypatch.setattr(control_module, "MAX_ORDER_BYTES", 100)
-    code, output = place.command("propose")
+    code, output = harness.command("propose")
     assert code == 5 and output.startswith("refused, in force nowhere: the order has ")
     assert output.endswith("; the bound is 100\n")
 
 
-def test_without_a_daemon_the_command_reports_that_none_answers(place: Place) -> None:
-    place.daemon.detach()
-    code, output = place.command("propose")
+def test_command_without_a_daemon_reports_that_none_answers(harness: DaemonHarness) -> None:
+    harness.daemon.detach()
+    code, output = harness.command("propose")
     assert code == 1 and "no daemon answers" in output
 
 
-def test_the_limits_order_shows_which_adaptive_limits_are_bound_and_why(place: Place) -> None:
+def test_limits_order_shows_which_adaptive_limits_are_bound_and_why(harness: DaemonHarness) -> None:
     limits = {"g7": Limit(50, 2_000.0, LimitMode.ADAPTIVE), "g8": Limit(5, 2_000.0)}
-    text = Policy(place.settings, limits, LimitMode.ADAPTIVE).text
+    text = Policy(harness.settings, limits, LimitMode.ADAPTIVE).text
     assert (
-        send_order(place.control, {"do": "propose", "policy": text, "within": 5.0}, 5.0)["state"]
+        send_order(harness.control, {"do": "propose", "policy": text, "within": 5.0}, 5.0)["state"]
         == "in force"
     )
-    until(lambda: place.daemon._server.control.limit("g7") == limits["g7"], "the limits are in force")
-    shown = send_order(place.control, {"do": "limits"})["limits"]
+    until(lambda: harness.daemon._server.control.limit("g7") == limits["g7"], "the limits are in force")
+    shown = send_order(harness.control, {"do": "limits"})["limits"]
     assert shown == {"limits": 2, "adaptive_bound": 0, "bound": {}}
-    folder = place.daemon.folder
+    folder = harness.daemon.folder
     shares = FleetShares(folder / "allot", "n9", 1, NullLog(), fleet=fleet_id(folder))
     endpoint = Endpoint(1, "s-1", "127.0.0.1", 1, 7, False, 1)
 
@@ -274,8 +274,10 @@
     until(lambda: shares.acquire(endpoint) > 0.0, "one more is tried")
     shares.served(endpoint)
     until(
-        lambda: send_order(place.control, {"do": "limits"})["limits"]["adaptive_bound"],
+        lambda: send_order(harness.control, {"do": "limits"})["limits"]["adaptive_bound"],
         "a destination that is back is bound",
     )
-    assert send_order(place.control, {"do": "limits"})["limits"]["bound"] == {"g7": "the destination is back"}
+    assert send_order(harness.control, {"do": "limits"})["limits"]["bound"] == {
+        "g7": "the destination is back"
+    }
     shares.close()
--- a/tests/fleet/test_plan.py
+++ b/tests/fleet/test_plan.py
@@ -1,4 +1,4 @@
-"""The operator file of a fleet: what its limits say, and what is refused by file, key and nearest value."""
+"""The operator's file of a fleet: its limits, and errors with file, key and nearest value."""
 
 from __future__ import annotations
 
@@ -19,13 +19,13 @@
 
 
 def read(folder: Path, rest: str) -> FleetPlan:
-    """The plan of a file with these lines beside the ones that every fleet needs."""
+    """The plan of a file with the required lines and these."""
     file = folder / "fleet.toml"
     file.write_text(TOP + rest)
     return read_fleet(file)
 
 
-def test_a_limit_is_exact_unless_the_file_says_adaptive(tmp_path: Path) -> None:
+def test_limits_are_exact_by_default(tmp_path: Path) -> None:
     plan = read(
         tmp_path,
         """default_mode = "adaptive"
@@ -56,7 +56,7 @@
         ('default_mode = "exakt"', "default_mode: no such mode: 'exakt'; did you mean exact?"),
     ],
 )
-def test_an_unknown_mode_is_refused_with_file_key_and_nearest_value(
+def test_unknown_mode_is_refused_with_file_key_and_nearest_value(
     tmp_path: Path, lines: str, fault: str
 ) -> None:
     with pytest.raises(PlanError) as caught:
@@ -64,7 +64,7 @@
     assert str(caught.value) == f"{tmp_path / 'fleet.toml'}: {fault}"
 
 
-def test_a_file_with_too_many_limits_is_refused_before_each_is_checked(
+def test_too_many_limits_are_refused_before_each_is_checked(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.setattr(plan_module, "MAX_LIMITS", 2)
@@ -75,7 +75,7 @@
 
 
 @pytest.mark.parametrize(("key", "settings"), [("limits", {}), ("settings", {"note": "x" * 1000})])
-def test_a_policy_that_is_too_large_is_refused_with_the_key_that_makes_it_so(
+def test_too_large_policy_is_refused_with_its_largest_key(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch, key: str, settings: dict[str, str]
 ) -> None:
     plan = read(tmp_path, "".join(f"[limits.g{number}]\ncalls = 5\n" for number in range(10)))
@@ -88,12 +88,12 @@
     assert str(caught.value) == f"{key}: the policy has {size:,} bytes; the bound is {size - 1:,}"
 
 
-def test_the_bounds_have_room_for_140_000_limits_with_long_keys() -> None:
+def test_140_000_limits_with_long_keys_are_within_the_bounds() -> None:
     keys = [f"r{number:06}/{'x' * 70}" for number in range(140_000)]
     document.check_bounds(document.Policy({}, dict.fromkeys(keys, Limit(500, 2000.0, LimitMode.ADAPTIVE))))
 
 
-def test_the_example_of_the_operators_page_is_a_fleets_file(tmp_path: Path) -> None:
+def test_example_of_the_operators_page_is_valid(tmp_path: Path) -> None:
     page = (Path(__file__).parents[2] / "docs" / "fleet.md").read_text()
     section = page.partition("## Limits: exact and adaptive")[2].partition("\n## ")[0]
     example = "\n".join(line[4:] for line in section.splitlines() if line.startswith("    "))
--- a/tests/fleet/test_policy_participant.py
+++ b/tests/fleet/test_policy_participant.py
@@ -1,4 +1,4 @@
-"""The instance's side of a change of policy: what it follows when, and what it writes."""
+"""The instance's side of a policy change: which policy it follows, and which messages it writes."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 
 class Recorder:
-    """A clock that tests set, a log that keeps its events, and a taker of policies."""
+    """A participant with a manual clock, recorded log events and recorded policies."""
 
     def __init__(self) -> None:
         self.time = 0.0
@@ -46,7 +46,7 @@
     return Recorder()
 
 
-def test_a_policy_is_followed_from_its_moment_and_delivered_once(recorder: Recorder) -> None:
+def test_policy_is_followed_from_its_start_and_delivered_once(recorder: Recorder) -> None:
     participant = recorder.participant
     recorder.grant(1, 1, 0.0, 100.0)
     participant.received(Document(2, "two"))
@@ -59,7 +59,7 @@
     assert participant.may_begin(2) and not participant.may_begin(1)
 
 
-def test_holding_is_logged_and_reported_at_once_and_policies_at_an_interval(recorder: Recorder) -> None:
+def test_holding_is_reported_at_once_and_the_policy_at_an_interval(recorder: Recorder) -> None:
     participant = recorder.participant
     recorder.grant(1, 1, 0.0, 2_000.0)
     participant.advance(0.0)
@@ -74,7 +74,7 @@
     assert participant.messages_due(2_001.0) == [Acting(1)] and recorder.events == ["holding", "acting"]
 
 
-def test_a_faulty_policy_is_refused_and_its_fault_logged_once(recorder: Recorder) -> None:
+def test_unusable_policy_is_refused_and_logged_once(recorder: Recorder) -> None:
     participant = recorder.participant
     participant.received(Document(2, "faulty"))
     participant.received(Prepare((1, 1), 2, 50.0))
@@ -93,7 +93,7 @@
     assert participant.version == 1 and recorder.delivered == []
 
 
-def test_replies_are_dropped_and_the_policy_reported_again_on_a_new_connection(recorder: Recorder) -> None:
+def test_new_connection_drops_replies_and_reports_the_policy(recorder: Recorder) -> None:
     participant = recorder.participant
     participant.messages_due(0.0)
     participant.received(Question(7, "two"))
@@ -101,7 +101,7 @@
     assert participant.messages_due(1.0) == [Acting(1)]
 
 
-def test_only_the_latest_texts_are_kept(recorder: Recorder) -> None:
+def test_only_the_latest_texts_are_stored(recorder: Recorder) -> None:
     participant = recorder.participant
     for number in range(2, 3 + MAX_TEXTS):
         participant.received(Document(number, "text"))
--- a/tests/fleet/test_reconciliation.py
+++ b/tests/fleet/test_reconciliation.py
@@ -1,4 +1,4 @@
-"""Reconciling members at a daemon's start: the table alone, and on real processes with a damaged file."""
+"""Reconciling members at a daemon's start: the rules alone, and with real processes and a damaged file."""
 
 from __future__ import annotations
 
@@ -24,10 +24,10 @@
     reconcile,
 )
 from tests.fleet.test_allocator_server import NullLog
-from tests.fleet.test_daemon import Place, place
+from tests.fleet.test_daemon import DaemonHarness, harness
 from tests.peer import until
 
-__all__ = ["place"]
+__all__ = ["harness"]
 NAMES = ("n000", "n001", "n002")
 
 
@@ -35,7 +35,7 @@
     return InstanceProcess(name, epoch, pid, f"{pid}0")
 
 
-def test_a_process_that_was_started_and_not_put_on_record_is_adopted() -> None:
+def test_unrecorded_process_is_adopted() -> None:
     rows = (Row("n000", epoch=3), Row("n001", epoch=5, pid=50))
     membership = reconcile(RecoveredState(rows, processes=(process("n000", 4, 40), process("n001", 5, 50))))
     assert {name: (row.epoch, row.pid) for name, row in membership.rows.items()} == {
@@ -45,7 +45,7 @@
     assert membership.stale == () and not membership.file_lost
 
 
-def test_of_two_on_one_journal_the_later_one_keeps_it() -> None:
+def test_latest_of_two_processes_owns_the_journal() -> None:
     old, new, stale = process("n000", 4, 41), process("n000", 5, 42), process("n001", 2, 43)
     membership = reconcile(
         RecoveredState((Row("n000", epoch=5), Row("n001", epoch=3)), processes=(new, old, stale))
@@ -54,7 +54,7 @@
     assert set(membership.stale) == {old, stale} and set(membership.journal_owners) == {"n000"}
 
 
-def test_one_without_a_row_leaves_and_a_lost_file_is_rebuilt_from_what_survived() -> None:
+def test_process_without_a_row_leaves_and_a_lost_file_is_rebuilt() -> None:
     orphan = process("n002", 7, 70)
     membership = reconcile(RecoveredState((Row("n000", epoch=1),), processes=(orphan,)))
     assert membership.rows["n002"].desired is DesiredState.LEAVING and membership.rows["n002"].pid == 70
@@ -82,7 +82,7 @@
 
 
 @given(st.none() | members.map(tuple), epochs, epochs, processes)
-def test_no_epoch_falls_and_each_name_has_one_process(
+def test_epochs_never_decrease_and_each_name_has_one_process(
     rows: tuple[Row, ...] | None,
     leased: dict[str, int],
     written: dict[str, int],
@@ -106,72 +106,72 @@
     )
 
 
-def _emptied(path: Path) -> None:
+def _empty(path: Path) -> None:
     path.write_bytes(b"")
 
 
-def _half(path: Path) -> None:
+def _truncate(path: Path) -> None:
     path.write_bytes(path.read_bytes()[: path.stat().st_size // 2])
 
 
-def _flipped(path: Path) -> None:
+def _change_epoch(path: Path) -> None:
     data = bytearray(path.read_bytes())
     at = data.index(b'"epoch": ') + 9
-    data[at] ^= 1  # still JSON, and another epoch
+    data[at] ^= 1  # still JSON, with another epoch
     path.write_bytes(data)
 
 
-def test_a_members_file_is_read_as_written_and_not_when_it_is_spoilt(tmp_path: Path) -> None:
+def test_members_file_round_trips_and_damage_is_detected(tmp_path: Path) -> None:
     path = tmp_path / "members.json"
     assert read_members(path) is None
     rows = (Row("n000", epoch=3, pid=9, deaths=1), Row("n001", DesiredState.LEAVING, 4, emptying=True))
     write_members(path, rows)
     assert read_members(path) == rows
     good = path.read_bytes()
-    for spoil in (_emptied, _half, _flipped):
+    for damage in (_empty, _truncate, _change_epoch):
         path.write_bytes(good)
-        spoil(path)
+        damage(path)
         with pytest.raises(MembersFileError):
             read_members(path)
     path.write_text(json.dumps([{"name": "n000", "want": "serving", "epoch": 2, "pid": 0, "started": ""}]))
-    assert read_members(path) == (Row("n000", epoch=2),)  # of the version before
+    assert read_members(path) == (Row("n000", epoch=2),)  # the earlier format
 
 
-@pytest.mark.parametrize("spoil", [_emptied, _flipped, Path.unlink])
-def test_a_new_daemon_knows_its_instances_without_their_file(
-    place: Place, spoil: Callable[[Path], None]
+@pytest.mark.parametrize("damage", [_empty, _change_epoch, Path.unlink])
+def test_new_daemon_finds_its_instances_without_the_members_file(
+    harness: DaemonHarness, damage: Callable[[Path], None]
 ) -> None:
-    before = {name: (row["pid"], row["epoch"]) for name, row in place.rows().items()}
-    place.daemon.detach()
-    spoil(place.daemon.folder / "members.json")
-    place.daemon = Daemon(read_fleet(place.file), NullLog())
-    until(lambda: place.serving() == ["n000", "n001"], "both are in the fleet again")
-    assert {name: (row["pid"], row["epoch"]) for name, row in place.rows().items()} == before
+    before = {name: (row["pid"], row["epoch"]) for name, row in harness.rows().items()}
+    harness.daemon.detach()
+    damage(harness.daemon.folder / "members.json")
+    harness.daemon = Daemon(read_fleet(harness.file), NullLog())
+    until(lambda: harness.serving() == ["n000", "n001"], "both are in the fleet again")
+    assert {name: (row["pid"], row["epoch"]) for name, row in harness.rows().items()} == before
     for pid, _ in before.values():
         os.kill(pid, signal.SIGKILL)
     until(
-        lambda: all(row["in_fleet"] and row["epoch"] > before[n][1] for n, row in place.rows().items()),
-        "both are back, under epochs that nobody had",
+        lambda: all(row["in_fleet"] and row["epoch"] > before[n][1] for n, row in harness.rows().items()),
+        "both are back, under new epochs",
     )
 
 
-def test_all_dead_and_the_members_file_lost_no_epoch_comes_again(place: Place) -> None:
-    folder, before = place.daemon.folder, {name: row["epoch"] for name, row in place.rows().items()}
-    place.daemon.stop()
+def test_epochs_are_not_reused_after_all_state_is_lost(harness: DaemonHarness) -> None:
+    folder, before = harness.daemon.folder, {name: row["epoch"] for name, row in harness.rows().items()}
+    harness.daemon.stop()
     (folder / "members.json").unlink()
     for name in before:
         (folder / name / "config.json").unlink()
-    place.daemon = Daemon(read_fleet(place.file), NullLog())
-    until(lambda: place.serving() == ["n000", "n001"], "both serve")
-    assert all(row["epoch"] > EPOCHS_PER_GENERATION > before[name] for name, row in place.rows().items())
+    harness.daemon = Daemon(read_fleet(harness.file), NullLog())
+    until(lambda: harness.serving() == ["n000", "n001"], "both serve")
+    assert all(row["epoch"] > EPOCHS_PER_GENERATION > before[name] for name, row in harness.rows().items())
 
 
-def test_a_daemon_that_died_before_it_noted_a_process_starts_no_second_one(place: Place) -> None:
-    place.daemon.detach()
-    path = place.daemon.folder / "members.json"
+def test_process_missing_from_the_members_file_is_not_started_twice(harness: DaemonHarness) -> None:
+    harness.daemon.detach()
+    path = harness.daemon.folder / "members.json"
     rows = read_members(path) or ()
-    write_members(path, [Row(row.name, epoch=row.epoch) for row in rows])  # as it was before their start
-    place.daemon = Daemon(read_fleet(place.file), NullLog())
-    until(lambda: place.serving() == ["n000", "n001"], "both are in the fleet again")
-    assert {row["pid"] for row in place.rows().values()} == {row.pid for row in rows}
-    assert len(find_processes(place.daemon.daemon_socket)) == 2
+    write_members(path, [Row(row.name, epoch=row.epoch) for row in rows])  # as before their start
+    harness.daemon = Daemon(read_fleet(harness.file), NullLog())
+    until(lambda: harness.serving() == ["n000", "n001"], "both are in the fleet again")
+    assert {row["pid"] for row in harness.rows().values()} == {row.pid for row in rows}
+    assert len(find_processes(harness.daemon.daemon_socket)) == 2
--- a/tests/rollout/test_cli.py
+++ b/tests/rollout/test_cli.py
@@ -1,4 +1,4 @@
-"""The command line of policy changes: its output and exit status."""
+"""The command line of policy changes: output and exit status."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
 __all__ = ["fleet"]
 
 
-def run_policy(place: Fleet, *words: str) -> tuple[int, str]:
+def run_policy(harness: Fleet, *words: str) -> tuple[int, str]:
     line = [
         sys.executable,
         "-m",
@@ -31,22 +31,22 @@
         "fleet",
         "policy",
         words[0],
-        str(place.file),
+        str(harness.file),
         *words[1:],
     ]
     done = subprocess.run(line, capture_output=True, text=True, timeout=30.0)
     return done.returncode, done.stdout + done.stderr
 
 
-def write(place: Fleet, **settings: Any) -> None:
-    raw = json.loads((place.folder / "sender.json").read_text())
+def write(harness: Fleet, **settings: Any) -> None:
+    raw = json.loads((harness.folder / "sender.json").read_text())
     for key, value in settings.items():
         old = raw["settings"].get(key)
         raw["settings"][key] = {**old, **value} if isinstance(old, dict) else value
-    (place.folder / "sender.json").write_text(json.dumps(raw))
+    (harness.folder / "sender.json").write_text(json.dumps(raw))
 
 
-def test_exit_status_and_words(fleet: Fleet) -> None:
+def test_exit_status_and_output(fleet: Fleet) -> None:
     write(fleet, specifics={"callsOut": 7})
     assert run_policy(fleet, "check") == (0, "settings.specifics.callsOut: 6 -> 7\n")
     assert run_policy(fleet, "propose") == (0, "policy 2 is in force\n")
@@ -66,7 +66,7 @@
     os.kill(pid, signal.SIGCONT)
     assert run_policy(fleet, "propose") == (0, "policy 3 is in force\n")
     assert run_policy(fleet, "back", "1") == (0, "policy 4 is in force\n")
-    until(lambda: fleet.all_act_under(4), "all act under what held at first")
+    until(lambda: fleet.all_act_under(4), "all act under the first policy again")
     status = json.loads(run_policy(fleet, "status", "--json")[1])
     assert status["in_force"]["version"] == 4 and status["pending"] is None
     assert status["instances"]["n002"] == {"version": 4, "state": "acting"}
@@ -82,7 +82,7 @@
         ("attemptsCap", 9, "settings.limits.attemptsCap: above 8"),
     ],
 )
-def test_a_process_refuses_what_it_was_not_started_for(
+def test_process_refuses_settings_that_are_read_only_at_start_up(
     tmp_path: Path, key: str, value: float, fault: str
 ) -> None:
     raw = make(tmp_path)
--- a/tests/rollout/test_coordinator.py
+++ b/tests/rollout/test_coordinator.py
@@ -1,4 +1,4 @@
-"""The coordinator alone, with more participants than a test can start processes."""
+"""The coordinator without processes, with many participants."""
 
 from springspread.rollout import coordinator
 from springspread.rollout.coordinator import History, Timings
@@ -7,7 +7,7 @@
 OWNERS = [(f"n{n:03}", 1) for n in range(50)]
 
 
-def test_the_last_of_fifty_refuses_and_nobody_ever_acts_on_it() -> None:
+def test_one_no_of_fifty_votes_refuses_the_policy() -> None:
     history = History().with_entry(Proposed(1, "a")).with_entry(Decided(1, 0.0))
     state, _ = coordinator.begin(Timings(), history, 10.0, [])
     for owner in OWNERS:
@@ -22,5 +22,5 @@
     assert set(granted) == set(OWNERS)
     assert all(isinstance(grant, Grant) and grant.version == 1 for grant in granted.values())
     assert state.pending is None and state.history.in_force == 1
-    state, effects = coordinator.propose(state, 40.0, "c")  # its number is never used again
+    state, effects = coordinator.propose(state, 40.0, "c")  # numbers are not reused
     assert effects[0] == Write(Proposed(3, "c"))
--- a/tests/rollout/test_fleet.py
+++ b/tests/rollout/test_fleet.py
@@ -1,4 +1,4 @@
-"""A change of policy on several processes of the program, with faults between them."""
+"""Policy changes on several real processes, with faults between them."""
 
 from __future__ import annotations
 
@@ -19,13 +19,13 @@
 from springspread.fleet.daemon import Daemon
 from springspread.fleet.plan import read_fleet
 from tests.fleet.test_allocator_server import NullLog
-from tests.fleet.test_daemon import Place
+from tests.fleet.test_daemon import DaemonHarness
 from tests.peer import until
 
 TIMES = "[policy_times]\nlease_ms = 1500.0\n"
 
 
-class Fleet(Place):
+class Fleet(DaemonHarness):
     """Three instances under load, their logs at debug."""
 
     def __init__(self, folder: Path) -> None:
@@ -34,18 +34,18 @@
         self.accepted: list[str] = []
         until(lambda: len(self.serving()) == 3, "three serve")
         self.load_threads = [
-            threading.Thread(target=self.hand_in_messages, args=(n,), daemon=True) for n in range(3)
+            threading.Thread(target=self.submit_messages, args=(n,), daemon=True) for n in range(3)
         ]
         for thread in self.load_threads:
             thread.start()
 
-    def hand_in_messages(self, number: int) -> None:
+    def submit_messages(self, number: int) -> None:
         count = 0
         while not self.load_stopped.wait(0.03):
             count += 1
             id = f"m{number}-{count}"
             try:
-                if self.hand_in(f"n{number:03}", id) in (200, 202):
+                if self.submit(f"n{number:03}", id) in (200, 202):
                     self.accepted.append(id)
             except (OSError, http.client.HTTPException, ValueError, KeyError):
                 continue  # killed, frozen or not yet back
@@ -68,23 +68,23 @@
     def acted_under(self, version: int) -> set[str]:
         return {call.instance for call in begun(self.daemon.folder) if call.policy == version}
 
-    def settle(self, held: Collection[str] = ()) -> None:
+    def finish(self, blocked: Collection[str] = ()) -> None:
         """Stop the load, and wait until every accepted message has been delivered.
 
-        ``held``: the instances that were kept from calling. They hold as many messages as they may, and tell
-        the platform the end of those that there is no room or no time left for.
+        ``blocked``: the instances that could not call. They may also report messages as undeliverable to the
+        platform, for lack of room or time.
         """
         self.load_stopped.set()
         for thread in self.load_threads:
             thread.join(10.0)
-        numbers = {int(name[1:]) for name in held}
-        may_be_told = {id for id in self.accepted if int(id[1 : id.index("-")]) in numbers}
+        numbers = {int(name[1:]) for name in blocked}
+        reportable = {id for id in self.accepted if int(id[1 : id.index("-")]) in numbers}
 
-        def without_end() -> set[str]:
-            told = {notice["id"] for notice in self.peer.notices}
-            return set(self.accepted) - set(self.peer.ids()) - (told & may_be_told)
+        def undelivered() -> set[str]:
+            reported = {notice["id"] for notice in self.peer.notices}
+            return set(self.accepted) - set(self.peer.ids()) - (reported & reportable)
 
-        until(lambda: not without_end(), "each message has its end")
+        until(lambda: not undelivered(), "each message is delivered or reported")
 
 
 @pytest.fixture
@@ -108,38 +108,38 @@
     return {"specifics": {"callsOut": number}}
 
 
-def test_a_change_takes_hold_everywhere_at_one_moment(fleet: Fleet) -> None:
+def test_policy_comes_into_force_everywhere_at_one_moment(fleet: Fleet) -> None:
     assert fleet.propose(**calls_out(7)) == {"state": "in force", "version": 2, "fault": ""}
     until(lambda: len(fleet.acted_under(2)) == 3, "all act under it")
-    fleet.settle()
+    fleet.finish()
     calls = begun(fleet.daemon.folder)
     assert {call.policy for call in calls} == {1, 2} and mixtures(calls) == []
-    assert fleet.propose(**calls_out(7))["version"] == 2  # asked again: the one answer
+    assert fleet.propose(**calls_out(7))["version"] == 2  # proposing it again returns the same number
     with pytest.raises(OrderRefused, match="no policy 9 on record; there are 1, 2"):
         fleet.daemon.order({"do": "text", "version": 9})
 
 
-def test_a_policy_that_one_can_not_use_takes_hold_nowhere(fleet: Fleet) -> None:
-    fleet.peer.answer_calls.clear()  # n000 holds a message of class pay
-    until(lambda: fleet.hand_in("n000", "paid", "pay") in (200, 202), "it is taken on")
+def test_policy_that_one_instance_cannot_use_is_refused(fleet: Fleet) -> None:
+    fleet.peer.answer_calls.clear()  # a message of class pay is pending in n000
+    until(lambda: fleet.submit("n000", "paid", "pay") in (200, 202), "it is accepted")
     base = json.loads((fleet.folder / "sender.json").read_text())
     rest = [spec for spec in base["settings"]["classes"] if spec["name"] != "pay"]
     raw = {**base, "settings": {**base["settings"], "classes": rest}}
     order = {"do": "check", "policy": read_fleet(fleet.file).policy(raw).text}
-    asked = fleet.daemon.order(order)
-    assert not asked["usable"] and asked["silent"] == [] and list(asked["refuse"]) == ["n000"]
-    assert asked["refuse"]["n000"].startswith("settings.classes: pay: messages of it are pending here")
+    checked = fleet.daemon.order(order)
+    assert not checked["usable"] and checked["silent"] == [] and list(checked["refuse"]) == ["n000"]
+    assert checked["refuse"]["n000"].startswith("settings.classes: pay: messages of it are pending here")
     answer = fleet.propose(classes=rest)
     assert answer["state"] == "refused" and answer["version"] == 2
     assert answer["fault"].startswith("n000: settings.classes: pay: messages of it are pending here")
     assert fleet.propose(kinds=["other"])["fault"].startswith("settings.kinds: is read only at start-up")
     fleet.peer.answer_calls.set()
-    until(lambda: fleet.all_act_under(1), "all go on under what holds")
-    fleet.settle()
+    until(lambda: fleet.all_act_under(1), "all still act under policy 1")
+    fleet.finish()
     assert {call.policy for call in begun(fleet.daemon.folder)} == {1}
 
 
-def test_one_frozen_and_one_killed_hold_nobody_up_and_begin_under_what_holds(fleet: Fleet) -> None:
+def test_frozen_and_killed_instances_do_not_block_a_change(fleet: Fleet) -> None:
     rows = fleet.rows()
     os.kill(rows["n001"]["pid"], signal.SIGSTOP)
     os.kill(rows["n002"]["pid"], signal.SIGKILL)
@@ -147,13 +147,13 @@
     assert fleet.propose(**calls_out(8))["state"] == "in force"
     os.kill(rows["n001"]["pid"], signal.SIGCONT)
     until(lambda: len(fleet.acted_under(3)) == 3, "all act under the latest")
-    fleet.settle({"n001", "n002"})
+    fleet.finish({"n001", "n002"})
     calls = begun(fleet.daemon.folder)
     assert mixtures(calls) == [] and "n001" not in fleet.acted_under(2)
 
 
-def test_the_daemon_dies_in_between_and_the_next_one_gives_the_one_answer(fleet: Fleet) -> None:
-    os.kill(fleet.rows()["n001"]["pid"], signal.SIGSTOP)  # so that the vote takes its time
+def test_next_daemon_refuses_a_proposal_without_a_decision(fleet: Fleet) -> None:
+    os.kill(fleet.rows()["n001"]["pid"], signal.SIGSTOP)  # so that the vote waits for its timeout
     answer = fleet.propose(within=0.1, **calls_out(7))
     assert answer["state"] == "pending" and "n001" in answer["fault"]
     frozen = fleet.rows()["n001"]["pid"]
@@ -161,42 +161,42 @@
     fleet.daemon = Daemon(read_fleet(fleet.file), NullLog())
     assert fleet.daemon.order({"do": "outcome", "version": 2})["state"] == "refused"
     os.kill(frozen, signal.SIGCONT)
-    until(lambda: fleet.all_act_under(1), "all go on under what holds")
+    until(lambda: fleet.all_act_under(1), "all still act under policy 1")
     assert fleet.propose(**calls_out(9)) == {"state": "in force", "version": 3, "fault": ""}
     until(lambda: len(fleet.acted_under(3)) == 3, "all act under the next")
-    fleet.settle({"n000", "n001", "n002"})
+    fleet.finish({"n000", "n001", "n002"})
     assert mixtures(begun(fleet.daemon.folder)) == [] and fleet.acted_under(2) == set()
 
 
-def test_two_proposals_at_once_never_interleave(fleet: Fleet) -> None:
+def test_concurrent_proposals_never_interleave(fleet: Fleet) -> None:
     base = json.loads((fleet.folder / "sender.json").read_text())
     texts = []
     for slots in (7, 8):
         base["settings"]["specifics"] |= calls_out(slots)["specifics"]
         texts.append(read_fleet(fleet.file).policy(base).text)
     answers: list[dict[str, Any]] = []
-    asked = [
+    threads = [
         threading.Thread(target=lambda text=text: answers.append(fleet.daemon.propose(text, 8.0)))
         for text in texts
     ]
-    for one in asked:
-        one.start()
-    for one in asked:
-        one.join()
+    for thread in threads:
+        thread.start()
+    for thread in threads:
+        thread.join()
     assert sorted(one["state"] for one in answers) == ["in force", "refused"]
     assert "one change at a time" in next(one["fault"] for one in answers if one["state"] == "refused")
-    fleet.settle()
+    fleet.finish()
     assert mixtures(begun(fleet.daemon.folder)) == []
 
 
-def test_an_older_copy_of_the_record_is_refused(fleet: Fleet) -> None:
+def test_older_copy_of_the_record_is_refused(fleet: Fleet) -> None:
     log = fleet.daemon.folder / "policy" / "log"
     old = log.read_bytes()
     fleet.propose(**calls_out(7))
     before = fleet.rows()["n000"]
     os.kill(before["pid"], signal.SIGKILL)
     until(lambda: fleet.rows()["n000"]["epoch"] > before["epoch"], "n000 starts under 2")
-    fleet.settle()
+    fleet.finish()
     new = log.read_bytes()
     fleet.daemon.detach()
     log.write_bytes(old)
@@ -207,10 +207,10 @@
         Daemon(read_fleet(fleet.file), NullLog())
     log.write_bytes(new + b"torn")
     fleet.daemon = Daemon(read_fleet(fleet.file), NullLog())
-    until(lambda: fleet.all_act_under(2), "it goes on where the record ends")
+    until(lambda: fleet.all_act_under(2), "all act under the last policy on record")
 
 
-def test_scaling_rolling_and_a_death_while_the_policy_changes(fleet: Fleet) -> None:
+def test_policy_changes_during_scaling_rolling_and_a_death(fleet: Fleet) -> None:
     order = fleet.daemon.order
     order({"do": "scale", "count": 4})
     order({"do": "roll"})
@@ -221,21 +221,21 @@
     until(lambda: len(fleet.rows()) == 4 and fleet.all_act_under(3), "four act under the latest")
     until(
         lambda: all(fleet.rows()[name]["epoch"] > epochs[name] for name in ("n000", "n001")),
-        "the roll went on through it",
+        "the roll has restarted both",
     )
     until(lambda: fleet.all_act_under(3), "all act under it after the roll")
-    fleet.settle()
+    fleet.finish()
     assert mixtures(begun(fleet.daemon.folder)) == []
 
 
-def test_one_with_a_full_disk_refuses_or_follows_and_holds_up_nobody(fleet: Fleet) -> None:
-    """With a full disk it accepts no messages; it follows the policy, or begins no calls."""
+def test_instance_with_a_full_disk_does_not_block_a_change(fleet: Fleet) -> None:
+    """It accepts no messages, and either follows the policy or begins no calls."""
     pid = fleet.rows()["n001"]["pid"]
     resource.prlimit(pid, resource.RLIMIT_FSIZE, (0, 0))
     assert fleet.propose(**calls_out(7))["state"] == "in force"
     until(lambda: fleet.acted_under(2) >= {"n000", "n002"}, "the others act under it")
-    until(lambda: fleet.status()["instances"]["n001"]["version"] in (0, 2), "it holds or goes with them")
-    os.kill(pid, signal.SIGKILL)  # its disk is mended with it
+    until(lambda: fleet.status()["instances"]["n001"]["version"] in (0, 2), "it holds or acts under it")
+    os.kill(pid, signal.SIGKILL)  # the limit ends with the process
     until(lambda: len(fleet.acted_under(2)) == 3, "all act under it")
-    fleet.settle()
+    fleet.finish()
     assert mixtures(begun(fleet.daemon.folder)) == []
--- a/tests/rollout/test_policy_record.py
+++ b/tests/rollout/test_policy_record.py
@@ -1,4 +1,4 @@
-"""The record of policies (syncs, failing disks, damage), and which changes of a policy are allowed."""
+"""The policy record (syncs, failing disks, damage), and which changes of a policy are allowed."""
 
 from __future__ import annotations
 
@@ -38,7 +38,7 @@
     return Policy(settings, limits or {})
 
 
-def with_one(folder: Path, boot: str = "b1") -> PolicyRecord:
+def record_with_one_policy(folder: Path, boot: str = "b1") -> PolicyRecord:
     record = PolicyRecord(folder, boot)
     record.store(1, policy())
     for entry in (Proposed(1, policy().digest), Decided(1, 500.0), Begun(1, 5000.0)):
@@ -46,8 +46,8 @@
     return record
 
 
-def test_what_was_decided_is_read_again_and_lies_in_the_past_after_a_new_start(tmp_path: Path) -> None:
-    with_one(tmp_path).close()
+def test_decision_is_read_back_and_lies_in_the_past_after_a_reboot(tmp_path: Path) -> None:
+    record_with_one_policy(tmp_path).close()
     again = PolicyRecord(tmp_path, "b1")
     assert (again.history.in_force, again.history.since, again.history.lease_ms) == (1, 500.0, 5000.0)
     assert again.policy(1) == policy()
@@ -57,10 +57,10 @@
 
 
 @pytest.mark.parametrize("call", ["write", "fsync"])
-def test_an_entry_that_the_disk_refuses_is_not_there(
+def test_entry_that_failed_to_write_is_not_on_record(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch, call: str
 ) -> None:
-    record, real = with_one(tmp_path), getattr(os, call)
+    record, real = record_with_one_policy(tmp_path), getattr(os, call)
     failing = [True]
 
     def fails(*args: Any) -> Any:
@@ -77,10 +77,10 @@
     assert (history.in_force, history.generation) == (1, 2)
 
 
-def test_a_disk_that_takes_nothing_back_either_stops_the_record(
+def test_failed_rollback_of_a_write_damages_the_record(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    record = with_one(tmp_path)
+    record = record_with_one_policy(tmp_path)
 
     def fails(file: int) -> None:
         raise OSError(errno.EIO, "broken")
@@ -90,7 +90,7 @@
         record.append(Decided(2, 9.0))
 
 
-def test_a_first_start_that_died_after_its_proposal_is_begun_anew(tmp_path: Path) -> None:
+def test_first_start_after_an_undecided_proposal(tmp_path: Path) -> None:
     record = PolicyRecord(tmp_path, "b1")
     record.store(1, policy(slots=5))
     record.append(Proposed(1, policy(slots=5).digest))
@@ -102,8 +102,8 @@
     changes.close()
 
 
-def test_damage_is_reported_by_file_and_a_torn_end_is_cut(tmp_path: Path) -> None:
-    with_one(tmp_path).close()
+def test_damage_is_reported_with_its_file_and_a_torn_end_is_cut(tmp_path: Path) -> None:
+    record_with_one_policy(tmp_path).close()
     log, text = tmp_path / "log", (tmp_path / "1").read_text()
     good = log.read_bytes()
     log.write_bytes(good + b"0123 {to")
@@ -121,14 +121,14 @@
 
 
 def baseline(*policies: Policy) -> PolicyBaseline:
-    """Policies that were in force, oldest first."""
+    """The baseline after these policies, oldest first."""
     effects: dict[str, Effect] = {}
     for one in policies:
         effects.update(class_effects(one.settings))
     return PolicyBaseline(policies[-1], effects)
 
 
-def test_what_may_not_change_is_refused_with_its_key() -> None:
+def test_forbidden_changes_are_refused_with_their_key() -> None:
     once = copy.deepcopy(SETTINGS["classes"])
     once[0]["effect"] = "once"
     for new, fault in (
@@ -143,14 +143,12 @@
         assert str(caught.value).startswith(fault)
     without = policy(classes=SETTINGS["classes"][1:])
     validate_policy(without, baseline(policy()))
-    with pytest.raises(
-        PolicyError, match="is safe and can't change"
-    ):  # not by way of a policy without it, either
+    with pytest.raises(PolicyError, match="is safe and can't change"):  # nor via a policy without the class
         validate_policy(policy(classes=once), baseline(policy(), without))
 
 
-def test_the_record_checks_against_all_that_was_in_force_and_holds_few_in_memory(tmp_path: Path) -> None:
-    record = with_one(tmp_path)
+def test_baseline_covers_all_earlier_policies_and_few_are_cached(tmp_path: Path) -> None:
+    record = record_with_one_policy(tmp_path)
     first = record.policy(1)
     without = policy(classes=SETTINGS["classes"][1:])
     for number in range(2, 30):
@@ -161,13 +159,15 @@
     again = PolicyRecord(tmp_path, "b1")
     for one in (record, again):
         assert one.baseline is not None and one.baseline.latest.digest == without.digest
-        assert one.baseline.effects == baseline(first, without).effects  # also of the class that is gone
+        assert (
+            one.baseline.effects == baseline(first, without).effects
+        )  # including those of the removed class
         assert (one.digests[1], one.policy(1).digest) == (first.digest, first.digest)
         assert len(one._policies) <= CACHED_POLICIES
         one.close()
 
 
-def test_limits_that_shrink_bind_before_the_border() -> None:
+def test_stricter_limits_apply_before_the_change() -> None:
     old = policy(limits={"g1": Limit(40, 2000.0), "g2": Limit(10, 1000.0)})
     new = policy(slots=7, limits={"g1": Limit(8, 2000.0), "g2": Limit(100, 1000.0), "g3": Limit(5, 4000.0)})
     assert stricter_limits(old, new) == {"g1": Limit(8, 2000.0), "g3": Limit(5, 4000.0)}
@@ -177,7 +177,7 @@
     assert parse_policy(new.text) == new and new.digest != old.digest
 
 
-def test_a_document_carries_the_mode_of_a_limit_and_an_exact_one_reads_as_before() -> None:
+def test_document_names_only_modes_that_are_not_exact() -> None:
     exact = Policy({}, {"g1": Limit(40, 2000.0)})
     assert exact.text == '{"limits":{"g1":[40,2000.0]},"settings":{}}'
     adaptive = Policy({}, {"g1": Limit(40, 2000.0, LimitMode.ADAPTIVE)}, LimitMode.ADAPTIVE)
@@ -198,7 +198,7 @@
         ('[40,2000.0,"exact",1]', "exact", "not a policy: "),
     ],
 )
-def test_a_document_of_an_unknown_mode_is_refused_by_its_key(
+def test_document_with_an_unknown_mode_is_refused_with_its_key(
     entry: str, default_mode: str, fault: str
 ) -> None:
     with pytest.raises(PolicyError) as caught:
@@ -206,12 +206,12 @@
     assert str(caught.value).startswith(fault)
 
 
-def test_a_default_that_becomes_exact_leaves_time_for_limits_that_partners_tell() -> None:
+def test_default_that_becomes_exact_has_lead_time_for_partners_limits() -> None:
     adaptive, exact = Policy({}, {}, LimitMode.ADAPTIVE), Policy({}, {})
     assert lead_ms(adaptive, exact) == 4100.0 and lead_ms(exact, adaptive) == 0.0
 
 
-def test_a_limit_that_becomes_exact_binds_before_the_border() -> None:
+def test_limit_that_becomes_exact_applies_before_the_change() -> None:
     adaptive = Policy({}, {"g1": Limit(40, 2000.0, LimitMode.ADAPTIVE)})
     exact = Policy({}, {"g1": Limit(40, 2000.0)})
     assert stricter_limits(adaptive, exact) == exact.limits and lead_ms(adaptive, exact) == 4100.0
@@ -221,7 +221,7 @@
 @pytest.mark.parametrize(
     "entry", ["[0,2000]", "[5,0]", "[5,NaN]", "[5,1e400]", "[-1,2000]", "[20000000,2000]"]
 )
-def test_a_proposed_limit_that_no_allocator_can_keep_is_refused_by_its_key(entry: str) -> None:
+def test_out_of_range_limit_is_refused_with_its_key(entry: str) -> None:
     settings = json.dumps(SETTINGS)
     with pytest.raises(PolicyError, match="g7"):
         validate_policy(
@@ -238,13 +238,13 @@
         (Limit(20, 2_000.0), Limit(10, 1_000.0), True),
     ],
 )
-def test_a_limit_over_another_span_leads_where_the_one_before_does_not_keep_it(
+def test_limit_over_another_span_has_lead_time_where_it_is_stricter(
     before: Limit, after: Limit, leads: bool
 ) -> None:
     old, new = Policy({}, {"g1": before}), Policy({}, {"g1": after})
     assert (lead_ms(old, new) > 0.0) is leads
 
 
-def test_a_document_with_an_endless_count_is_refused() -> None:
+def test_document_with_an_infinite_count_is_refused() -> None:
     with pytest.raises(PolicyError, match="not a policy"):
         parse_policy('{"settings":{},"limits":{"g1":[1e400,2000]}}')
--- a/tests/rollout/test_relay.py
+++ b/tests/rollout/test_relay.py
@@ -1,4 +1,4 @@
-"""A change of policy while lines between the processes are lost, held, doubled, replayed or cut."""
+"""Policy changes while lines between the processes are lost, delayed, duplicated, replayed or cut."""
 
 from __future__ import annotations
 
@@ -18,14 +18,14 @@
 from tests.rollout.test_fleet import TIMES, Fleet, calls_out
 
 
-class Relayed(Fleet):
-    """The same fleet, each instance behind a relay."""
+class RelayedFleet(Fleet):
+    """A fleet with each instance behind a relay."""
 
     relays: dict[str, Relay]
 
 
 @pytest.fixture
-def fleet(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> Iterator[Relayed]:
+def fleet(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> Iterator[RelayedFleet]:
     folder = tmp_path / "fleet"
     folder.mkdir()
     names = [f"n{n:03}" for n in range(3)]
@@ -34,7 +34,7 @@
     head = 'folder = "fleet"\nconfig = "sender.json"\ninstances = 3\n'
     monkeypatch.setattr("tests.fleet.test_daemon.TOML", head + TIMES)
     monkeypatch.setattr("tests.fleet.test_daemon.Daemon", RelayedDaemon)
-    fleet = Relayed(tmp_path)
+    fleet = RelayedFleet(tmp_path)
     fleet.relays = relays
     yield fleet
     fleet.load_stopped.set()
@@ -47,8 +47,8 @@
     fleet.peer.close()
 
 
-def others_act_under(fleet: Relayed, version: int) -> None:
-    """Two instances act under a version, for long enough that a call under the earlier one would show."""
+def wait_for_others_under(fleet: RelayedFleet, version: int) -> None:
+    """Wait until two instances have begun enough calls under a version to show one under an earlier one."""
 
     def calls() -> int:
         return sum(call.policy == version for call in begun(fleet.daemon.folder))
@@ -56,79 +56,77 @@
     until(lambda: len(fleet.acted_under(version)) == 2 and calls() >= 10, "the two others act under it")
 
 
-def settled_under(fleet: Relayed, version: int, held: Collection[str] = ()) -> None:
+def finish_under(fleet: RelayedFleet, version: int, blocked: Collection[str] = ()) -> None:
     until(lambda: len(fleet.acted_under(version)) == 3, f"all act under {version}")
-    fleet.settle(held)
+    fleet.finish(blocked)
     assert mixtures(begun(fleet.daemon.folder)) == []
 
 
-def test_one_that_is_cut_off_acts_to_the_end_of_its_right_and_is_waited_for(fleet: Relayed) -> None:
+def test_change_waits_for_the_grant_of_an_instance_that_is_cut_off(fleet: RelayedFleet) -> None:
     fleet.relays["n001"].put(Fault.LOSE)
     assert fleet.propose(**calls_out(7))["state"] == "in force"
-    others_act_under(fleet, 2)
+    wait_for_others_under(fleet, 2)
     fleet.relays["n001"].cut(away=False)
     fleet.relays["n001"].heal()
-    settled_under(fleet, 2, {"n001"})
+    finish_under(fleet, 2, {"n001"})
 
 
-def test_one_that_votes_yes_and_never_receives_the_decision_holds(fleet: Relayed) -> None:
+def test_instance_that_misses_the_decision_after_its_yes_holds(fleet: RelayedFleet) -> None:
     relay = fleet.relays["n001"]
     relay.seen = lambda way, line: relay.put(Fault.LOSE, Way.DOWN) if b'"vote"' in line else None
     assert fleet.propose(**calls_out(7))["state"] == "in force"
-    others_act_under(fleet, 2)
+    wait_for_others_under(fleet, 2)
     relay.seen = lambda way, line: None
     relay.cut(away=False)
     relay.heal()
-    settled_under(fleet, 2, {"n001"})
+    finish_under(fleet, 2, {"n001"})
 
 
-def test_grants_replayed_after_two_further_changes_give_no_right(fleet: Relayed) -> None:
+def test_replayed_grants_are_ignored(fleet: RelayedFleet) -> None:
     for relay in fleet.relays.values():
         relay.put(Fault.DOUBLE)
     assert fleet.propose(**calls_out(7))["state"] == "in force"
     assert fleet.propose(**calls_out(8))["state"] == "in force"
     assert all(relay.replay() >= 6 for relay in fleet.relays.values())
-    settled_under(fleet, 3)
+    finish_under(fleet, 3)
 
 
-def test_lines_held_back_until_after_the_decision_come_too_late_to_matter(fleet: Relayed) -> None:
+def test_delayed_lines_have_no_effect_after_the_decision(fleet: RelayedFleet) -> None:
     fleet.relays["n002"].put(Fault.HOLD)
     assert fleet.propose(**calls_out(7))["state"] == "in force"
-    others_act_under(fleet, 2)
+    wait_for_others_under(fleet, 2)
     fleet.relays["n002"].heal()
-    settled_under(fleet, 2, {"n002"})
+    finish_under(fleet, 2, {"n002"})
 
 
-def test_a_daemon_that_dies_is_followed_by_one_that_waits_for_rights_it_never_gave(fleet: Relayed) -> None:
-    fleet.relays["n001"].put(Fault.LOSE)  # it acts on what the first daemon granted
+def test_next_daemon_waits_for_grants_of_its_predecessor(fleet: RelayedFleet) -> None:
+    fleet.relays["n001"].put(Fault.LOSE)  # it has only the first daemon's grants
     fleet.daemon.detach()
     fleet.daemon = RelayedDaemon(read_fleet(fleet.file), NullLog())
     assert fleet.propose(**calls_out(7))["state"] == "in force"
-    others_act_under(fleet, 2)
+    wait_for_others_under(fleet, 2)
     fleet.relays["n001"].cut(away=False)
     fleet.relays["n001"].heal()
-    settled_under(fleet, 2, {"n001"})
+    finish_under(fleet, 2, {"n001"})
 
 
 @pytest.mark.parametrize(("way", "line"), [(Way.UP, b'"vote"'), (Way.DOWN, b'"grant"')])
-def test_one_that_dies_after_its_yes_or_as_it_receives_the_decision(
-    fleet: Relayed, way: Way, line: bytes
-) -> None:
+def test_instance_dies_after_its_yes_or_at_the_decision(fleet: RelayedFleet, way: Way, line: bytes) -> None:
     pid, relay = fleet.rows()["n001"]["pid"], fleet.relays["n001"]
-    met: list[bytes] = []
+    matched: list[bytes] = []
 
-    def dies(direction: Way, data: bytes) -> None:
-        if not met and direction is way and line in data and (way is Way.UP or b'"version":2' in data):
-            met.append(data)
+    def kill_at(direction: Way, data: bytes) -> None:
+        if not matched and direction is way and line in data and (way is Way.UP or b'"version":2' in data):
+            matched.append(data)
             os.kill(pid, signal.SIGKILL)
 
-    relay.seen = dies
+    relay.seen = kill_at
     assert fleet.propose(**calls_out(7))["state"] == "in force"
-    assert met
-    settled_under(fleet, 2, {"n001"})
+    assert matched
+    finish_under(fleet, 2, {"n001"})
 
 
-def test_all_die_with_the_decision_on_record_and_sent_to_nobody(fleet: Relayed) -> None:
+def test_all_die_with_a_decision_on_record_that_reached_no_instance(fleet: RelayedFleet) -> None:
     for relay in fleet.relays.values():
         relay.put(Fault.LOSE, Way.DOWN)
     assert fleet.propose(within=0.1, **calls_out(7))["state"] == "pending"
@@ -142,5 +140,5 @@
         relay.heal()
     fleet.daemon = RelayedDaemon(read_fleet(fleet.file), NullLog())
     assert fleet.propose(**calls_out(7)) == {"state": "in force", "version": 2, "fault": ""}
-    settled_under(fleet, 2, fleet.relays)
+    finish_under(fleet, 2, fleet.relays)
     assert fleet.daemon.order({"do": "outcome", "version": 2})["state"] == "in force"
