--- a/springspread/fleet/members.py
+++ b/springspread/fleet/members.py
@@ -2,7 +2,7 @@
 
 Theory of operation. Each instance is a row with a folder of its own, which at most one process may use. The
 desired state of a row and what was last observed of its process decide the next step ("pending": its journal
-holds messages without an end):
+has messages without an outcome):
 
     desired   process                    step
     serving   none                       start it, after a backoff that doubles with each early death
--- a/springspread/fleet/policy_changes.py
+++ b/springspread/fleet/policy_changes.py
@@ -71,10 +71,10 @@
     """
 
     def __init__(
-        self, folder: Path, first: Policy, log: Log, clock: Clock = SYSTEM, times: Timings | None = None
+        self, folder: Path, first: Policy, log: Log, clock: Clock = SYSTEM, timings: Timings | None = None
     ) -> None:
         """``first`` is in force at once where the record is empty; raises ``PolicyError``."""
-        self._log, self._clock, self._times = log, clock, times or Timings()
+        self._log, self._clock, self._timings = log, clock, timings or Timings()
         self.record = PolicyRecord(folder, BOOT_ID.read_text().strip())
         if not self.record.history.in_force:
             self._record_first(first)
@@ -107,7 +107,7 @@
         is called with the limits of each decided policy. Raises ``DamagedRecord``.
         """
         self._send, self._apply_limits = send, apply_limits
-        self._carry_out(coordinator.begin(self._times, self.record.history, self._clock.now(), alive))
+        self._carry_out(coordinator.begin(self._timings, self.record.history, self._clock.now(), alive))
         self._thread = spawn("fleet-policy", self._run, self._log)
 
     # Called from any thread
@@ -148,7 +148,7 @@
         self._answers[id] = answers
         for owner in list(answers):
             self._send(owner, Question(id, policy.settings_text))
-        end = self._clock.now() + self._times.vote_ms
+        end = self._clock.now() + self._timings.vote_ms
         while None in list(answers.values()) and self._clock.now() < end:
             self._clock.sleep(TICK_MS / 2.0)
         del self._answers[id]
@@ -177,7 +177,7 @@
             case Refused(_, by, fault):
                 return Outcome("refused", f"{by}: {fault}" if by else fault)
             case Decided(_, since) if since > (now := self._clock.now()):
-                names = ", ".join(name for name, _ in self.awaited) or "its moment"
+                names = ", ".join(name for name, _ in self.awaited) or "its start time"
                 return Outcome("decided", f"{names}, {(since - now) / 1000:.1f} s")
             case Decided():
                 return Outcome("in force")
@@ -296,7 +296,7 @@
         number = getattr(entry, "number", 0)
         self.record.add_refusal(number, f"could not be recorded: {fault}")
         self._state = Coordinator(
-            before.times, self.record.history, before.count + 1, None, before.grant_ends, before.connected
+            before.timings, self.record.history, before.count + 1, None, before.grant_ends, before.connected
         )
 
 
--- a/springspread/rollout/coordinator.py
+++ b/springspread/rollout/coordinator.py
@@ -118,7 +118,7 @@
 class Coordinator:
     """The state of one coordinator."""
 
-    times: Timings
+    timings: Timings
     history: History
     count: int = 0
     pending: Pending | None = None
@@ -141,14 +141,14 @@
 Step = tuple[Coordinator, list[Effect]]
 
 
-def begin(times: Timings, history: History, now: float, alive: Iterable[Owner]) -> Step:
+def begin(timings: Timings, history: History, now: float, alive: Iterable[Owner]) -> Step:
     """Start from a record; ``alive``: the owners whose processes may still run."""
-    effects: list[Effect] = [Write(Begun(history.generation + 1, times.lease_ms))]
+    effects: list[Effect] = [Write(Begun(history.generation + 1, timings.lease_ms))]
     for number in history.undecided:  # safe: no decision was reported to the proposer
         effects.append(Write(Refused(number, "", "the daemon ended before it was decided")))
     latest_end = now + history.lease_ms
     state = Coordinator(
-        times, history, grant_ends=dict.fromkeys(alive, latest_end) if history.lease_ms else {}
+        timings, history, grant_ends=dict.fromkeys(alive, latest_end) if history.lease_ms else {}
     )
     return _with_recorded(state, effects), effects
 
@@ -165,12 +165,12 @@
         raise ValueError(
             f"change {state.history.in_force} comes into force in {wait:.1f} s; one change at a time"
         )
-    number, times = state.history.last_number + 1, state.times
+    number, timings = state.history.last_number + 1, state.timings
     effects: list[Effect] = [Write(Proposed(number, digest))]
     state = replace(_with_recorded(state, effects), count=state.count + 1)
-    cut = now + times.cut_ms
+    cut = now + timings.cut_ms
     awaited = state.connected
-    state = replace(state, pending=Pending(number, cut, now + times.vote_ms, awaited, lead_ms=lead_ms))
+    state = replace(state, pending=Pending(number, cut, now + timings.vote_ms, awaited, lead_ms=lead_ms))
     effects += [Send(owner, Prepare(state.serial, number, cut)) for owner in sorted(awaited)]
     return state, effects
 
@@ -229,12 +229,12 @@
 
 
 def _decide(state: Coordinator, now: float) -> Step:
-    pending, times = state.pending, state.times
+    pending, timings = state.pending, state.timings
     assert pending is not None
     unvoted_ends = {owner: end for owner, end in state.grant_ends.items() if owner not in pending.yes}
     # No grant of the old policy is valid after this moment, so the two policies never overlap.
-    last_end = max([now + times.lead_ms, *unvoted_ends.values(), *([pending.cut] if pending.yes else [])])
-    since = last_end + times.slack_ms + pending.lead_ms
+    last_end = max([now + timings.lead_ms, *unvoted_ends.values(), *([pending.cut] if pending.yes else [])])
+    since = last_end + timings.slack_ms + pending.lead_ms
     effects: list[Effect] = [Write(Decided(pending.number, since))]
     awaited = frozenset(owner for owner, end in unvoted_ends.items() if end > now)
     state = replace(_with_recorded(state, effects), pending=None, awaited=awaited)
@@ -246,8 +246,8 @@
     """Grant owners the policy in force; until a decided one is in force, both the old and the new one."""
     history, grant_ends, count = state.history, dict(state.grant_ends), state.count
     effects: list[Effect] = []
-    until = now + state.times.lease_ms
-    old_until = history.since - state.times.slack_ms
+    until = now + state.timings.lease_ms
+    old_until = history.since - state.timings.slack_ms
     for owner in owners:
         if now < old_until and history.previous:
             count += 1
@@ -258,7 +258,7 @@
             new = Grant((history.generation, count), history.in_force, max(history.since, 0.0), until)
             effects.append(Send(owner, new))
         grant_ends[owner] = max(grant_ends.get(owner, now), until)
-    renew_at = min(now + state.times.lease_ms / 4.0, history.since if history.since > now else inf)
+    renew_at = min(now + state.timings.lease_ms / 4.0, history.since if history.since > now else inf)
     return replace(state, count=count, grant_ends=grant_ends, renew_at=renew_at), effects
 
 
--- a/tests/fleet/test_daemon.py
+++ b/tests/fleet/test_daemon.py
@@ -65,15 +65,15 @@
 
 @pytest.fixture
 def harness(tmp_path: Path) -> Iterator[DaemonHarness]:
-    made = DaemonHarness(tmp_path)
-    until(lambda: made.serving() == ["n000", "n001"], "both serve")
-    yield made
-    made.peer.answer_calls.set()
-    for row in made.rows().values():
+    running = DaemonHarness(tmp_path)
+    until(lambda: running.serving() == ["n000", "n001"], "both serve")
+    yield running
+    running.peer.answer_calls.set()
+    for row in running.rows().values():
         if row["in_fleet"]:
             os.kill(row["pid"], signal.SIGKILL)  # faster than a graceful stop
-    made.daemon.stop()
-    made.peer.close()
+    running.daemon.stop()
+    running.peer.close()
 
 
 def test_killed_instance_restarts_and_delivers_its_pending_messages(harness: DaemonHarness) -> None:
--- a/tests/fleet/test_orders.py
+++ b/tests/fleet/test_orders.py
@@ -63,9 +63,9 @@
 
 @pytest.fixture
 def harness(tmp_path: Path) -> Iterator[DaemonHarness]:
-    made = DaemonHarness(tmp_path)
-    yield made
-    made.daemon.detach()
+    running = DaemonHarness(tmp_path)
+    yield running
+    running.daemon.detach()
 
 
 def test_policy_of_140_000_limits_comes_into_force(harness: DaemonHarness) -> None:
--- a/tests/fleet/test_reconciliation.py
+++ b/tests/fleet/test_reconciliation.py
@@ -98,9 +98,9 @@
         if rows is None or pair[0] in membership.rows
     ]
     assert all(membership.rows[name].epoch >= epoch for name, epoch in known)
-    held = {row.pid for row in membership.rows.values() if row.pid}
-    assert held.isdisjoint(one.pid for one in membership.stale)
-    assert held | {one.pid for one in membership.stale} == {one.pid for one in found}
+    adopted = {row.pid for row in membership.rows.values() if row.pid}
+    assert adopted.isdisjoint(one.pid for one in membership.stale)
+    assert adopted | {one.pid for one in membership.stale} == {one.pid for one in found}
     assert all(
         row.epoch == membership.journal_owners[name].epoch for name, row in membership.rows.items() if row.pid
     )
