--- a/tests/fleet/test_launcher.py
+++ b/tests/fleet/test_launcher.py
@@ -61,9 +61,9 @@
     monkeypatch.setenv("PYTHONPATH", str(tmp_path))
     monkeypatch.setenv("RELAY_ZONE", "c")
     monkeypatch.setenv("RELAY_LOG_LEVEL", "debug")
-    instances = launcher(tmp_path)
-    instances.prepare(start())
-    assert instances.launch(start()).wait(20.0) == 0
+    launched = launcher(tmp_path)
+    launched.prepare(start())
+    assert launched.launch(start()).wait(20.0) == 0
     environment = json.loads((tmp_path / "n002" / "config.json.env").read_text())
     own = {key: value for key, value in environment.items() if key.startswith(("RELAY_", "SPRINGSPREAD_"))}
     assert own == {
@@ -73,5 +73,5 @@
         "SPRINGSPREAD_INSTANCE": "n002",
         "SPRINGSPREAD_EPOCH": "3",
         "SPRINGSPREAD_POLICY": "4",
-        "SPRINGSPREAD_FLEET_ID": fleet_id(instances._plan.folder),
+        "SPRINGSPREAD_FLEET_ID": fleet_id(launched._plan.folder),
     }
