--- a/springspread/fleet/control.py
+++ b/springspread/fleet/control.py
@@ -46,7 +46,7 @@
         self._carry_out, self._log, self._clock = carry_out, log, clock
         self._listener = socket.socket(socket.AF_UNIX)
         path.unlink(missing_ok=True)
-        mask = os.umask(0o177)  # no other user may connect, not even before a chmod
+        mask = os.umask(0o177)  # so that the socket is created with mode 0600
         try:
             self._listener.bind(str(path))
         finally:
