--- a/springspread/rollout/document.py
+++ b/springspread/rollout/document.py
@@ -137,7 +137,7 @@
 
 @dataclass(frozen=True, slots=True)
 class PolicyBaseline:
-    """What a new policy is checked against: the latest one, and the class effects of all before it."""
+    """What a new policy is checked against: the latest one, and the class effects of all so far."""
 
     latest: Policy
     effects: ClassEffects
@@ -211,7 +211,7 @@
 def lead_ms(old: Policy, new: Policy) -> float:
     """How long before a policy comes into force its stricter limits must apply, in milliseconds.
 
-    Every span that begins under the new policy then keeps them. 0 where no limit is stricter.
+    Every span that ends under the new policy then keeps them. 0 where no limit is stricter.
     """
     leads = [_limit_lead_ms(old, key, limit) for key, limit in stricter_limits(old, new).items()]
     if old.default_mode is LimitMode.ADAPTIVE and new.default_mode is LimitMode.EXACT:
