--- a/benchmarks/capacity/policy.py
+++ b/benchmarks/capacity/policy.py
@@ -26,12 +26,12 @@
 from springspread import config
 from springspread.core.clock import SYSTEM
 from springspread.fleet.allocator_server import AllocatorServer
-from springspread.fleet.change import Changes
 from springspread.fleet.client import FleetShares
-from springspread.fleet.fit import under_policy
 from springspread.fleet.limits import Limit, LimitMode
+from springspread.fleet.policy_changes import PolicyChanges
+from springspread.fleet.policy_compatibility import config_under_policy
 from springspread.logs import make_log
-from springspread.rollout.coordinator import Times
+from springspread.rollout.coordinator import Timings
 from springspread.rollout.document import Policy
 
 IDLE_S = 4.0
@@ -42,7 +42,7 @@
 LIMITS = 100
 MODE = LimitMode.ADAPTIVE
 LIMIT, RAISED = Limit(200, 2_000.0, MODE), Limit(201, 2_000.0, MODE)
-VOTE_MS = Times().vote_ms
+VOTE_MS = Timings().vote_ms
 HARNESS_BOUND = "the senders share few processes, which took longer than votes may take"
 
 
@@ -62,7 +62,7 @@
         file = configuration(folder, 200)
         settings = json.loads(file.read_text())["settings"]
         held = dict.fromkeys(keys(limits), LIMIT)
-        changes = Changes(folder / "policy", Policy(settings, held, MODE), log)
+        changes = PolicyChanges(folder / "policy", Policy(settings, held, MODE), log)
         server = AllocatorServer(
             folder / "allot", folder, held, log, on_event=changes.received, default_mode=MODE
         )
@@ -78,7 +78,7 @@
             before, cpu, own = traffic.now, time.process_time(), asked("now")
             proposed_at = SYSTEM.now()
             proposal = changes.propose(Policy(settings, new, MODE))
-            proposal.taken.wait(FORCE_S)
+            proposal.answered.wait(FORCE_S)
             if proposal.fault:
                 return {"fault": f"refused: {proposal.fault[:80]}"}
             told = asked(f"policy {proposal.number} {FORCE_S}")
@@ -169,7 +169,7 @@
     running = config.read(json.loads(file.read_text()), {})
     shares = [FleetShares(path, name, epoch, log, policy=1) for name, epoch in owners(first + count)[first:]]
     for one in shares:
-        one.follow(lambda text: under_policy(running, NothingOwed(), text), lambda news: None)  # type: ignore[arg-type]
+        one.follow(lambda text: config_under_policy(running, NothingOwed(), text), lambda news: None)  # type: ignore[arg-type]
     for order in sys.stdin:
         told = {"at": 0.0}
         if order.startswith("policy"):
--- a/springspread/cli/fleet.py
+++ b/springspread/cli/fleet.py
@@ -53,8 +53,8 @@
 
     SIGTERM also stops the instances gracefully. After a SIGKILL they go on, and the next `run` adopts them.
     """
+    from springspread.fleet.control_client import OrderRefused
     from springspread.fleet.daemon import Daemon
-    from springspread.fleet.orders import Refused
     from springspread.fleet.plan import PlanTooLarge
     from springspread.logs import make_log
 
@@ -65,7 +65,7 @@
         daemon = Daemon(plan, log)
     except PlanTooLarge as exc:
         raise _click_error(PlanTooLarge(_with_file(file, plan, str(exc)))) from exc
-    except (Refused, OSError, ValueError, TypeError) as exc:
+    except (OrderRefused, OSError, ValueError, TypeError) as exc:
         raise click.ClickException(str(exc)) from exc
     log.info("fleet ready", control=str(plan.folder / "control"))
     signal.sigwait(STOP_SIGNALS)
@@ -75,7 +75,7 @@
 
 
 def _send(plan: FleetPlan, order: dict[str, Any], wait_s: float = 0.0) -> dict[str, Any]:
-    from springspread.fleet.orders import send_order
+    from springspread.fleet.control_client import send_order
 
     path = plan.folder / "control"
     try:
--- a/springspread/faults/daemon.py
+++ b/springspread/faults/daemon.py
@@ -25,7 +25,7 @@
 from springspread.fleet.plan import read_fleet
 from springspread.fleet.wire import Message
 from springspread.logs import make_log
-from springspread.rollout import record
+from springspread.rollout import policy_record
 
 PROGRAM = "FAULTS_PROGRAM"  # what instances run, in place of the program
 ENDS = (signal.SIGTERM, signal.SIGINT)
@@ -36,12 +36,12 @@
 
     steps: Steps | None = None
 
-    def meeting_point(self, name: str) -> Path:
+    def daemon_socket(self, name: str) -> Path:
         """The instance's relay, where there is one."""
         path = relay_path(self.folder, name)
-        return path if path.exists() else super().meeting_point(name)
+        return path if path.exists() else super().daemon_socket(name)
 
-    def given(self, name: str) -> dict[str, Any]:
+    def instance_settings(self, name: str) -> dict[str, Any]:
         """What a file in the fleet's folder says of the instance."""
         path = given_path(self.folder)
         return dict(json.loads(path.read_text()).get(name, {})) if path.exists() else {}
@@ -75,7 +75,7 @@
 
     RelayedDaemon.steps = steps
     vars(daemon_module).update(AllocatorServer=Server)
-    vars(record).update(os=Disk(steps))
+    vars(policy_record).update(os=Disk(steps))
 
 
 def main() -> None:
--- a/springspread/faults/hollow/policy.py
+++ b/springspread/faults/hollow/policy.py
@@ -15,17 +15,17 @@
 from springspread.faults.hollow.meter import Meter
 from springspread.faults.hollow.network import Zone
 from springspread.faults.hollow.sender import HollowSender
-from springspread.fleet.change import LOOK_MS
 from springspread.fleet.client import RECONNECT_MS
 from springspread.fleet.limits import Owner
 from springspread.fleet.messages import PROTOCOL_VERSION, Register
+from springspread.fleet.policy_changes import TICK_MS
 from springspread.fleet.policy_participant import REPORT_INTERVAL_MS
 from springspread.fleet.wire import Document, Message, encode
 from springspread.rollout import coordinator, participant
-from springspread.rollout.coordinator import Coordinator, History, Step, Times
+from springspread.rollout.coordinator import Coordinator, History, Step, Timings
 from springspread.rollout.document import Policy
 from springspread.rollout.participant import Participant
-from springspread.rollout.terms import Acting, Decided, Grant, Prepare, Proposed, Vote, Write
+from springspread.rollout.protocol import Acting, Decided, Grant, Prepare, Proposed, Vote, Write
 
 SYNC_MS = 4.0  # for the record to reach the disk
 WAY_MS = 50.0  # the longest way between two processes, and as much again as a reserve
@@ -41,8 +41,8 @@
         self.connections: dict[Connection, None] = {}
         self._by_owner: dict[Owner, Connection] = {}
         self._documents: dict[Owner, set[int]] = {}  # numbers whose texts an owner has been sent
-        history = History().after(Proposed(1, policy.digest)).after(Decided(1, queue.clock))
-        times = Times(lead_ms=WAY_MS)
+        history = History().with_entry(Proposed(1, policy.digest)).with_entry(Decided(1, queue.clock))
+        times = Timings(lead_ms=WAY_MS)
         self._state: Coordinator
         self._carry_out(coordinator.begin(times, history, queue.clock, []))
         self._tick()
@@ -88,7 +88,7 @@
 
     def _tick(self) -> None:
         self._measured(lambda: coordinator.tick(self._state, self._queue.clock))
-        self._queue.at(self._queue.now + LOOK_MS, self._tick)
+        self._queue.at(self._queue.now + TICK_MS, self._tick)
 
     def _measured(self, step: Callable[[], Step]) -> None:
         begun = perf_counter_ns()
--- a/springspread/faults/planted.py
+++ b/springspread/faults/planted.py
@@ -9,7 +9,7 @@
 from springspread.faults.search import TIMES, Machine, altered
 from springspread.rollout.coordinator import Coordinator, History, Step
 from springspread.rollout.participant import Participant
-from springspread.rollout.terms import Begun, Decided, Effect, Grant, Prepare, Proposed, Send, Vote, Write
+from springspread.rollout.protocol import Begun, Decided, Effect, Grant, Prepare, Proposed, Send, Vote, Write
 
 Real = Callable[..., Any]
 
@@ -49,7 +49,7 @@
 
 
 def _forgets_the_silent(real: Real, state: Coordinator, now: float, *rest: object) -> Step:
-    forgetful = replace(state, ends={}) if state.pending else state
+    forgetful = replace(state, grant_ends={}) if state.pending else state
     return real(forgetful, now, *rest)  # type: ignore[no-any-return]
 
 
@@ -94,7 +94,7 @@
 
 
 def _reuses_numbers(real: Real, state: Coordinator, now: float, digest: str, lead_ms: float = 0.0) -> Step:
-    history = replace(state.history, last=state.history.in_force)
+    history = replace(state.history, last_number=state.history.in_force)
     return real(replace(state, history=history), now, digest, lead_ms)  # type: ignore[no-any-return]
 
 
--- a/springspread/faults/sabotage.py
+++ b/springspread/faults/sabotage.py
@@ -19,8 +19,8 @@
 from springspread.fleet.limits import Limit, LimitMode
 from springspread.rollout import coordinator, participant
 from springspread.rollout.participant import Participant
-from springspread.rollout.record import PolicyRecord
-from springspread.rollout.terms import Decided, Entry, Grant, Prepare, Vote
+from springspread.rollout.policy_record import PolicyRecord
+from springspread.rollout.protocol import Decided, Entry, Grant, Prepare, Vote
 
 VARIABLE = "FAULTS_SABOTAGE"
 FOR_MS = 5_000.0
@@ -77,7 +77,7 @@
     real = coordinator._decide
 
     def decide(state: coordinator.Coordinator, now: float) -> coordinator.Step:
-        return real(replace(state, ends={}), now)
+        return real(replace(state, grant_ends={}), now)
 
     vars(coordinator).update(_decide=decide)
 
@@ -96,7 +96,7 @@
 
     def append(self: PolicyRecord, entry: Entry) -> None:
         if isinstance(entry, Decided) and self.history.in_force:
-            self._note(entry)
+            self._add_entry(entry)
         else:
             real(self, entry)
 
--- a/springspread/faults/search.py
+++ b/springspread/faults/search.py
@@ -15,9 +15,9 @@
 from typing import Any
 
 from springspread.rollout import coordinator, participant
-from springspread.rollout.coordinator import Coordinator, History, Step, Times
+from springspread.rollout.coordinator import Coordinator, History, Step, Timings
 from springspread.rollout.participant import Participant
-from springspread.rollout.terms import (
+from springspread.rollout.protocol import (
     Begun,
     Decided,
     Effect,
@@ -31,7 +31,7 @@
     Write,
 )
 
-TIMES = Times(lease_ms=3.0, vote_ms=1.0, cut_ms=2.0, lead_ms=0.0, slack_ms=0.0)
+TIMES = Timings(lease_ms=3.0, vote_ms=1.0, cut_ms=2.0, lead_ms=0.0, slack_ms=0.0)
 
 
 @dataclass(frozen=True, slots=True)
@@ -80,7 +80,7 @@
         """Two worlds alike have the same key."""
         daemon = self.daemon
         known = () if daemon is None else (
-            daemon.history, daemon.count, daemon.pending, tuple(sorted(daemon.ends.items())),
+            daemon.history, daemon.count, daemon.pending, tuple(sorted(daemon.grant_ends.items())),
             daemon.connected, daemon.renew_at,
         )  # fmt: skip
         rest = (self.record, self.loose, self.parts, self.sent, self.votes, self.acted, self.told, self.left)
@@ -209,7 +209,7 @@
     if daemon is None:
         history = History()
         for entry in world.record:
-            history = history.after(entry)
+            history = history.with_entry(entry)
         yield from daemon_does("begins", machine.begin(TIMES, history, now, owners))
     else:
         if left.daemon_deaths:
@@ -230,7 +230,7 @@
         ticked = machine.tick(daemon, now)
         if ticked[1]:
             yield from daemon_does("looks", ticked)
-        for owner in sorted(set(daemon.ends) - set(owners)):
+        for owner in sorted(set(daemon.grant_ends) - set(owners)):
             yield from daemon_does(f"sees {owner} dead", coordinator.died(daemon, now, owner))
     for n, (epoch, state) in enumerate(world.parts):
         yield from _instance(world, machine, n, epoch, state)
--- a/springspread/faults/virtual.py
+++ b/springspread/faults/virtual.py
@@ -13,14 +13,14 @@
 from itertools import count
 from random import Random
 
-from springspread.fleet.change import LOOK_MS
+from springspread.fleet.policy_changes import TICK_MS
 from springspread.fleet.policy_participant import REPORT_INTERVAL_MS
 from springspread.fleet.wire import Document, Lines, Message, encode
 from springspread.rollout import coordinator, participant
-from springspread.rollout.coordinator import Coordinator, History, Step, Times
+from springspread.rollout.coordinator import Coordinator, History, Step, Timings
 from springspread.rollout.document import Policy
 from springspread.rollout.participant import Participant
-from springspread.rollout.terms import Acting, Decided, Owner, Prepare, Proposed, Write
+from springspread.rollout.protocol import Acting, Decided, Owner, Prepare, Proposed, Write
 
 
 @dataclass(frozen=True, slots=True)
@@ -32,7 +32,7 @@
     sync: float = 4.0
 
 
-COSTS, TIMES = Costs(), Times()
+COSTS, TIMES = Costs(), Timings()
 
 
 @dataclass(slots=True)
@@ -53,7 +53,7 @@
         deaf: int = 0,
         seed: int = 1,
         costs: Costs = COSTS,
-        times: Times = TIMES,
+        times: Timings = TIMES,
     ) -> None:
         """``deaf`` of the instances hear nothing after their first grants."""
         self.policy, self.costs = policy, costs
@@ -65,13 +65,13 @@
         self._told: dict[Owner, set[int]] = {owner: set() for owner in self._owners}
         self._silent: set[Owner] = set()
         self._busy = 0.0  # until when the daemon writes
-        history = History().after(Proposed(1, self.policy.digest)).after(Decided(1, 0.0))
+        history = History().with_entry(Proposed(1, self.policy.digest)).with_entry(Decided(1, 0.0))
         self._state: Coordinator
         self._carry_out(coordinator.begin(times, history, self.now, []))
         for owner in self._owners:
             self._carry_out(coordinator.joined(self._state, self.now, owner))
             self._after(self._rng.uniform(0.0, REPORT_INTERVAL_MS), partial(self._say, owner))
-        self._after(LOOK_MS, self._tick)
+        self._after(TICK_MS, self._tick)
         self.run(1_000.0)
         self._silent = set(self._rng.sample(self._owners, deaf))
 
@@ -106,7 +106,7 @@
 
     def _tick(self) -> None:
         self._carry_out(coordinator.tick(self._state, self.now))
-        self._after(LOOK_MS, self._tick)
+        self._after(TICK_MS, self._tick)
 
     def _say(self, owner: Owner) -> None:
         self._count(Acting(self._rights[owner].version(self.now)))
--- a/springspread/fleet/client.py
+++ b/springspread/fleet/client.py
@@ -115,7 +115,7 @@
 
     def may_begin(self, policy: int) -> bool:
         """Whether a call that was decided under a policy may begin now."""
-        return self._participant.may(policy)
+        return self._participant.may_begin(policy)
 
     def acquire(self, endpoint: Endpoint) -> float:
         """Acquire the right to one call; until when it is valid, or 0 if none came in ``LEASE_WAIT_MS``."""
@@ -197,7 +197,7 @@
         last_report: Returning | None = None
         while self._open and not ended.is_set():
             now = self._clock.now()
-            due: list[Message] = [*self._participant.due(now)]
+            due: list[Message] = [*self._participant.messages_due(now)]
             report = self._start_report()
             if report is not None and report != last_report:
                 last_report = report
--- a/springspread/fleet/change.py
+++ b/springspread/fleet/policy_changes.py
@@ -1,8 +1,8 @@
-"""The daemon's driver of policy changes: one thread that owns the coordinator's state and its record.
+"""The daemon's driver of policy changes: one thread owns the coordinator's state and record.
 
-Theory of operation. Other threads put events into a queue (connections, votes, proposals). The one thread
-takes each, steps the coordinator, and carries out the effects in order. An entry that can't be written to the
-record cancels the effects after it, so nothing is sent that relies on an entry that is not on disk.
+Theory of operation. Other threads queue events (connections, votes, proposals). The coordinator's thread
+handles each: it steps the coordinator and carries out the effects in order. An entry that can't be written to
+the record cancels the effects after it, so no message is sent that relies on an entry that is not on disk.
 """
 
 from __future__ import annotations
@@ -22,10 +22,10 @@
 from springspread.fleet.wire import Document, Fit, Message, Question
 from springspread.net.threads import spawn
 from springspread.rollout import coordinator
-from springspread.rollout.coordinator import Coordinator, Step, Times
-from springspread.rollout.document import Policy, PolicyFault, check, lead_ms
-from springspread.rollout.record import Damaged, PolicyRecord
-from springspread.rollout.terms import (
+from springspread.rollout.coordinator import Coordinator, Step, Timings
+from springspread.rollout.document import Policy, PolicyError, lead_ms, validate_policy
+from springspread.rollout.policy_record import DamagedRecord, PolicyRecord
+from springspread.rollout.protocol import (
     Acting,
     Decided,
     Entry,
@@ -37,10 +37,10 @@
     Vote,
 )
 
-LOOK_MS = 20.0  # the interval of the coordinator's ticks
-REPORT_VALID_MS = 2_500.0  # the policy that an instance reported is known for so long
+TICK_MS = 20.0  # the interval of the coordinator's ticks
+REPORT_VALID_MS = 2_500.0  # how long an instance's report of its policy is valid
 LimitsReceiver = Callable[[Mapping[str, Limit], float, LimitMode], None]
-"""Takes the limits and the default mode of a policy, and the moment (ms) from which they hold."""
+"""Called with a policy's limits, the time (ms) from which they apply, and its default mode."""
 BOOT_ID = Path("/proc/sys/kernel/random/boot_id")
 
 
@@ -48,50 +48,50 @@
 class Proposal:
     """A proposal, and the coordinator's answer.
 
-    ``taken`` is set once ``number`` or, where it can't be voted on, ``fault`` is.
+    ``answered`` is set once there is a ``number`` or, where it can't be voted on, a ``fault``.
     """
 
     policy: Policy
     number: int = 0
     fault: str = ""
-    taken: threading.Event = field(default_factory=threading.Event)
+    answered: threading.Event = field(default_factory=threading.Event)
 
 
 class Outcome(NamedTuple):
-    """``state``: "in force", "decided", "pending" or "refused"; ``detail``: why, or what is waited for."""
+    """``state``: "in force", "decided", "pending" or "refused"; ``detail``: the reason or what is awaited."""
 
     state: str
     detail: str = ""
 
 
-class Changes:
+class PolicyChanges:
     """The policies of a fleet, and changes of them, until ``close``.
 
-    Raises ``Damaged`` or ``OSError`` where the record can't be used.
+    Raises ``DamagedRecord`` or ``OSError`` where the record can't be used.
     """
 
     def __init__(
-        self, folder: Path, first: Policy, log: Log, clock: Clock = SYSTEM, times: Times | None = None
+        self, folder: Path, first: Policy, log: Log, clock: Clock = SYSTEM, timings: Timings | None = None
     ) -> None:
-        """``first`` is in force at once where nothing is on record yet; raises ``PolicyFault``."""
-        self._log, self._clock, self._times = log, clock, times or Times()
+        """``first`` is in force at once where the record is empty; raises ``PolicyError``."""
+        self._log, self._clock, self._timings = log, clock, timings or Timings()
         self.record = PolicyRecord(folder, BOOT_ID.read_text().strip())
         if not self.record.history.in_force:
             self._record_first(first)
         self._inbox: SimpleQueue[Callable[[float], Step]] = SimpleQueue()
         self._state: Coordinator | None = None
-        self._answers: dict[int, dict[Owner, str | None]] = {}  # to each open question, by owner
+        self._answers: dict[int, dict[Owner, str | None]] = {}  # by question, then owner
         self._question_ids = count(1)
-        self._texts_sent: dict[Owner, set[int]] = {}  # the policies sent on an owner's connection
-        self._reported: dict[Owner, tuple[int, float]] = {}  # the policy acted under, and when that came
-        self._send: Callable[[Owner, Message], None] = _send_nowhere
-        self._follow_limits: LimitsReceiver = _ignore_limits
+        self._texts_sent: dict[Owner, set[int]] = {}  # numbers of the policies sent on an owner's connection
+        self._reported: dict[Owner, tuple[int, float]] = {}  # the version, and when it was received
+        self._send: Callable[[Owner, Message], None] = _discard_message
+        self._apply_limits: LimitsReceiver = _ignore_limits
         self._closed = threading.Event()
 
     def _record_first(self, first: Policy) -> None:
-        check(first, None)
-        number = self.record.history.last + 1  # an earlier first start may have died after its proposal
-        self.record.keep(number, first)
+        validate_policy(first, None)
+        number = self.record.history.last_number + 1  # an earlier first start may have proposed
+        self.record.store(number, first)
         self.record.append(Proposed(number, first.digest))
         self.record.append(Decided(number, self._clock.now()))
 
@@ -99,21 +99,21 @@
         self,
         alive: Iterable[Owner],
         send: Callable[[Owner, Message], None],
-        follow_limits: LimitsReceiver,
+        apply_limits: LimitsReceiver,
     ) -> None:
         """Start the coordinator.
 
-        ``alive``: the owners whose processes may run; ``send`` sends a message to an owner; ``follow_limits``
-        is called with the limits of each policy that is decided. Raises ``Damaged``.
+        ``alive``: the owners whose processes may run; ``send`` sends a message to an owner; ``apply_limits``
+        is called with the limits of each decided policy. Raises ``DamagedRecord``.
         """
-        self._send, self._follow_limits = send, follow_limits
-        self._carry_out(coordinator.begin(self._times, self.record.history, self._clock.now(), alive))
+        self._send, self._apply_limits = send, apply_limits
+        self._carry_out(coordinator.begin(self._timings, self.record.history, self._clock.now(), alive))
         self._thread = spawn("fleet-policy", self._run, self._log)
 
     # Called from any thread
 
     def received(self, owner: Owner, message: Vote | Acting | Fit | None, connected: bool) -> None:
-        """A message of an owner; ``None``: its connection has begun or, not ``connected``, ended."""
+        """Handle an owner's message; ``None``: its connection has begun or, not ``connected``, ended."""
         match message:
             case Acting(version):
                 self._reported[owner] = (version, self._clock.now())
@@ -129,7 +129,7 @@
                 self._inbox.put(lambda now: (coordinator.left(self._current, owner), []))
 
     def died(self, owner: Owner) -> None:
-        """An owner's process has certainly ended."""
+        """Handle the certain end of an owner's process."""
         self._inbox.put(lambda now: self._died(now, owner))
 
     def propose(self, policy: Policy) -> Proposal:
@@ -138,19 +138,19 @@
         self._inbox.put(lambda now: self._propose(now, proposal))
         return proposal
 
-    def would_fit(self, policy: Policy, owners: Iterable[Owner]) -> dict[Owner, str | None]:
-        """Ask instances whether they could use a policy; nothing is changed.
+    def query_compatibility(self, policy: Policy, owners: Iterable[Owner]) -> dict[Owner, str | None]:
+        """Ask instances whether they could use a policy; changes nothing.
 
-        Returns the fault that each found: empty for none, ``None`` where it did not answer in time.
+        Returns each one's fault: empty for none, ``None`` where it did not answer in time.
         """
         id = next(self._question_ids)
         answers: dict[Owner, str | None] = dict.fromkeys(owners)
         self._answers[id] = answers
         for owner in list(answers):
             self._send(owner, Question(id, policy.settings_text))
-        end = self._clock.now() + self._times.vote_ms
+        end = self._clock.now() + self._timings.vote_ms
         while None in list(answers.values()) and self._clock.now() < end:
-            self._clock.sleep(LOOK_MS / 2.0)
+            self._clock.sleep(TICK_MS / 2.0)
         del self._answers[id]
         return answers
 
@@ -168,16 +168,16 @@
         return history.in_force if self._current.settled(self._clock.now()) else history.previous
 
     def policy(self, number: int) -> Policy:
-        """A policy by its number; raises ``Damaged``."""
+        """A policy by its number; raises ``DamagedRecord``."""
         return self.record.policy(number)
 
     def outcome(self, number: int) -> Outcome:
         """The outcome of a proposal; "in force" and "refused" are final, also for a policy since replaced."""
-        match self.record.ends.get(number):
+        match self.record.outcomes.get(number):
             case Refused(_, by, fault):
                 return Outcome("refused", f"{by}: {fault}" if by else fault)
             case Decided(_, since) if since > (now := self._clock.now()):
-                names = ", ".join(name for name, _ in self.awaited) or "its moment"
+                names = ", ".join(name for name, _ in self.awaited) or "its start time"
                 return Outcome("decided", f"{names}, {(since - now) / 1000:.1f} s")
             case Decided():
                 return Outcome("in force")
@@ -185,7 +185,7 @@
 
     @property
     def pending(self) -> int:
-        """The number of the policy that is voted on or decided and not yet in force; 0: none."""
+        """The number of the policy that is voted on, or decided but not yet in force; 0: none."""
         state = self._current
         if state.pending is not None:
             return state.pending.number
@@ -193,7 +193,7 @@
 
     @property
     def awaited(self) -> list[Owner]:
-        """The owners whose votes, or the ends of whose grants, are waited for."""
+        """The owners whose votes or ends of grants are awaited."""
         state = self._current
         if state.pending is not None:
             return sorted(state.pending.awaited)
@@ -201,13 +201,13 @@
             return []
         return sorted(state.awaited)
 
-    def acts_under(self, owner: Owner) -> int:
-        """The policy that an owner lately reported; 0: it begins no calls, or there is no recent report."""
+    def reported_version(self, owner: Owner) -> int:
+        """The policy that an owner reported to act under; 0: it begins no calls, or no recent report."""
         version, received_at = self._reported.get(owner, (0, -inf))
         return version if self._clock.now() < received_at + REPORT_VALID_MS else 0
 
     def close(self) -> None:
-        """Stop the thread, after the step that it is in, and close the record."""
+        """Stop the thread after its current step, and close the record."""
         if self._closed.is_set():
             return
         self._closed.set()
@@ -219,15 +219,15 @@
     def _run(self) -> None:
         while not self._closed.is_set():
             try:
-                event = self._inbox.get(timeout=LOOK_MS / 1000.0)
+                event = self._inbox.get(timeout=TICK_MS / 1000.0)
             except Empty:
                 event = self._tick
             try:
                 self._carry_out(event(self._clock.now()))
                 self._carry_out(self._tick(self._clock.now()))
-            except Damaged as exc:
-                # What is on record is unknown, so nothing that relies on it may be sent any more.
-                self._log.error("policy record lost; nothing more is granted", error=str(exc))
+            except DamagedRecord as exc:
+                # The record's content is unknown, so no message may rely on it any more.
+                self._log.error("policy record unusable; no more grants", error=str(exc))
                 return
 
     def _tick(self, now: float) -> Step:
@@ -244,18 +244,18 @@
 
     def _propose(self, now: float, proposal: Proposal) -> Step:
         state = self._current
-        past = self.record.past
-        assert past is not None  # the first policy is on record since ``__init__``
+        baseline = self.record.baseline
+        assert baseline is not None  # the first policy is on record since ``__init__``
         try:
-            check(proposal.policy, past)
-            lead = lead_ms(past.latest, proposal.policy)
+            validate_policy(proposal.policy, baseline)
+            lead = lead_ms(baseline.latest, proposal.policy)
             step = coordinator.propose(state, now, proposal.policy.digest, lead)
-            proposal.number = step[0].history.last
-            self.record.keep(proposal.number, proposal.policy)
-        except (PolicyFault, ValueError, OSError) as exc:
+            proposal.number = step[0].history.last_number
+            self.record.store(proposal.number, proposal.policy)
+        except (PolicyError, ValueError, OSError) as exc:
             proposal.number, proposal.fault = 0, str(exc)
             step = (state, [])
-        proposal.taken.set()
+        proposal.answered.set()
         return step
 
     def _carry_out(self, step: Step) -> None:
@@ -275,11 +275,11 @@
     def _after_record(self, entry: Entry) -> None:
         if isinstance(entry, Decided):
             policy = self.record.policy(entry.number)
-            self._follow_limits(policy.limits, entry.since, policy.default_mode)
-        self._log.info("policy record", entry=repr(entry))
+            self._apply_limits(policy.limits, entry.since, policy.default_mode)
+        self._log.info("policy entry recorded", entry=repr(entry))
 
     def _send_with_text(self, effect: Send) -> None:
-        """Send a message, after the text of its policy where this connection has not had it."""
+        """Send a message, preceded by its policy's text where this connection has not received it."""
         message = effect.message
         number = message.number if isinstance(message, Prepare) else message.version
         sent = self._texts_sent.setdefault(effect.owner, set())
@@ -289,20 +289,20 @@
         self._send(effect.owner, message)
 
     def _refuse_unrecorded(self, before: Coordinator | None, entry: Entry, fault: str) -> None:
-        """Go on after an entry that is not on record: the proposal that it belongs to is refused."""
-        self._log.error("not on record", entry=repr(entry), error=fault)
+        """Refuse the proposal that an unwritten entry belongs to."""
+        self._log.error("policy entry not recorded", entry=repr(entry), error=fault)
         if before is None:
-            raise Damaged(f"the daemon's start is not on record: {fault}")
+            raise DamagedRecord(f"the daemon's start could not be recorded: {fault}")
         number = getattr(entry, "number", 0)
-        self.record.refused(number, f"not on record: {fault}")
+        self.record.add_refusal(number, f"could not be recorded: {fault}")
         self._state = Coordinator(
-            before.times, self.record.history, before.count + 1, None, before.ends, before.connected
+            before.timings, self.record.history, before.count + 1, None, before.grant_ends, before.connected
         )
 
 
-def _send_nowhere(owner: Owner, message: Message) -> None:
-    """Before ``begin`` there is no connection to send on."""
+def _discard_message(owner: Owner, message: Message) -> None:
+    """Used before ``begin``, when there are no connections."""
 
 
 def _ignore_limits(limits: Mapping[str, Limit], since: float, default_mode: LimitMode) -> None:
-    """Before ``begin`` nobody follows limits."""
+    """Used before ``begin``."""
--- a/tests/fleet/test_limit_schedule.py
+++ b/tests/fleet/test_limit_schedule.py
@@ -7,13 +7,13 @@
 
 from springspread.core.clock import SYSTEM
 from springspread.fleet.allocator_server import AllocatorServer
-from springspread.fleet.change import BOOT_ID
 from springspread.fleet.daemon import Daemon
 from springspread.fleet.limits import Limit
 from springspread.fleet.messages import PROTOCOL_VERSION, LeaseRequest, Register
 from springspread.fleet.plan import read_fleet
-from springspread.rollout.record import PolicyRecord
-from springspread.rollout.terms import Decided, Proposed
+from springspread.fleet.policy_changes import BOOT_ID
+from springspread.rollout.policy_record import PolicyRecord
+from springspread.rollout.protocol import Decided, Proposed
 from tests.fleet.test_allocator_server import NullLog
 from tests.peer import until
 from tests.test_config import make
@@ -46,12 +46,12 @@
     (tmp_path / "sender.json").write_text(json.dumps(base))
     file.write_text(head + limit.format(10))
     first = Daemon(read_fleet(file), NullLog())
-    first.leave()
+    first.detach()
     file.write_text(head + limit.format(100))
     raised = read_fleet(file).policy(base)
     record = PolicyRecord(first.folder / "policy", BOOT_ID.read_text().strip())
     since = SYSTEM.now() + 600.0
-    record.keep(2, raised)
+    record.store(2, raised)
     record.append(Proposed(2, raised.digest))
     record.append(Decided(2, since))
     record.close()
@@ -61,7 +61,7 @@
     assert SYSTEM.now() < since and before == Limit(10, 1000.0)
     until(lambda: allocator.limit("g1") == Limit(100, 1000.0), "the new limits apply")
     assert SYSTEM.now() >= since
-    second.leave()
+    second.detach()
 
 
 def test_partner_limit_applies_after_operators_limit_is_removed(tmp_path: Path) -> None:
--- a/tests/fleet/test_policy_participant.py
+++ b/tests/fleet/test_policy_participant.py
@@ -1,4 +1,4 @@
-"""The instance's side of a change of policy: what it follows when, and what it writes."""
+"""The instance's side of a policy change: which policy it follows, and which messages it writes."""
 
 from __future__ import annotations
 
@@ -12,13 +12,13 @@
 from springspread.fleet.policy_participant import MAX_TEXTS, REPORT_INTERVAL_MS, PolicyParticipant
 from springspread.fleet.sender_session import IDLE_MS
 from springspread.fleet.wire import Document, Fit, Question
-from springspread.rollout.terms import Acting, Grant, Prepare, Vote
+from springspread.rollout.protocol import Acting, Grant, Prepare, Vote
 
 CONFIG = cast(Config, object())
 
 
 class Recorder:
-    """A clock that tests set, a log that keeps its events, and a taker of policies."""
+    """A participant with a manual clock, recorded log events and recorded policies."""
 
     def __init__(self) -> None:
         self.time = 0.0
@@ -46,7 +46,7 @@
     return Recorder()
 
 
-def test_a_policy_is_followed_from_its_moment_and_delivered_once(recorder: Recorder) -> None:
+def test_policy_is_followed_from_its_start_and_delivered_once(recorder: Recorder) -> None:
     participant = recorder.participant
     recorder.grant(1, 1, 0.0, 100.0)
     participant.received(Document(2, "two"))
@@ -56,32 +56,32 @@
     participant.advance(110.0)
     assert recorder.delivered == [NewPolicy(2, CONFIG)] and recorder.events == []
     recorder.time = 100.0
-    assert participant.may(2) and not participant.may(1)
+    assert participant.may_begin(2) and not participant.may_begin(1)
 
 
-def test_holding_is_logged_and_reported_at_once_and_policies_at_an_interval(recorder: Recorder) -> None:
+def test_holding_is_reported_at_once_and_the_policy_at_an_interval(recorder: Recorder) -> None:
     participant = recorder.participant
     recorder.grant(1, 1, 0.0, 2_000.0)
     participant.advance(0.0)
-    assert participant.due(0.0) == [Acting(1)]
-    assert participant.due(REPORT_INTERVAL_MS - 1.0) == []
-    assert participant.due(REPORT_INTERVAL_MS) == [Acting(1)]
+    assert participant.messages_due(0.0) == [Acting(1)]
+    assert participant.messages_due(REPORT_INTERVAL_MS - 1.0) == []
+    assert participant.messages_due(REPORT_INTERVAL_MS) == [Acting(1)]
     participant.advance(2_000.0)
-    assert participant.due(2_000.0) == [Acting(0)]
+    assert participant.messages_due(2_000.0) == [Acting(0)]
     recorder.time = 2_001.0
     recorder.grant(2, 1, 0.0, 3_000.0)
     participant.advance(2_001.0)
-    assert participant.due(2_001.0) == [Acting(1)] and recorder.events == ["holding", "acting"]
+    assert participant.messages_due(2_001.0) == [Acting(1)] and recorder.events == ["holding", "acting"]
 
 
-def test_a_faulty_policy_is_refused_and_its_fault_logged_once(recorder: Recorder) -> None:
+def test_unusable_policy_is_refused_and_logged_once(recorder: Recorder) -> None:
     participant = recorder.participant
     participant.received(Document(2, "faulty"))
     participant.received(Prepare((1, 1), 2, 50.0))
     participant.received(Prepare((1, 2), 3, 50.0))
     participant.received(Question(7, "faulty"))
     faulty = "settings.x: faulty"
-    assert participant.due(0.0)[:3] == [
+    assert participant.messages_due(0.0)[:3] == [
         Vote(2, False, faulty),
         Vote(3, False, "its text did not arrive"),
         Fit(7, faulty),
@@ -93,19 +93,19 @@
     assert participant.version == 1 and recorder.delivered == []
 
 
-def test_replies_are_dropped_and_the_policy_reported_again_on_a_new_connection(recorder: Recorder) -> None:
+def test_new_connection_drops_replies_and_reports_the_policy(recorder: Recorder) -> None:
     participant = recorder.participant
-    participant.due(0.0)
+    participant.messages_due(0.0)
     participant.received(Question(7, "two"))
     participant.connected()
-    assert participant.due(1.0) == [Acting(1)]
+    assert participant.messages_due(1.0) == [Acting(1)]
 
 
-def test_only_the_latest_texts_are_kept(recorder: Recorder) -> None:
+def test_only_the_latest_texts_are_stored(recorder: Recorder) -> None:
     participant = recorder.participant
     for number in range(2, 3 + MAX_TEXTS):
         participant.received(Document(number, "text"))
     for number in (2, 3):
         participant.received(Prepare((1, number), number, 50.0))
-    votes = [message for message in participant.due(0.0) if isinstance(message, Vote)]
+    votes = [message for message in participant.messages_due(0.0) if isinstance(message, Vote)]
     assert [vote.yes for vote in votes] == [False, True]
