--- a/springspread/core/loop.py
+++ b/springspread/core/loop.py
@@ -146,7 +146,8 @@
             return []
         self._log.info("taken over", owed=len(found))
         return [
-            self._reopen(now, owed, self.start.time_left(owed, most)) for owed, most in self._recover(found)
+            self._reopen(now, owed, self.start.time_left(owed, limit_ms))
+            for owed, limit_ms in self._recover(found)
         ]
 
     def _reopen(self, now: float, owed: Owed, left: float) -> i.Taken:
@@ -194,8 +195,8 @@
         if self.start.should_fetch_list(now, self._destinations.listed):
             self._discovery.fetch()
         policy_in_force = self._shares is None or self._shares.may_begin(self._policy)
-        freed = self.start.proceed(now, self._settings.slots, policy_in_force, self._destinations.listed)
-        return [self._reopen(now, owed, left) for owed, left in freed]
+        released = self.start.proceed(now, self._settings.slots, policy_in_force, self._destinations.listed)
+        return [self._reopen(now, owed, left) for owed, left in released]
 
     def run(self) -> None:
         """Handle batches until a shutdown is complete."""
--- a/springspread/core/start.py
+++ b/springspread/core/start.py
@@ -105,12 +105,12 @@
             return self._clock.wall()
         return self._anchor[0] + self._clock.now() - self._anchor[1]
 
-    def time_left(self, owed: Owed, most: float) -> float:
-        """How much time (ms) a message has left; ``most``: its class's deadline."""
+    def time_left(self, owed: Owed, limit_ms: float) -> float:
+        """How much time (ms) a message has left; ``limit_ms``: its class's deadline."""
         left = owed.deadline_wall - self.wall()
         # A clock that is too early must not give a message more time than its class does.
-        return min(left, most) if self._waits.clock_ms else left
+        return min(left, limit_ms) if self._waits.clock_ms else left
 
     def _release(self) -> list[tuple[Owed, float]]:
         released, self._held_back = self._held_back, []
-        return [(owed, self.time_left(owed, most)) for owed, most in released]
+        return [(owed, self.time_left(owed, limit_ms)) for owed, limit_ms in released]
