--- a/springspread/core/loop.py
+++ b/springspread/core/loop.py
@@ -342,7 +342,7 @@
             # discovery has answered, it may be a new one.
             message.answer(Verdict.UNKNOWN_GROUP if self._destinations.listed else Verdict.REFUSED)
         elif len(self._open_messages) >= self._settings.max_held:
-            self._log.debug("too many messages", id=message.id, group=message.group, cls=message.cls)
+            self._log.debug("too many open messages", id=message.id, group=message.group, cls=message.cls)
             message.answer(Verdict.REFUSED)
         else:
             return self._admit(message, cls)
