--- a/tests/test_grown_fleet.py
+++ b/tests/test_grown_fleet.py
@@ -183,7 +183,7 @@
     told = parse_lines(WIRE_SETTINGS)
     alone = read_settings({key: value for key, value in told.items() if key != "balancers"})
     assert alone.senders == 1 == read_settings({**told, "balancers": "1"}).senders
-    assert Dispatcher(alone, 1)._gate().share == 1.0
+    assert Dispatcher(alone, 1)._new_limiter().share == 1.0
     for odd in ("0", "-3", "many", "inf"):
         with pytest.raises(SettingsError, match="^balancers:"):
             read_settings({**told, "balancers": odd})
