--- a/tests/fleet/test_allocator.py
+++ b/tests/fleet/test_allocator.py
@@ -38,7 +38,7 @@
 class Fleet(RuleBasedStateMachine):
     """Instances start, freeze and call; messages are lost or late; allocators are replaced."""
 
-    loses_record = False  # injected faults: a successor without the record, reports that free calls too early
+    forgets = False  # injected faults: a successor without the record, reports that free calls too early
     frees_early = False
 
     def __init__(self) -> None:
@@ -126,7 +126,7 @@
     def the_allocator_is_replaced(self) -> None:
         """The successor restores the recorded leases; the latest may never have been sent."""
         self.allocator = self._allocator()
-        self.allocator.restore([] if self.loses_record else self.record)
+        self.allocator.restore([] if self.forgets else self.record)
         self.allocator.set_limit(KEY, self.limit)
 
     @rule(ms=st.sampled_from([1.0, 5.0, 19.0, 40.0, 77.0, 160.0, 201.0]))
@@ -145,7 +145,7 @@
 
 
 class Forgetful(Fleet):
-    loses_record = True
+    forgets = True
 
 
 class Hasty(Fleet):
