--- a/springspread/__main__.py
+++ b/springspread/__main__.py
@@ -118,12 +118,14 @@
     """How far startup has come, for the fleet's daemon; ``None`` if no startup stage is waited for."""
     from springspread.fleet.wire import Returning
 
-    start = sender.start
-    if not start.has_waits:
+    startup = sender.startup
+    if not startup.has_waits:
         return None
-    now = start.progress
+    progress = startup.progress
     damaged = sum(map(len, journal.damaged.values()))
-    return Returning(now.stage.value, round(now.since, 1), start.backlog, start.backlog_at_start, damaged)
+    return Returning(
+        progress.stage.value, round(progress.since, 1), startup.backlog, startup.backlog_at_start, damaged
+    )
 
 
 def serve(config: Config, log: Log, flush: Callable[[], None]) -> int:
@@ -170,8 +172,8 @@
             partial(startup_status, sender, journal),
         )
     loop_thread = spawn("loop", sender.run, log)
-    # Where CPU time is charged to the clock, it may run ahead after startup until the process has slept;
-    # messages accepted before that would be given up too late.
+    # On hosts that charge CPU time to the clock it may run ahead until the process has slept; messages
+    # accepted before that would end too late.
     SYSTEM.sleep(limits.settle_ms)
     client_api = ClientApi(sender.put, limits.retry_after_s, figures)
     try:
--- a/springspread/core/loop.py
+++ b/springspread/core/loop.py
@@ -49,7 +49,7 @@
 class OpenMessage:
     """An accepted message that the decision module has not ended yet."""
 
-    owed: PendingMessage
+    pending: PendingMessage
     spec: i.ClassSpec
     deadline: float
     waiting_clients: int = 1  # requests for it whose clients have not left
@@ -73,7 +73,7 @@
         self._clock, self._shares, self._policy = clock, shares, policy
         self._settings, self._limits = config.settings, config.limits
         self._journal, self._clearance, self._log = journal, clearance, log
-        self._lanes = journal if isinstance(journal, OwnedJournals) else None
+        self._owned_journals = journal if isinstance(journal, OwnedJournals) else None
         self._figures = figures or Figures(())
         self._module = Dispatcher(config.settings, config.seed)
         self._classes = {spec.name: n for n, spec in enumerate(config.settings.classes)}
@@ -89,7 +89,7 @@
         self._stop_at = float("inf")
         self._last_step_at = 0.0
         self._listed_at, self._list_version = clock.now(), 0  # of the latest list update
-        self.start = Startup(config.waits, log, clock, journal.written_wall)
+        self.startup = Startup(config.waits, log, clock, journal.written_wall)
 
     def attach(self, executor: Executor, discovery: Discovery, notices: NoticeSink) -> None:
         """Set the drivers that carry out the decision module's actions."""
@@ -108,11 +108,11 @@
         self._inbox.put(update)
 
     def restore(self, known: ListUpdate) -> None:
-        """Recover the messages of the last process, before clients are told that this one is ready."""
+        """Recover the messages of the last process, before this one accepts clients."""
         now = self._clock.now()
         events: list[i.Event] = [self._listed(known)]
         waiting = self._recover(self._journal.pending.values())
-        self.start.begin(now, waiting)
+        self.startup.begin(now, waiting)
         for name, ranges in self._journal.damaged.items():
             places = [f"{one.start}-{one.end}" for one in ranges[:20]]
             ids = [id for one in ranges for id in one.ids][:20]
@@ -120,54 +120,56 @@
         if self._journal.pending or self._journal.cut_bytes:
             self._log.info("restored", owed=len(self._journal.pending), cut_bytes=self._journal.cut_bytes)
         if not self._settings.must_ask:
-            # A list that was pushed to the agent counts as notified even if nobody asks for it.
+            # A list that was pushed to the agent counts as notified even if it is not requested.
             self._discovery.watch(True)
         self._decide(now, events + self._advance_startup(now))
 
     def _recover(self, found: Iterable[PendingMessage]) -> list[tuple[PendingMessage, float]]:
-        """Recover another process's messages; returns those to resume, with their class's deadline (ms)."""
+        """Recover other processes' messages; returns those to resume, with their class's deadline (ms)."""
         waiting: list[tuple[PendingMessage, float]] = []
-        for owed in list(found):
-            self._numbers[owed.id] = owed.number
-            cls = self._classes.get(owed.cls)
+        for pending in list(found):
+            self._numbers[pending.id] = pending.number
+            cls = self._classes.get(pending.cls)
             spec = self._settings.classes[cls] if cls is not None else None
-            if owed.ending is not None:
-                self._notices.deliver(Notice(owed.number, owed.id, *owed.ending))
-            elif cls is None or spec is None or (owed.may_have_run and spec.effect is not i.Effect.SAFE):
+            if pending.ending is not None:
+                self._notices.deliver(Notice(pending.number, pending.id, *pending.ending))
+            elif cls is None or spec is None or (pending.may_have_run and spec.effect is not i.Effect.SAFE):
                 # An attempt without a recorded result may have run, and may not be repeated.
-                self._end(owed.number, deferred=False)
+                self._end(pending.number, deferred=False)
             else:
-                waiting.append((owed, spec.deadline_ms))
+                waiting.append((pending, spec.deadline_ms))
         return waiting
 
     def _take_over(self, now: float) -> list[i.Event]:
         """Take over the messages of another process on this folder, once it has died."""
-        if self._lanes is None or not (found := self._lanes.check_ownership(now)):
+        if self._owned_journals is None or not (found := self._owned_journals.check_ownership(now)):
             return []
         self._log.info("taken over", owed=len(found))
         return [
-            self._reopen(now, owed, self.start.time_left(owed, limit_ms))
-            for owed, limit_ms in self._recover(found)
+            self._reopen(now, pending, self.startup.time_left(pending, limit_ms))
+            for pending, limit_ms in self._recover(found)
         ]
 
-    def _reopen(self, now: float, owed: PendingMessage, left: float) -> i.Taken:
-        cls, deadline = self._classes[owed.cls], now + left
-        self._log.debug("message resumed", number=owed.number, left_ms=round(left, 1), attempts=owed.attempts)
-        self._open_messages[owed.number] = OpenMessage(owed, self._settings.classes[cls], deadline)
+    def _reopen(self, now: float, pending: PendingMessage, left: float) -> i.Taken:
+        cls, deadline = self._classes[pending.cls], now + left
+        self._log.debug(
+            "message resumed", number=pending.number, left_ms=round(left, 1), attempts=pending.attempts
+        )
+        self._open_messages[pending.number] = OpenMessage(pending, self._settings.classes[cls], deadline)
         return i.Taken(
-            owed.number,
-            owed.group,
+            pending.number,
+            pending.group,
             cls,
             deadline,
-            again=owed.again,
-            orphan=owed.orphan,
-            attempts=owed.attempts,
+            again=pending.again,
+            orphan=pending.orphan,
+            attempts=pending.attempts,
         )
 
     @property
     def open(self) -> bool:
         """Whether new clients are served; safe from any thread."""
-        return self.start.open
+        return self.startup.open
 
     def levels(self) -> Mapping[str, int]:
         """Current values of the gauges; safe from any thread."""
@@ -189,14 +191,14 @@
         }
 
     def _advance_startup(self, now: float) -> list[i.Event]:
-        """Leave the startup stages that are over, and resume the messages that this releases."""
-        if self.start.open:
+        """Leave the startup stages that have ended, and resume the messages that this releases."""
+        if self.startup.open:
             return []
-        if self.start.should_fetch_list(now, self._destinations.listed):
+        if self.startup.should_fetch_list(now, self._destinations.listed):
             self._discovery.fetch()
         policy_in_force = self._shares is None or self._shares.may_begin(self._policy)
-        released = self.start.proceed(now, self._settings.slots, policy_in_force, self._destinations.listed)
-        return [self._reopen(now, owed, left) for owed, left in released]
+        released = self.startup.proceed(now, self._settings.slots, policy_in_force, self._destinations.listed)
+        return [self._reopen(now, pending, left) for pending, left in released]
 
     def run(self) -> None:
         """Handle batches until a shutdown is complete."""
@@ -260,7 +262,7 @@
         due = self.due
         if self._stop_at < float("inf") or not self.open:
             due = min(due, self._clock.now() + 20.0)  # checks for the end of a shutdown or of a startup stage
-        if self._lanes is not None and self._lanes.has_other_journals:
+        if self._owned_journals is not None and self._owned_journals.has_other_journals:
             due = min(due, self._clock.now() + OWNERSHIP_CHECK_MS)
         try:
             if due == float("inf"):
@@ -282,7 +284,7 @@
             case AttemptEnd():
                 return self._attempt_end(event)
             case ListUpdate():
-                self.start.note_date(event.date, event.notified_at)
+                self.startup.note_date(event.date, event.notified_at)
                 if event.scope is not Scope.FAILED:
                     self._listed_at, self._list_version = event.notified_at, event.version
                 listed = self._listed(event)
@@ -302,7 +304,7 @@
         return []
 
     def _new_policy(self, number: int, config: Config) -> i.Changed:
-        """Applies to calls decided on and messages accepted from now on."""
+        """Use a new policy for the calls decided on and the messages accepted from now on."""
         new, names = config.settings, {spec.name for spec in config.settings.classes}
         # Open messages refer to classes by position, so removed classes keep theirs.
         specs = {spec.name: spec for spec in (*self._settings.classes, *new.classes)}
@@ -321,8 +323,8 @@
         elif message.id in self._numbers:
             # A retry by a client that got no answer; another client's message may not use the same id.
             number = self._numbers[message.id]
-            owed = self._journal.pending[number]
-            if (owed.cls, owed.group, owed.body) != (message.cls, message.group, message.body):
+            pending = self._journal.pending[number]
+            if (pending.cls, pending.group, pending.body) != (message.cls, message.group, message.body):
                 message.answer(Verdict.CONFLICT)
                 return []
             message.number = number
@@ -333,7 +335,10 @@
                 return self._client_left(message)
         elif self._recently_closed.get(message.id):
             message.answer(Verdict.DELIVERED)
-        elif self._lanes is not None and (other := self._lanes.pending_elsewhere(message.id)) is not None:
+        elif (
+            self._owned_journals is not None
+            and (other := self._owned_journals.pending_elsewhere(message.id)) is not None
+        ):
             # Another process on this folder is responsible for it.
             same = (other.cls, other.group, other.body) == (message.cls, message.group, message.body)
             message.answer(Verdict.ACCEPTED if same else Verdict.CONFLICT)
@@ -351,8 +356,8 @@
     def _admit(self, message: Message, cls: int) -> list[i.Event]:
         number = self._journal.last_number + 1
         left = message.deadline - self._clock.now()
-        until = self.start.wall() + left
-        owed = PendingMessage(
+        until = self.startup.wall() + left
+        pending = PendingMessage(
             number,
             message.id,
             message.cls,
@@ -364,7 +369,7 @@
             policy=self._policy,
         )
         try:
-            self._journal.record_taken(owed)
+            self._journal.record_taken(pending)
         except (JournalFull, OSError) as exc:
             self._log.warning("message not recorded; refusing it", reason=repr(exc))
             message.answer(Verdict.REFUSED)
@@ -378,7 +383,7 @@
             cls=message.cls,
             left_ms=round(left, 1),
         )
-        self._open_messages[number] = OpenMessage(owed, self._settings.classes[cls], message.deadline)
+        self._open_messages[number] = OpenMessage(pending, self._settings.classes[cls], message.deadline)
         self._numbers[message.id] = number
         if not self._acknowledge(message):
             self._client_left(message)
@@ -398,7 +403,7 @@
             return []  # a call is in flight, and the client may have read the answer: it needs its end
         self._log.debug("message withdrawn", number=number)
         del self._open_messages[number]
-        self._close(open_message.owed, delivered=False)
+        self._close(open_message.pending, delivered=False)
         return [i.Withdrawn(number)]
 
     def _attempt_end(self, end: AttemptEnd) -> list[i.Event]:
@@ -435,14 +440,14 @@
         open_message = self._open_messages.get(attempt.number)
         finished = open_message is None
         if open_message is not None and end.result is Result.DELIVERED and self._too_late(open_message, end):
-            # An answer after the deadline counts as none. Shortly before it the platform may get a needless
-            # notice, which does no harm.
+            # A late answer does not count. Within the margin before the deadline the platform may get a
+            # needless notice, which does no harm.
             finished, open_message = True, None
             self._end(attempt.number, deferred=False)
         if open_message is not None and (end.result is Result.DELIVERED or end.final):
             finished = True
             if end.result is Result.DELIVERED:
-                self._figures.count(Figure.SERVED, open_message.owed.cls)
+                self._figures.count(Figure.SERVED, open_message.pending.cls)
             del self._open_messages[attempt.number]
             self._complete(attempt.number, delivered=end.result is Result.DELIVERED)
         return [translate.ended(end, finished)]
@@ -487,30 +492,30 @@
             )
 
     def _complete(self, number: int, *, delivered: bool) -> None:
-        owed = self._journal.pending.get(number)
-        if owed is None:
+        pending = self._journal.pending.get(number)
+        if pending is None:
             return
         self._log.debug("message closed", number=number, delivered=delivered)
         self._journal.record_completed(number)
-        self._close(owed, delivered)
+        self._close(pending, delivered)
 
-    def _close(self, owed: PendingMessage, delivered: bool) -> None:
-        self.start.message_ended(owed.number)
-        self._numbers.pop(owed.id, None)
-        self._recently_closed[owed.id] = delivered
+    def _close(self, pending: PendingMessage, delivered: bool) -> None:
+        self.startup.message_ended(pending.number)
+        self._numbers.pop(pending.id, None)
+        self._recently_closed[pending.id] = delivered
         if len(self._recently_closed) > self._limits.recent_results:
             self._recently_closed.popitem(last=False)
 
     def _end(self, number: int, *, deferred: bool, again_ms: float = 0.0) -> None:
         """Send the final status; the message is closed in the journal once the platform has accepted it."""
-        owed = self._journal.pending.get(number)
+        pending = self._journal.pending.get(number)
         self._open_messages.pop(number, None)
-        if owed is not None and owed.ending is None:
-            self.start.message_ended(number)
-            self._figures.count(Figure.REFUSED if deferred else Figure.FAILED, owed.cls)
+        if pending is not None and pending.ending is None:
+            self.startup.message_ended(number)
+            self._figures.count(Figure.REFUSED if deferred else Figure.FAILED, pending.cls)
             self._log.debug("message ended", number=number, deferred=deferred, again_ms=again_ms)
             self._journal.record_ending(number, deferred, again_ms)
-            self._notices.deliver(Notice(number, owed.id, deferred, again_ms))
+            self._notices.deliver(Notice(number, pending.id, deferred, again_ms))
 
     def _decide(self, now: float, events: list[i.Event]) -> None:
         sends: list[i.Send] = []
@@ -545,7 +550,7 @@
 
     def _send(self, now: float, sends: list[i.Send]) -> None:
         """Start calls; sends to the same endpoint share one, as far as its kind allows."""
-        groups: list[tuple[int, list[Attempt]]] = []
+        batches: list[tuple[int, list[Attempt]]] = []
         last: dict[int, list[Attempt]] = {}
         for send in sends:
             attempt = self._attempt(now, send)
@@ -554,11 +559,11 @@
             endpoint = self._endpoints.by_number[send.route]
             if len(last.get(send.route, ())) in (0, endpoint.per_call):
                 last[send.route] = []
-                groups.append((send.route, last[send.route]))
+                batches.append((send.route, last[send.route]))
             last[send.route].append(attempt)
-        for route, members in groups:
+        for route, attempts in batches:
             endpoint = self._endpoints.by_number[route]
-            call = Call(endpoint, tuple(members), now, policy=self._policy)
+            call = Call(endpoint, tuple(attempts), now, policy=self._policy)
             if not self._may_start(now, call):
                 continue  # left to the next process
             if len(self._calls) >= self._settings.slots:
@@ -584,14 +589,14 @@
         left = message.deadline - self._limits.deadline_margin_ms - now
         wait = min(send.timeout_ms, left) if send.timeout_ms > 0 else left
         safe = message.spec.effect is i.Effect.SAFE
-        owed = message.owed
-        attempt = Attempt(send.message, index, owed.id, owed.body, now + wait, safe, cls=owed.cls)
-        if endpoint.group != message.owed.group:
+        pending = message.pending
+        attempt = Attempt(send.message, index, pending.id, pending.body, now + wait, safe, cls=pending.cls)
+        if endpoint.group != message.pending.group:
             # Must never happen: the message would reach another partner.
             self._log.error(
                 "send rejected: the endpoint belongs to another destination",
                 endpoint=endpoint.name,
-                group=message.owed.group,
+                group=message.pending.group,
             )
             self._inbox.put(AttemptEnd(Call(endpoint, (attempt,), now), attempt, Result.NOT_SENT, now))
             return None
--- a/springspread/core/start.py
+++ b/springspread/core/start.py
@@ -1,6 +1,6 @@
-"""The startup of a sender: its stage, the messages that it has recovered, and the corrected wall clock.
+"""The startup of a sender: its stage, the recovered messages, and the corrected wall clock.
 
-Used by the loop's thread alone; ``progress``, ``open`` and ``backlog`` may be read from any.
+Used by the loop's thread alone; ``progress``, ``open`` and ``backlog`` may be read from any thread.
 """
 
 from __future__ import annotations
@@ -25,25 +25,25 @@
         self.progress = Progress(Stage.CLOCK, clock.now())
         self._known_time: tuple[float, float] | None = None  # an answer's date, and when it was read
         self._anchor: tuple[float, float] | None = None  # the corrected wall clock, and when it was set
-        self._held_back: list[tuple[PendingMessage, float]] = []  # with their class's deadline (ms)
+        self._waiting: list[tuple[PendingMessage, float]] = []  # to release; with their class's deadline (ms)
         self._backlog: set[int] = set()  # numbers of recovered messages that are still open
         self.backlog_at_start = 0
         self._fetch_at = 0.0
 
-    def begin(self, now: float, owed: Iterable[tuple[PendingMessage, float]]) -> None:
+    def begin(self, now: float, waiting: Iterable[tuple[PendingMessage, float]]) -> None:
         """Enter the first stage, with recovered messages and their class's deadline (ms)."""
-        self.progress, self._held_back = Progress(Stage.CLOCK, now), list(owed)
-        self._backlog = {one.number for one, _ in self._held_back}
+        self.progress, self._waiting = Progress(Stage.CLOCK, now), list(waiting)
+        self._backlog = {one.number for one, _ in self._waiting}
         self.backlog_at_start = len(self._backlog)
 
     @property
     def open(self) -> bool:
-        """Whether all stages are over."""
+        """Whether all stages have ended."""
         return self.progress.stage is Stage.OPEN
 
     @property
     def has_waits(self) -> bool:
-        """Whether it waits in any stage."""
+        """Whether any stage is waited for."""
         return self._waits != Waits()
 
     @property
@@ -56,7 +56,7 @@
         self._backlog.discard(number)
 
     def note_date(self, date: str, at: float) -> None:
-        """Note the date of an answer."""
+        """Note the date of discovery's answer."""
         if self.progress.stage is Stage.CLOCK and (reference := wall_clock.parse_date(date)) is not None:
             self._known_time = (reference, at)
 
@@ -70,7 +70,7 @@
     def proceed(
         self, now: float, slots: int, policy: bool, listed: bool
     ) -> list[tuple[PendingMessage, float]]:
-        """Leave the stages that are over; returns the messages that this releases, with their time left."""
+        """Leave the stages that have ended; returns the messages that this releases, with their time left."""
         before = self.progress
         conditions = Conditions(len(self._backlog), slots, self._known_time is not None, policy, listed)
         self.progress = advance(before, conditions, self._waits, now)
@@ -98,8 +98,8 @@
         shift = wall_clock.offset(system, reference, self._written_wall)
         self._anchor = (system + shift, now)
         if shift:
-            source = "world" if reference is not None else "record"
-            self._log.error("the machine's clock is wrong", by_s=round(-shift / 1000.0, 1), told_by=source)
+            source = "date" if reference is not None else "record"
+            self._log.error("the machine's clock is wrong", by_s=round(-shift / 1000.0, 1), source=source)
 
     def wall(self) -> float:
         """The corrected Unix time (ms)."""
@@ -107,12 +107,12 @@
             return self._clock.wall()
         return self._anchor[0] + self._clock.now() - self._anchor[1]
 
-    def time_left(self, owed: PendingMessage, limit_ms: float) -> float:
+    def time_left(self, pending: PendingMessage, limit_ms: float) -> float:
         """How much time (ms) a message has left; ``limit_ms``: its class's deadline."""
-        left = owed.deadline_wall - self.wall()
+        left = pending.deadline_wall - self.wall()
         # A clock that is too early must not give a message more time than its class does.
         return min(left, limit_ms) if self._waits.clock_ms else left
 
     def _release(self) -> list[tuple[PendingMessage, float]]:
-        released, self._held_back = self._held_back, []
-        return [(owed, self.time_left(owed, limit_ms)) for owed, limit_ms in released]
+        released, self._waiting = self._waiting, []
+        return [(pending, self.time_left(pending, limit_ms)) for pending, limit_ms in released]
