--- a/springspread/core/__init__.py
+++ b/springspread/core/__init__.py
@@ -1,1 +1,1 @@
-"""The sender's loop, message table and journal; nothing here knows how a front speaks."""
+"""The sender's loop, message table and journal; independent of the client API."""
--- a/springspread/core/clearance.py
+++ b/springspread/core/clearance.py
@@ -20,7 +20,7 @@
 
     RETRY_AFTER = "retry after"  # its endpoint asked for a wait
     LEAVING = "leaving"  # its endpoint is draining or gone
-    LIST_OUTDATED = "list outdated"  # newer changes count as notified
+    LIST_OUTDATED = "list outdated"  # later changes count as notified
     CANCELLED = "cancelled"
     LATE = "late"  # its deadline has passed
     STOPPING = "stopping"  # the process is shutting down
@@ -58,7 +58,7 @@
         self._stopped = False
         self._unapplied: list[tuple[ListUpdate, ListIndex]] = []  # read, and not yet applied by the loop
         self._outdated_period = NEVER_OUTDATED
-        self._shared = journal.shared_backoff if isinstance(journal, OwnedJournals) else None
+        self._shared_backoff = journal.shared_backoff if isinstance(journal, OwnedJournals) else None
 
     def set_retry_after(self, endpoint: Endpoint, wait_ms: float) -> None:
         """Apply an endpoint's retry-after at once, before the loop has handled the answer."""
@@ -67,13 +67,17 @@
             until = max(now + wait_ms, self._retry_after.get(endpoint.retry_after_key, 0.0))
             self._retry_after = {key: end for key, end in self._retry_after.items() if end > now}
             self._retry_after[endpoint.retry_after_key] = until
-        if self._shared is not None and wait_ms > 0.0:
-            self._shared.publish(endpoint.retry_after_name, until, now)
+        if self._shared_backoff is not None and wait_ms > 0.0:
+            self._shared_backoff.publish(endpoint.retry_after_name, until, now)
 
     def retry_after_left_ms(self, endpoint: Endpoint) -> float:
         """How much of an endpoint's retry-after is left."""
         now = self._clock.now()
-        other = 0.0 if self._shared is None else self._shared.blocked_until(endpoint.retry_after_name, now)
+        other = (
+            0.0
+            if self._shared_backoff is None
+            else self._shared_backoff.blocked_until(endpoint.retry_after_name, now)
+        )
         with self._lock:
             return max(self._retry_after.get(endpoint.retry_after_key, 0.0) - now, other - now, 0.0)
 
@@ -107,7 +111,7 @@
 
     def check(self, call: Call) -> Refusal | None:
         """Why a call may not be sent now; ``None``: it may, and its attempts are recorded as begun."""
-        # First, as these may block: what changes meanwhile is checked after them.
+        # First, as these may block: the checks below see what changed meanwhile.
         shares = self._shares
         if shares is not None and not shares.wait_for_policy(call.policy):
             return _not_sent(WithheldReason.OTHER_POLICY)
@@ -131,7 +135,7 @@
             return refused
         if shares is None:
             return None
-        # Last, as no call may begin under an old policy even where this process was frozen until now.
+        # Last, as this process may have been frozen until now while the policy changed.
         if not shares.may_begin(call.policy):
             return _not_sent(WithheldReason.OTHER_POLICY)
         return _not_sent(WithheldReason.NO_LEASE) if self._clock.now() >= lease_until else None
@@ -155,7 +159,7 @@
             now = self._clock.now()
             if now > self._leaving_at(call.endpoint) + self._grace_ms:
                 return _not_sent(WithheldReason.LEAVING)
-            # A drain may count as notified that this sender has not read.
+            # A drain that this sender has not read may count as notified.
             if self._outdated_period.contains(now, self._grace_ms):
                 return _not_sent(WithheldReason.LIST_OUTDATED)
         return None
--- a/springspread/core/translate.py
+++ b/springspread/core/translate.py
@@ -1,4 +1,4 @@
-"""Converts between the core's types and the decision module's: the only file that knows both."""
+"""Converts the core's types to the decision module's."""
 
 from __future__ import annotations
 
@@ -68,15 +68,15 @@
     def __init__(self, kinds: tuple[i.KindSpec, ...], clock: Clock) -> None:
         self._kinds, self._clock = kinds, clock
         self._numbers: dict[tuple[str, int], int] = {}
-        self._last = 0  # numbers are not reused
+        self._last_number = 0  # numbers are not reused
         self.by_number: dict[int, Endpoint] = {}
 
     def endpoint(self, member: Member) -> Endpoint:
         """The endpoint of a list line. A name that moves to another group becomes another endpoint."""
         key = (member.name, member.group)
         if key not in self._numbers:
-            self._last += 1
-            self._numbers[key] = self._last
+            self._last_number += 1
+            self._numbers[key] = self._last_number
         number = self._numbers[key]
         kind = self._kinds[member.kind] if 0 <= member.kind < len(self._kinds) else i.KindSpec("")
         endpoint = self.by_number.get(number)
--- a/springspread/core/types.py
+++ b/springspread/core/types.py
@@ -56,7 +56,7 @@
 
 
 class EndpointState(Enum):
-    """What discovery says of an endpoint."""
+    """An endpoint's state on discovery's list."""
 
     READY = "ready"
     DRAINING = "draining"
@@ -73,14 +73,14 @@
 
 
 def _ignore_verdict(message: Message) -> None:
-    """For a message that no front handed in."""
+    """For a message that was not handed in by a client."""
 
 
 @dataclass(slots=True, eq=False)
 class Message:
     """A message that a client hands in. ``on_verdict`` is called once, by the core's thread.
 
-    The core's verdict and the front's time-out may race. The first one wins, and the other sees that it lost:
+    The core's verdict may race with the client API's time-out. The first one wins and is final:
     no client is refused whose message has been accepted.
     """
 
@@ -98,7 +98,7 @@
     _withdrawn: bool = False
 
     def answer(self, verdict: Verdict) -> bool:
-        """Set the verdict; false where the front has stopped waiting, so that it may not be accepted."""
+        """Set the verdict; false where the client API has stopped waiting: it may not be accepted."""
         with self._verdict_lock:
             if self._withdrawn:
                 return False
@@ -107,7 +107,7 @@
         return True
 
     def withdraw(self) -> bool:
-        """Stop waiting for the verdict; false where it has come by now."""
+        """Stop waiting for the verdict; false if it is already set."""
         with self._verdict_lock:
             self._withdrawn = self.verdict is None
             return self._withdrawn
@@ -153,7 +153,7 @@
     separate_routes: bool
     per_call: int
     state: EndpointState = EndpointState.READY
-    leaving_at: float = float("inf")  # when this sender was notified that it drains or is gone
+    leaving_at: float = float("inf")  # when it was notified as draining or gone
 
     @property
     def retry_after_key(self) -> tuple[int, int]:
@@ -211,7 +211,7 @@
 
 @dataclass(frozen=True, slots=True)
 class AttemptEnd:
-    """An attempt's end. ``final``: the endpoint says that the message needs no further attempt."""
+    """An attempt's end. ``final``: the endpoint reported that no further attempt is needed."""
 
     call: Call
     attempt: Attempt
--- a/springspread/core/watch.py
+++ b/springspread/core/watch.py
@@ -1,9 +1,9 @@
 """When discovery is asked for its list, and which answers are accepted: decisions without I/O.
 
-Theory of operation. Whatever discovery has counts as notified ``NOTIFIED_MS`` after it had it and could be
-reached, whether or not it arrived; what a long poll would have returned, ``AFTER_WAIT_MS`` after its wait, if
-that is later. A sender that asks later acts on a list that counts as replaced. So each way in which a request
-can fail leaves a deadline, by which an answer is due:
+Theory of operation. A change counts as notified ``NOTIFIED_MS`` after discovery has it and can be reached,
+whether or not it was received; one that a long poll would have returned, ``AFTER_WAIT_MS`` after the poll's
+wait, if that is later. A sender that has no answer by then acts on an outdated list. So each way in which a
+request can fail leaves a deadline, by which an answer is due:
 
     a request ends                  the deadline that it leaves
     silent, unreadable              begin + NOTIFIED_MS, or its wait's end + AFTER_WAIT_MS where that is later
@@ -23,20 +23,19 @@
                                                            as from overdue
 
 So a later failure never extends the deadline of an earlier one that has not passed. A discovery that is
-reached after a silent request, and answers late, refuses requests or breaks them off, may well be up: what it
-has counts as notified at the deadline, and the list is not used any more. One that is not reached, or that
-gave no answer during a whole outdated period, is taken to be down; then the list is used until it is back.
+reached after a silent request, and answers late, refuses requests or breaks them off, may be up: its changes
+count as notified at the deadline, and the list is no longer used. One that is not reached, or that gave no
+answer during a whole outdated period, is taken to be down; then the list is used until discovery is back.
 There is no second outdated period before an answer. A silent request that follows a failure may not be the
 first one after discovery came back: its deadline counts from that failure.
 
 The next request goes at the latest one answer's time before the deadline, or ``Timings.retry_ms`` after a
-failure where that is later; a watch that fell silent is followed at once. Unless the list is current,
-requests are short: an answer comes in its turn, or the request times out. Discovery may serve requests in
-turn, and whoever gives up loses its place and wastes its turn; so a request times out only after discovery
-itself would have rejected it, and each silent one doubles the time-out. The decision module's pause after a
-failure may be shorter, never longer; it spreads the requests of a fleet. Watches are short, too
-(``Timings.wait_ms``), as the requests after a silent one have only the rest of the time to the deadline; and
-their waits are random, as changes reach all senders at the same moment.
+failure where that is later; a watch without an answer is followed by one at once. Unless the list is
+current, requests have a short wait. Discovery may queue requests, and a sender that gives up loses its place
+in the queue; so a request times out only after discovery itself would have rejected it, and each silent one
+doubles the time-out. The decision module's pause after a failure may be shorter, never longer; it spreads the
+requests of a fleet. Watches are short, too (``Timings.wait_ms``), as the requests after a silent one have
+only the rest of the time to the deadline; and their waits are random, as changes reach all senders at once.
 
 Versions grow. An answer older than the known list is dropped, and the whole list is requested; if that is
 older, too, the service has restarted its numbering, and it is accepted.
@@ -55,7 +54,7 @@
 MOVED_MS = 4000.0
 WHOLE_LIST_TIMEOUT_MS = 2500.0
 CATCH_UP_WAIT_MS = 100.0  # how long a short request waits for changes
-LARGE_FLEET = 40.0  # senders that load discovery fully
+LARGE_FLEET = 40.0  # the number of senders that fully loads discovery
 ANSWER_MS = 1000.0  # expected time to an answer in a large fleet
 ANSWER_SINGLE_MS = 500.0  # and for a single sender
 QUEUE_WAIT_MS = 2500.0  # discovery turns a request away before it has queued for this long
@@ -103,11 +102,11 @@
 
 @dataclass(frozen=True, slots=True)
 class Timings:
-    """Times (ms) that depend on how many senders share one discovery, which serves requests in turn.
+    """Times (ms) that depend on how many senders share one discovery, which queues requests.
 
     ``answer_ms``: the expected time from a request to its answer. ``watch_margin_ms``: a watch times out this
     long after its wait. ``retry_ms``: the shortest pause between a failure and the next request. ``wait_ms``:
-    how long a watch waits. ``queue_wait_ms``: how long a new watch may queue for its turn.
+    how long a watch waits. ``queue_wait_ms``: how long a new watch may queue.
     """
 
     answer_ms: float
@@ -169,7 +168,7 @@
         """
         self._version, self._wait, self.timings = version, wait_ms, timings(senders)
         self._random, self._can_be_outdated = random, can_be_outdated
-        self._active = self._wants_whole = self._invalid = self._moved = False
+        self._active = self._whole_list_wanted = self._invalid = self._moved = False
         self._request: ListRequest | None = None
         self._answer_due = inf  # the earliest that a request left which was not refused
         self._retry_due = inf  # of the last failure: a refusal, or any while discovery is down
@@ -209,19 +208,22 @@
 
     def fetch(self) -> None:
         """Request the whole list once."""
-        self._wants_whole = True
+        self._whole_list_wanted = True
 
     def invalidate(self) -> None:
-        """The list is of no single version: request the whole list until it is answered."""
+        """The list mixes versions: request the whole list until it is answered."""
         self._invalid = True
 
     def begin(self, now: float) -> ListRequest | None:
-        """The request to make now; ``None`` where nothing is wanted."""
-        if not (self._active or self._wants_whole):
+        """The request to make now, if any."""
+        if not (self._active or self._whole_list_wanted):
             return None
-        whole, self._wants_whole = self._wants_whole or self._invalid or self._version is None, False
+        whole_list, self._whole_list_wanted = (
+            self._whole_list_wanted or self._invalid or self._version is None,
+            False,
+        )
         self._request_count += 1
-        if whole:
+        if whole_list:
             # Not preceded by a short watch, which would overload discovery when a whole fleet starts.
             self._request = ListRequest(
                 None, 0.0, now + self._answer_timeout(WHOLE_LIST_TIMEOUT_MS), now, self._request_count
@@ -258,7 +260,7 @@
         assert self._request is not None
         older = self._version is not None and version < self._version
         if older and not (self._invalid and self._request.since is None):
-            self._invalid = self._wants_whole = True
+            self._invalid = self._whole_list_wanted = True
             return False
         self._version, self._invalid = version, False
         self._answer_due = self._retry_due = self._recovery_due = self._silent_due = self.first_deadline = inf
@@ -275,7 +277,7 @@
         if self._request is not None:
             self._answer_due = min(self._answer_due, max(self._request.deadline, now))
             if self._request.since is None:
-                self._wants_whole = True
+                self._whole_list_wanted = True
 
     def failed(self, failure: Failure, now: float) -> float:
         """A request failed, and the watch is off until it is set active again: by when that must be (ms)."""
