--- a/springspread/net/endpoints.py
+++ b/springspread/net/endpoints.py
@@ -196,11 +196,11 @@
         result: Result,
         wait_ms: float = 0.0,
         load: Load | None = None,
-        over: bool = False,
+        final: bool = False,
     ) -> None:
         if not attempt.done:
             attempt.done = True
-            self._put(AttemptEnd(call, attempt, result, clock(), wait_ms, load or Load(), over))
+            self._put(AttemptEnd(call, attempt, result, clock(), wait_ms, load or Load(), final))
 
     def _end_all(self, call: Call, result: Result, wait_ms: float = 0.0) -> None:
         for attempt in call.attempts:
@@ -221,15 +221,15 @@
 
     def _call(self, call: Call) -> None:
         connection = self._connect(call, call.until)
-        if connection is not None and not self._call_over(call, connection):
+        if connection is not None and not self._call_on(call, connection):
             # The call has not begun: repeat it over a new connection.
             connection = self._open_connection(call, call.until)
             if connection is not None:
-                self._call_over(call, connection)
+                self._call_on(call, connection)
         if connection is None:
             self._end_all(call, Result.NOT_CONNECTED)
 
-    def _call_over(self, call: Call, connection: Connection) -> bool:
+    def _call_on(self, call: Call, connection: Connection) -> bool:
         """Make a call over a connection; false if that was a pooled one and broke before the last byte."""
         with self._lock:
             self._open[call] = connection
@@ -283,9 +283,9 @@
         try:
             answer = connection.read(call.until)
             self._pool.record_use(call.endpoint, connection.idle_ms, False)
-            reading = delivery.read_answer(call, answer, self._load_fields)
-            self._apply(call, reading)
-            return connection.reusable and not reading.fault
+            parsed = delivery.read_answer(call, answer, self._load_fields)
+            self._apply(call, parsed)
+            return connection.reusable and not parsed.fault
         except DeadlineExceededError:
             connection.abort()  # before the slot is released, so that the endpoint sees the end first
             self._end_all(call, delivery.read_incomplete_answer(call, connection.status, Result.TIMED_OUT))
@@ -323,13 +323,13 @@
         """Whether the last byte of a call may still be written."""
         return not call.cancelled.is_set() and self._clearance.retry_after_left_ms(call.endpoint) <= 0.0
 
-    def _apply(self, call: Call, reading: delivery.ParsedAnswer) -> None:
-        if reading.wait_ms > 0:
-            self._clearance.set_retry_after(call.endpoint, reading.wait_ms)
-        if reading.fault:
-            self._log.warning("unexpected answer", endpoint=call.endpoint.name, fault=reading.fault)
-        for end in reading.ends:
-            self._end(call, end.attempt, end.result, reading.wait_ms, reading.load, end.final)
+    def _apply(self, call: Call, parsed: delivery.ParsedAnswer) -> None:
+        if parsed.wait_ms > 0:
+            self._clearance.set_retry_after(call.endpoint, parsed.wait_ms)
+        if parsed.fault:
+            self._log.warning("unexpected answer", endpoint=call.endpoint.name, fault=parsed.fault)
+        for end in parsed.ends:
+            self._end(call, end.attempt, end.result, parsed.wait_ms, parsed.load, end.final)
 
     def _probe(self, call: Call) -> None:
         until = call.sent_at + PROBE_TIMEOUT_MS
--- a/springspread/net/listener.py
+++ b/springspread/net/listener.py
@@ -128,7 +128,7 @@
         return self._emptied.wait(max(within_ms, 0.0) / 1000.0)
 
     def drain(self, active: bool) -> None:
-        """Start or end a drain, which ends idle connections after ``drain_let_go_ms``."""
+        """Start or end a drain, which ends idle connections after ``drain_close_ms``."""
         self._drain_at = clock() + self._limits.drain_close_ms if active else inf
         self._wake()
 
