--- a/tests/test_clearance.py
+++ b/tests/test_clearance.py
@@ -54,8 +54,8 @@
         self.clock.at = READ_AT + after_ms
         number = self.journal.last_number + 1
         self.journal.record_taken(PendingMessage(number, f"m{number}", "note", 7, 0.0, b"body"))
-        run = Attempt(number, 0, f"m{number}", b"body", self.clock.at + 1000.0, True)
-        refusal = self.clearance.check(Call(self.endpoint, (run,), self.clock.at))
+        attempt = Attempt(number, 0, f"m{number}", b"body", self.clock.at + 1000.0, True)
+        refusal = self.clearance.check(Call(self.endpoint, (attempt,), self.clock.at))
         assert refusal is None or refusal.result is Result.NOT_SENT
         return None if refusal is None else refusal.reason
 
--- a/tests/test_core.py
+++ b/tests/test_core.py
@@ -80,8 +80,8 @@
             self.sender.step([])
 
     def end(self, call: t.Call, result: t.Result, **values: float) -> None:
-        run = call.attempts[0]
-        self.sender.step([t.AttemptEnd(call, run, result, t.clock(), **values)])  # type: ignore[arg-type]
+        attempt = call.attempts[0]
+        self.sender.step([t.AttemptEnd(call, attempt, result, t.clock(), **values)])  # type: ignore[arg-type]
 
 
 def member(n: int, state: t.EndpointState = t.EndpointState.READY, group: int = 7) -> t.Member:
@@ -96,7 +96,7 @@
     message = rig.hand_in("a")
     assert message.verdict is t.Verdict.ACCEPTED
     (call,) = rig.drivers.calls
-    assert [owed.id for owed in rig.journal.pending.values()] == ["a"]
+    assert [pending.id for pending in rig.journal.pending.values()] == ["a"]
     rig.end(call, t.Result.DELIVERED)
     assert not rig.journal.pending and not rig.drivers.notices
     assert rig.hand_in("a").verdict is t.Verdict.DELIVERED  # handed in again: answered, not sent again
@@ -151,7 +151,7 @@
     sender = Sender(made, journal := Journal(tmp_path, 3_000_000), Clearance(journal, 450.0), drivers)
     sender.attach(drivers, drivers, drivers)
     sender.restore(t.ListUpdate(t.Scope.CACHED, 1, (member(1), member(2)), t.clock()))
-    assert [run.id for call in drivers.calls for run in call.attempts] == ["untried"]
+    assert [attempt.id for call in drivers.calls for attempt in call.attempts] == ["untried"]
     assert [(notice.id, notice.deferred) for notice in drivers.notices] == [("ran", False)]
 
 
@@ -229,7 +229,9 @@
     rig.sender.step([other])
     assert other.verdict is t.Verdict.CONFLICT
     rig.sender.step([t.ClientLeft(other)])
-    assert [owed.body for owed in rig.journal.pending.values()] == [b"body"] and len(rig.drivers.calls) == 1
+    assert [pending.body for pending in rig.journal.pending.values()] == [b"body"] and len(
+        rig.drivers.calls
+    ) == 1
 
 
 def test_a_message_to_an_unknown_destination_is_refused(tmp_path: Path) -> None:
@@ -337,11 +339,11 @@
         assert rig.clearance.check(call) is None
     assert not second.withdraw()  # too late: it has been accepted
     rig.sender.step([t.ClientLeft(first), t.ClientLeft(second)])
-    assert [owed.id for owed in rig.journal.pending.values()] == ["a", "b"]
+    assert [pending.id for pending in rig.journal.pending.values()] == ["a", "b"]
 
 
 @pytest.mark.parametrize("durability", ["process", "power"])
-def test_a_message_whose_front_stopped_waiting_is_not_accepted(tmp_path: Path, durability: str) -> None:
+def test_a_message_withdrawn_before_its_verdict_is_not_accepted(tmp_path: Path, durability: str) -> None:
     rig = Rig(tmp_path, durable=durability == "power")
     rig.restore()
     message = t.Message("a", "note", 7, t.clock() + 8000.0, b"body")
@@ -352,7 +354,7 @@
     again = t.Message("a", "note", 7, t.clock() + 8000.0, b"body")
     assert again.withdraw()
     rig.sender.step([again])  # the open message stays open
-    assert [owed.id for owed in rig.journal.pending.values()] == ["a"]
+    assert [pending.id for pending in rig.journal.pending.values()] == ["a"]
 
 
 @pytest.mark.parametrize("first", ["the client leaves", "the call begins"])
@@ -368,7 +370,7 @@
     else:
         assert rig.clearance.check(call) is None
         rig.sender.step([t.ClientLeft(message)])
-        assert [owed.id for owed in rig.journal.pending.values()] == ["a"]
+        assert [pending.id for pending in rig.journal.pending.values()] == ["a"]
 
 
 def test_a_retry_after_stops_a_call_that_was_queued_before_it(tmp_path: Path) -> None:
@@ -453,7 +455,7 @@
     rig.sender._stop_at -= 2000.0
     assert rig.hand_in("late", "pay").verdict is t.Verdict.ACCEPTED
     assert len(rig.drivers.calls) == 2
-    assert not next(owed for owed in rig.journal.pending.values() if owed.id == "late").begun
+    assert not next(pending for pending in rig.journal.pending.values() if pending.id == "late").begun
 
 
 def test_a_new_policy_keeps_open_messages_and_route_state(tmp_path: Path) -> None:
@@ -480,8 +482,8 @@
     assert route.health is health and route.window == window and len(route.classes) == 3
     assert message("b", "pay").verdict is t.Verdict.UNKNOWN_CLASS  # removed by the new policy
     assert message("c", "new").verdict is t.Verdict.ACCEPTED
-    owed = {one.id: (one.cls, one.policy) for one in journal.pending.values()}
-    assert owed == {"a": ("pay", 1), "c": ("new", 2)}
+    recorded = {one.id: (one.cls, one.policy) for one in journal.pending.values()}
+    assert recorded == {"a": ("pay", 1), "c": ("new", 2)}
     assert sender._module.pending[1].spec.name == "pay"  # still open, with its old class
 
 
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -59,8 +59,8 @@
             self.requests.append(read_request(sock))
             if self.requests[-1]:
                 self.script(sock)
-            while part := sock.recv(65536):
-                data += part
+            while chunk := sock.recv(65536):
+                data += chunk
         except OSError:
             pass
         self.rest.append(data)
@@ -194,8 +194,8 @@
         until(lambda: rig.endpoint.requests, "the request")
     rig.workers.cancel(call)
     cancelled.set()
-    whole_line = sent.endswith(b"\r\n") and first == "the bytes"
-    assert rig.result() is (Result.DELIVERED if whole_line else Result.CANCELLED)
+    complete_line = sent.endswith(b"\r\n") and first == "the bytes"
+    assert rig.result() is (Result.DELIVERED if complete_line else Result.CANCELLED)
     rig.check_reusable()
 
 
@@ -264,17 +264,17 @@
     rig = make_rig(script)
     rig.start(safe=False)
     assert rig.result() is Result.DELIVERED
-    (kept,) = [line[0] for line in rig.workers._pool._idle.values()]
-    alive = kept.alive
+    (pooled,) = [idle[0] for idle in rig.workers._pool._idle.values()]
+    alive = pooled.alive
 
     def check_alive() -> bool:
         result = alive()
         ends[0].set()
-        kept.sock.settimeout(WAIT_S)
-        assert kept.sock.recv(1, socket.MSG_PEEK) == b""  # its end has arrived, after the check
+        pooled.sock.settimeout(WAIT_S)
+        assert pooled.sock.recv(1, socket.MSG_PEEK) == b""  # its end has arrived, after the check
         return result
 
-    kept.alive = check_alive  # type: ignore[method-assign]
+    pooled.alive = check_alive  # type: ignore[method-assign]
     rig.ends.clear()
     rig.start(safe=False)
     assert rig.result() is Result.DELIVERED  # over a new connection
@@ -299,21 +299,21 @@
 def test_a_connection_returned_while_its_endpoint_is_removed_is_not_kept(first: str) -> None:
     server = RawServer(sends(OK))
     address = ("127.0.0.1", server.sock.getsockname()[1])
-    endpoint, kept = Endpoint(1, "s-1", *address, 7, True, 5), ConnectionPool(Limits(), Figures(()))
-    lock = kept._lock
+    endpoint, pool = Endpoint(1, "s-1", *address, 7, True, 5), ConnectionPool(Limits(), Figures(()))
+    lock = pool._lock
 
     def remove() -> None:
-        kept._lock = lock
+        pool._lock = lock
         endpoint.state = EndpointState.GONE  # in the order of the loop's thread
-        kept.drop(endpoint)
+        pool.drop(endpoint)
 
     if first == "it is removed":
-        kept._lock = RacingLock(lock, remove)  # type: ignore[assignment]
+        pool._lock = RacingLock(lock, remove)  # type: ignore[assignment]
     connection = Connection(address, clock() + 1000.0, Limits())
-    kept.release(endpoint, connection)
+    pool.release(endpoint, connection)
     if first == "it is returned":
         remove()
-    assert not kept._idle and connection.sock.fileno() < 0
+    assert not pool._idle and connection.sock.fileno() < 0
     server.sock.close()
 
 
@@ -357,7 +357,7 @@
     return made
 
 
-def known(program: Program, peer: Peer, status: str) -> None:
+def write_known_list(program: Program, peer: Peer, status: str) -> None:
     """Set the next process's cached list; the watch returns the same."""
     raw = json.loads(program.file.read_text())
     program.file.write_text(json.dumps({**raw, "known": peer.members(status)}))
@@ -373,7 +373,7 @@
     assert [program.hand_in("safe"), program.hand_in("once", "pay")] == [202, 202]
     program.end(how)
     assert not peer.calls and not peer.notices
-    known(program, peer, "Ready")
+    write_known_list(program, peer, "Ready")
     program.start()
     until(lambda: sorted(peer.ids()) == ["once", "safe"], "both are sent")
     assert not peer.notices
--- a/tests/test_lifetimes.py
+++ b/tests/test_lifetimes.py
@@ -124,11 +124,11 @@
     def client_leaves(self, which: int) -> None:
         life = list(self.lives.values())[which % len(self.lives)]
         number = life.message.number
-        owed = self.journal.pending.get(number)
+        pending = self.journal.pending.get(number)
         free = (
-            owed is not None
-            and not owed.begun
-            and owed.ending is None
+            pending is not None
+            and not pending.begun
+            and pending.ending is None
             and number in self.sender._open_messages
         )
         life.left = life.left or free
