--- a/springspread/experiments/__init__.py
+++ b/springspread/experiments/__init__.py
@@ -1,4 +1,4 @@
-"""Experiments in the town: a plan in TOML, its runs, and their tables and charts.
+"""Experiments with the simulator: plans in TOML, their runs, tables and charts.
 
-Open `plan.py` first. Imports the town; the sender imports nothing of it.
+Start with `plan.py`. Imports the simulator; the sender does not import this package.
 """
--- a/springspread/experiments/compare.py
+++ b/springspread/experiments/compare.py
@@ -1,7 +1,7 @@
 """Statistics of tables: means with confidence intervals, and paired differences by seed.
 
-Two arms (or two tables) are compared day by day: the same seed draws the same day, so that what a day is like
-cancels out. Intervals are Student's, two-sided.
+Two arms (or two tables) are compared by pairs of days: the same seed generates the same day, so that
+variation between days cancels out. Intervals are two-sided Student's t.
 """
 
 from __future__ import annotations
@@ -14,7 +14,7 @@
 from scipy import stats
 
 from springspread.experiments.plan import Knobs
-from springspread.experiments.run import number
+from springspread.experiments.run import measure_value
 
 CONFIDENCE = 0.95
 Rows = Sequence[Mapping[str, str]]
@@ -22,21 +22,21 @@
 
 @dataclass(frozen=True, slots=True)
 class Mean:
-    """A mean of ``count`` values, and half the width of its interval (inf where one value tells nothing)."""
+    """The mean of ``count`` values and the half-width of its confidence interval (inf for a single value)."""
 
     count: int
     mean: float
     half: float
-    least: float
+    minimum: float
 
     @property
     def sure(self) -> bool:
-        """Whether the interval leaves zero out."""
+        """Whether the confidence interval excludes zero."""
         return abs(self.mean) > self.half
 
 
 def mean_of(values: Sequence[float], confidence: float = CONFIDENCE) -> Mean:
-    """A mean with its interval; raises ``ValueError`` where there is no value."""
+    """Compute a mean with its confidence interval; raises ``ValueError`` for no values."""
     if not values:
         raise ValueError("no values")
     count = len(values)
@@ -47,31 +47,35 @@
 
 
 def paired(ours: Rows, theirs: Rows, measure: str) -> Mean:
-    """How much more of a measure ``theirs`` has than ``ours``, day by day.
+    """Compute the mean of ``theirs`` minus ``ours`` in a measure, over paired days.
 
-    Days are matched by seed and by what varies within either side: what differs between the two alone is what
-    is compared. Raises ``ValueError`` where no day is in both.
+    Days are paired by seed and by the columns that vary within either side; columns that differ only between
+    the sides are what is compared. Raises ``ValueError`` if no day is in both.
     """
     knobs = ("arm", *Knobs.model_fields)
     keys = ["seed", *(key for key in knobs if _varies(ours, key) or _varies(theirs, key))]
-    before = {_day(row, keys): value for row in ours if (value := number(row, measure)) is not None}
-    after = {_day(row, keys): value for row in theirs if (value := number(row, measure)) is not None}
-    both = [after[day] - before[day] for day in before if day in after]
-    if not both:
-        raise ValueError(f"no day with a {measure} stands in both")
-    return mean_of(both)
+    our_values = {
+        _day_key(row, keys): value for row in ours if (value := measure_value(row, measure)) is not None
+    }
+    their_values = {
+        _day_key(row, keys): value for row in theirs if (value := measure_value(row, measure)) is not None
+    }
+    differences = [their_values[day] - our_values[day] for day in our_values if day in their_values]
+    if not differences:
+        raise ValueError(f"no day with a value of {measure} is in both")
+    return mean_of(differences)
 
 
 def _varies(rows: Rows, key: str) -> bool:
     return len({row[key] for row in rows}) > 1
 
 
-def _day(row: Mapping[str, str], keys: Sequence[str]) -> tuple[str, ...]:
+def _day_key(row: Mapping[str, str], keys: Sequence[str]) -> tuple[str, ...]:
     return tuple(row[key] for key in keys)
 
 
 def rank_correlation(ours: Sequence[float], theirs: Sequence[float]) -> float:
-    """Spearman's, of two lists in the same order; raises ``ValueError`` for lists that can't be ranked."""
+    """Spearman's rank correlation; raises ``ValueError`` for unequal lengths or fewer than 3 values."""
     if len(ours) != len(theirs) or len(ours) < 3:
         raise ValueError("a rank correlation needs two lists of the same length, 3 or more")
     return float(stats.spearmanr(ours, theirs).statistic)
--- a/springspread/experiments/plan.py
+++ b/springspread/experiments/plan.py
@@ -1,5 +1,7 @@
-"""A plan: which days an experiment plays, and with which arms. It is read from TOML (or from the record of
-an earlier experiment) and checked whole: each fault names its file and key, with the key that was meant.
+"""The plan of an experiment: the days to simulate, and the arms to compare on them.
+
+Read from TOML, or from the record of an earlier experiment. Validation reports every error with its file and
+key, and suggests a known key.
 """
 
 from __future__ import annotations
@@ -17,22 +19,22 @@
 from springspread.simulator.day import ANY, TROUBLES, Day, draw
 from springspread.validation import PlanError, StrictModel, format_errors, read_toml, suggestion
 
-MOST_RUNS = 10_000
-PLAIN = "plain"  # the arm of a plan that names none
+MAX_RUNS = 10_000
+DEFAULT_ARM = "plain"  # the arm of a plan without arms
 
 Value = float | str
 Count = Annotated[int, Field(ge=0, le=5000)]
-Word = Annotated[str, Field(pattern=r"^[A-Za-z0-9][A-Za-z0-9 ._-]{0,60}$")]
+Name = Annotated[str, Field(pattern=r"^[A-Za-z0-9][A-Za-z0-9 ._-]{0,60}$")]
 CONSTANTS = {
     name: float(value)
     for name, value in vars(policy).items()
     if name.isupper() and isinstance(value, int | float) and not isinstance(value, bool)
 }
-"""The decision module's numbers, which an arm may set."""
+"""The decision module's numeric constants, which an arm may override."""
 
 
 class Knobs(StrictModel):
-    """What a day is drawn with. Times are milliseconds, rates are per second, shares are 0 to 1."""
+    """Parameters of a generated day. Times are milliseconds, rates are per second, shares are 0 to 1."""
 
     senders: Annotated[int, Field(ge=1, le=1000)] = 3
     partners: Annotated[int, Field(ge=1, le=5000)] = 10
@@ -56,81 +58,81 @@
 
     @field_validator("trouble")
     @classmethod
-    def _known(cls, word: str) -> str:
-        if word not in TROUBLES:
+    def _check_trouble(cls, trouble: str) -> str:
+        if trouble not in TROUBLES:
             raise ValueError(f"must be one of {', '.join(TROUBLES)}")
-        return word
+        return trouble
 
     def day(self, seed: int) -> Day:
-        """Draw it."""
+        """Generate the day of a seed."""
         return draw(seed, **self.model_dump())
 
 
 class Arm(Knobs):
-    """What one arm has otherwise than the plan's base; ``module`` sets numbers of the decision module."""
+    """Overrides of the plan's base; ``module`` overrides constants of the decision module."""
 
     module: dict[str, float] = Field(default_factory=dict)
 
     @field_validator("module")
     @classmethod
-    def _constants(cls, module: dict[str, float]) -> dict[str, float]:
+    def _check_constants(cls, module: dict[str, float]) -> dict[str, float]:
         for name in module:
             if name not in CONSTANTS:
                 raise ValueError(
-                    f"{name}: the decision module has no such number{suggestion(name, CONSTANTS)}"
+                    f"{name}: no such constant in the decision module{suggestion(name, CONSTANTS)}"
                 )
         return module
 
 
-PARTS = {"base": tuple(Knobs.model_fields), "arms": tuple(Arm.model_fields)}
-"""The keys of a plan's tables, for whoever meant another one."""
+TABLE_KEYS = {"base": tuple(Knobs.model_fields), "arms": tuple(Arm.model_fields)}
+"""The known keys of each table, for suggestions."""
 
 
 class Plan(StrictModel):
-    """An experiment: seeds, what all days share, what varies, and arms that are played on the same days."""
+    """An experiment: seeds, common knobs, knobs that vary, and arms to compare on the same days."""
 
-    name: Word
-    seeds: list[int] = Field(min_length=1, max_length=MOST_RUNS)
+    name: Name
+    seeds: list[int] = Field(min_length=1, max_length=MAX_RUNS)
     base: Knobs = Knobs()
     vary: dict[str, list[Any]] = Field(default_factory=dict)
-    arms: dict[Word, Arm] = Field(default_factory=lambda: {PLAIN: Arm()})
+    arms: dict[Name, Arm] = Field(default_factory=lambda: {DEFAULT_ARM: Arm()})
 
     @model_validator(mode="after")
-    def _varied(self) -> Plan:
+    def _check_vary(self) -> Plan:
         for key, values in self.vary.items():
             if key not in Knobs.model_fields:
                 raise ValueError(f"vary.{key}: no such key{suggestion(key, Knobs.model_fields)}")
             if not values:
-                raise ValueError(f"vary.{key}: holds no value")
-            for where in [where for where, knobs in self._sets() if key in knobs.model_fields_set]:
-                raise ValueError(f"{where}.{key}: stands under vary, too")
+                raise ValueError(f"vary.{key}: must have at least one value")
+            for where in [where for where, knobs in self._knob_tables() if key in knobs.model_fields_set]:
+                raise ValueError(f"{where}.{key}: is also under vary")
             for n, value in enumerate(values):
                 try:
                     Knobs.model_validate({key: value})
                 except ValidationError as exc:
                     raise ValueError(f"vary.{key}[{n}]: {exc.errors()[0]['msg']}") from exc
-        if (count := sum(1 for _ in self.runs())) > MOST_RUNS:
-            raise ValueError(f"vary: {count} runs; {MOST_RUNS} at most")
+        if (count := sum(1 for _ in self.runs())) > MAX_RUNS:
+            raise ValueError(f"vary: {count} runs, but at most {MAX_RUNS} are allowed")
         return self
 
-    def _sets(self) -> Iterator[tuple[str, Knobs]]:
+    def _knob_tables(self) -> Iterator[tuple[str, Knobs]]:
         yield "base", self.base
         yield from ((f"arms.{name}", arm) for name, arm in self.arms.items())
 
     def runs(self) -> Iterator[Run]:
-        """Every combination of what varies, with every arm and seed."""
+        """Yield every combination of varied knobs, arms and seeds."""
         for values in product(*self.vary.values()):
             varied = dict(zip(self.vary, values, strict=True))
             for name, arm in self.arms.items():
-                own = arm.model_dump(exclude_unset=True, exclude={"module"})
-                knobs = Knobs(**{**self.base.model_dump(), **own, **varied})
+                overrides = arm.model_dump(exclude_unset=True, exclude={"module"})
+                knobs = Knobs(**{**self.base.model_dump(), **overrides, **varied})
                 for seed in self.seeds:
                     yield Run(name, seed, knobs, arm.module)
 
 
 @dataclass(frozen=True, slots=True)
 class Run:
-    """One day of a plan under one arm."""
+    """One day of a plan with one arm."""
 
     arm: str
     seed: int
@@ -139,7 +141,7 @@
 
 
 def read_plan(path: Path) -> Plan:
-    """Read a plan, or the plan out of an experiment's record (JSON); raises ``PlanError``."""
+    """Read a plan from TOML or from the record of an experiment (JSON); raises ``PlanError``."""
     try:
         raw = json.loads(path.read_text()).get("plan", {}) if path.suffix == ".json" else read_toml(path)
     except OSError as exc:
@@ -153,8 +155,8 @@
 
 
 def check_plan(raw: Mapping[str, Any]) -> Plan:
-    """Check the decoded form; raises ``PlanError`` with every fault."""
+    """Validate a decoded plan; raises ``PlanError`` that lists every error."""
     try:
         return Plan.model_validate(raw)
     except ValidationError as exc:
-        raise PlanError(format_errors(exc, list(Plan.model_fields), PARTS)) from exc
+        raise PlanError(format_errors(exc, list(Plan.model_fields), TABLE_KEYS)) from exc
--- a/springspread/experiments/report.py
+++ b/springspread/experiments/report.py
@@ -1,4 +1,4 @@
-"""An experiment's report: a table by what varies (Markdown, CSV), a chart, and one HTML page with it all."""
+"""The report of an experiment: a summary table (Markdown, CSV), a chart, and an HTML page with both."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 from springspread.experiments.chart import draw_chart
 from springspread.experiments.compare import Rows, mean_of
 from springspread.experiments.plan import Knobs
-from springspread.experiments.run import MEASURES, number, points, read_rows, record_path
+from springspread.experiments.run import MEASURES, combinations, measure_value, read_rows, record_path
 from springspread.simulator.checker import LONGEST_MS
 
 PERCENTILES = (50.0, 90.0, 99.0, 99.9)
@@ -41,8 +41,8 @@
 """
 
 
-def varied(rows: Rows) -> list[str]:
-    """Which columns tell the runs apart: the arm, and the knobs that vary within one."""
+def varying_columns(rows: Rows) -> list[str]:
+    """Return the columns that distinguish runs: the arm, and the knobs that vary within an arm."""
     arms = {row["arm"] for row in rows}
     knobs = [
         key
@@ -53,73 +53,73 @@
 
 
 def summary(rows: Rows) -> tuple[list[str], list[list[str]]]:
-    """A line for each combination of what varies: days, means with intervals, worst, latencies, faults."""
-    knobs = varied(rows)
+    """Summarize each combination of varying columns: days, means with intervals, worst, latencies, faults."""
+    knobs = varying_columns(rows)
     header = [*knobs, "days", *MEASURES, "worst", *(f"p{p:g} ms" for p in PERCENTILES), "refused", "broken"]
-    lines = []
-    for point in points(rows, knobs):
-        here = [row for row in rows if tuple(row[knob] for knob in knobs) == point]
-        line = [*point, str(len(here))]
+    table_rows = []
+    for combination in combinations(rows, knobs):
+        group = [row for row in rows if tuple(row[knob] for knob in knobs) == combination]
+        cells = [*combination, str(len(group))]
         for measure in MEASURES:
-            values = [value for row in here if (value := number(row, measure)) is not None]
+            values = [value for row in group if (value := measure_value(row, measure)) is not None]
             mean = mean_of(values) if values else None
-            line.append(f"{mean.mean:.3f} ± {mean.half:.3f}" if mean else "")
-        line.append(f"{min(float(row['service']) for row in here):.3f}")
-        line += [str(value) for value in latencies(here)]
-        refused, messages = (sum(int(row[key]) for row in here) for key in ("refused", "messages"))
-        line.append(f"{refused / messages:.3f}")
-        line.append(str(sum(row["faults"] != "0" for row in here)))
-        lines.append(line)
-    return header, lines
-
-
-def latencies(rows: Rows) -> list[int]:
-    """Percentiles of all that these days delivered, ms, out of their merged histograms."""
+            cells.append(f"{mean.mean:.3f} ± {mean.half:.3f}" if mean else "")
+        cells.append(f"{min(float(row['service']) for row in group):.3f}")
+        cells += [str(value) for value in latency_percentiles(group)]
+        refused, messages = (sum(int(row[key]) for row in group) for key in ("refused", "messages"))
+        cells.append(f"{refused / messages:.3f}")
+        cells.append(str(sum(row["faults"] != "0" for row in group)))
+        table_rows.append(cells)
+    return header, table_rows
+
+
+def latency_percentiles(rows: Rows) -> list[int]:
+    """Compute latency percentiles (ms) from the merged histograms of the rows."""
     merged = HdrHistogram(1, LONGEST_MS, 3)
     for row in rows:
         merged.add(HdrHistogram.decode(row["latencies"].encode()))
     return [merged.get_value_at_percentile(percentile) for percentile in PERCENTILES]
 
 
-def markdown(header: Sequence[str], lines: Sequence[Sequence[str]]) -> str:
-    """As a Markdown table."""
-    rows = [header, ["---"] * len(header), *lines]
+def to_markdown(header: Sequence[str], table_rows: Sequence[Sequence[str]]) -> str:
+    """Format as a Markdown table."""
+    rows = [header, ["---"] * len(header), *table_rows]
     return "".join(f"| {' | '.join(row)} |\n" for row in rows)
 
 
-def as_csv(header: Sequence[str], lines: Sequence[Sequence[str]]) -> str:
-    """As CSV."""
+def to_csv(header: Sequence[str], table_rows: Sequence[Sequence[str]]) -> str:
+    """Format as CSV."""
     out = io.StringIO()
-    csv.writer(out, lineterminator="\n").writerows([header, *lines])
+    csv.writer(out, lineterminator="\n").writerows([header, *table_rows])
     return out.getvalue()
 
 
 def write_report(table: Path, folder: Path) -> list[Path]:
-    """Write the report of a table and its record; raises ``OSError`` or ``ValueError`` for what is none."""
+    """Write the report of a table and its record; raises ``OSError`` or ``ValueError`` for invalid files."""
     rows = read_rows(table)
     if not rows:
-        raise ValueError(f"{table}: no day of it was run")
+        raise ValueError(f"{table}: no finished days")
     record: Mapping[str, object] = json.loads(record_path(table).read_text())
-    header, lines = summary(rows)
+    header, table_rows = summary(rows)
     folder.mkdir(parents=True, exist_ok=True)
-    by, name = varied(rows)[-1], table.stem
-    made = {kind: folder / f"{name}.{kind}" for kind in ("md", "summary.csv", "svg", "png", "html")}
-    made["md"].write_text(markdown(header, lines))
-    made["summary.csv"].write_text(as_csv(header, lines))
+    by, name = varying_columns(rows)[-1], table.stem
+    paths = {kind: folder / f"{name}.{kind}" for kind in ("md", "summary.csv", "svg", "png", "html")}
+    paths["md"].write_text(to_markdown(header, table_rows))
+    paths["summary.csv"].write_text(to_csv(header, table_rows))
     for kind in ("svg", "png"):
-        draw_chart(rows, by, made[kind])
+        draw_chart(rows, by, paths[kind])
     page = Environment(autoescape=True).from_string(PAGE)
-    told = page.render(
+    html = page.render(
         name=name,
         days=len(rows),
         broken=sum(row["faults"] != "0" for row in rows),
         record=record,
         header=header,
-        rows=lines,
+        rows=table_rows,
         faults=[f"seed {row['seed']}: {row['first_fault']}" for row in rows if row["first_fault"]],
         by=by,
-        picture=base64.b64encode(made["svg"].read_bytes()).decode(),
+        picture=base64.b64encode(paths["svg"].read_bytes()).decode(),
         plan=json.dumps(record["plan"], indent=1),
     )
-    made["html"].write_text(told)
-    return list(made.values())
+    paths["html"].write_text(html)
+    return list(paths.values())
--- a/springspread/experiments/run.py
+++ b/springspread/experiments/run.py
@@ -1,8 +1,8 @@
-"""Running a plan: its days side by side in processes, one row each, as CSV that a chart or a person reads.
+"""Runs a plan: days in parallel processes, one CSV row each.
 
-Beside the table stands its record: the plan, the commit and the library versions, from which it can be run
-again. Rows are written as they come, to a file of another name that takes the table's name at the end; where
-a signal or a full disk stops the run, what is done is kept and the rest is marked as not run.
+The record beside the table holds the plan, the commit and the library versions, so that the experiment can be
+repeated. Rows are written to a temporary file as they arrive, and the file is renamed at the end; if a signal
+or a full disk stops the run, finished rows are kept and the others are marked as not run.
 """
 
 from __future__ import annotations
@@ -51,21 +51,25 @@
     "digest",
     "latencies",
 )
-"""What a row holds: the day's knobs, what it came to, the digest of all that crossed the wire, and the
-histogram of latencies (HDR, compressed, base64)."""
+"""Columns of a row: the day's knobs, its results, the digest of its traffic, and the latency histogram (HDR,
+compressed, base64)."""
 DONE, NOT_RUN = "done", "not run"
 
 Row = dict[str, object]
 
 
-def play(run: Run) -> tuple[Row, float]:
-    """Play one day; the row, and how many seconds it took (in no row, as no two runs agree on it)."""
-    begun = time.perf_counter()
-    with tempfile.TemporaryDirectory(prefix="springspread-lab-") as folder, _module(run.module):
+def simulate(run: Run) -> tuple[Row, float]:
+    """Simulate one day; returns its row and the seconds it took (not in the row, which is reproducible)."""
+    start = time.perf_counter()
+    with tempfile.TemporaryDirectory(prefix="springspread-lab-") as folder, _override_constants(run.module):
         outcome = Town(run.knobs.day(run.seed), Path(folder)).play()
     checker = outcome.checker
     tally = checker.tally
-    row = _head(run) | {"state": DONE, "messages": tally.messages, "service": round(tally.service, 4)}
+    row = _input_columns(run) | {
+        "state": DONE,
+        "messages": tally.messages,
+        "service": round(tally.service, 4),
+    }
     row["grade"] = round(tally.grade, 4)
     for spec in CLASSES:
         asked, kept = tally.by_class.get(spec.name, (0.0, 0.0))
@@ -81,12 +85,12 @@
     row["first_fault"] = f"{first.at:.0f} ms {first.rule}: {first.text}" if first else ""
     row["digest"] = checker.digest
     row["latencies"] = checker.latency.encode().decode()
-    return row, time.perf_counter() - begun
+    return row, time.perf_counter() - start
 
 
 @contextmanager
-def _module(values: Mapping[str, float]) -> Iterator[None]:
-    """Give numbers of the decision module other values, and then their own back."""
+def _override_constants(values: Mapping[str, float]) -> Iterator[None]:
+    """Override constants of the decision module for the duration of the context."""
     before = {name: getattr(policy, name) for name in values}
     try:
         for name, value in values.items():
@@ -97,46 +101,46 @@
             setattr(policy, name, value)
 
 
-def _head(run: Run) -> Row:
+def _input_columns(run: Run) -> Row:
     return {"arm": run.arm, "seed": run.seed, **run.knobs.model_dump()}
 
 
 def run_plan(plan: Plan, processes: int) -> Iterator[tuple[Row, float]]:
-    """Play all days of a plan, so many at once; the rows come in the plan's order."""
-    # A signal to all of the terminal's processes is the parent's alone to handle.
+    """Simulate the days of a plan in parallel; yields rows in the plan's order."""
+    # Workers ignore Ctrl-C; the parent handles it.
     pool = ProcessPoolExecutor(processes, initializer=signal.signal, initargs=(signal.SIGINT, signal.SIG_IGN))
     try:
-        yield from pool.map(play, plan.runs())
+        yield from pool.map(simulate, plan.runs())
     finally:
         pool.shutdown(wait=True, cancel_futures=True)
 
 
 class Table:
-    """Writes an experiment's table and its record; raises ``OSError`` where the disk takes no more."""
+    """Writes the table of an experiment and its record; raises ``OSError`` on disk errors."""
 
     def __init__(self, path: Path, plan: Plan) -> None:
         self._path, self._plan, self._written = path, plan, 0
         self.fresh = path.with_suffix(".new")
-        self._record(complete=False)
+        self._write_record(complete=False)
         self._out = self.fresh.open("w", newline="")
         self._writer = csv.DictWriter(self._out, COLUMNS, lineterminator="\n", restval="")
         self._writer.writeheader()
 
     def add(self, row: Row) -> None:
-        """Write one row, to the disk's file."""
+        """Write one row and flush it."""
         self._writer.writerow(row)
         self._out.flush()
         self._written += 1
 
     def close(self) -> None:
-        """Mark what did not run, and give the table its name. A table that is cut off keeps the other one."""
+        """Add rows for the runs not done, and rename the temporary file to the table."""
         for run in list(self._plan.runs())[self._written :]:
-            self._writer.writerow(_head(run) | {"state": NOT_RUN})
+            self._writer.writerow(_input_columns(run) | {"state": NOT_RUN})
         self._out.close()
         self.fresh.replace(self._path)
-        self._record(complete=self._written == sum(1 for _ in self._plan.runs()))
+        self._write_record(complete=self._written == sum(1 for _ in self._plan.runs()))
 
-    def _record(self, complete: bool) -> None:
+    def _write_record(self, complete: bool) -> None:
         record = {
             "plan": self._plan.model_dump(exclude_unset=True),
             "complete": complete,
@@ -148,12 +152,12 @@
 
 
 def record_path(table: Path) -> Path:
-    """Where a table's record stands."""
+    """Return the path of the record of a table."""
     return table.with_suffix(".json")
 
 
 def _commit() -> str:
-    """The commit of the program, with a + where its files were changed since; empty outside a checkout."""
+    """Return the commit of the program, with a + if files have changed; empty outside a checkout."""
     here = Path(__file__).parent
     try:
         head, changed = (
@@ -166,19 +170,19 @@
 
 
 def read_rows(path: Path) -> list[dict[str, str]]:
-    """Read a table's finished rows back; raises ``ValueError`` where it is none."""
+    """Read the finished rows of a table; raises ``ValueError`` if the file is not one."""
     with path.open(newline="") as source:
         rows = list(csv.DictReader(source))
     if not rows or not {"arm", "seed", "state", "service"} <= set(rows[0]):
-        raise ValueError(f"{path}: no table of an experiment")
+        raise ValueError(f"{path}: not an experiment table")
     return [row for row in rows if row["state"] == DONE]
 
 
-def number(row: Mapping[str, Any], measure: str) -> float | None:
-    """A measure of a row that was read back."""
+def measure_value(row: Mapping[str, Any], measure: str) -> float | None:
+    """Return a measure of a row, or None if it is empty."""
     return float(row[measure]) if row[measure] not in ("", None) else None
 
 
-def points(rows: Sequence[Mapping[str, str]], knobs: Sequence[str]) -> list[tuple[str, ...]]:
-    """Which combinations of some columns a table holds, in its order."""
+def combinations(rows: Sequence[Mapping[str, str]], knobs: Sequence[str]) -> list[tuple[str, ...]]:
+    """Return the distinct combinations of some columns, in table order."""
     return list(dict.fromkeys(tuple(row[knob] for knob in knobs) for row in rows))
--- a/springspread/experiments/tally.py
+++ b/springspread/experiments/tally.py
@@ -1,7 +1,7 @@
-"""What a fleet did, counted from its senders' logs: by destination and span of time, over all senders.
+"""Counts the activity of a fleet from its senders' logs, by destination and time span.
 
-The logs are those of the program at level debug (``RELAY_LOG_LEVEL=debug``), one file a sender; a line may
-have something in front of its JSON.
+Reads logs at level debug (``RELAY_LOG_LEVEL=debug``), one file per sender; lines may have a prefix
+before their JSON.
 """
 
 from __future__ import annotations
@@ -14,14 +14,14 @@
 from pathlib import Path
 from typing import Any
 
-COUNTED = {
+EVENT_COLUMNS = {
     "taken": "taken",
     "call": "calls",
     "connecting": "handshakes",
     "list request": "list_requests",
     "discovery failed": "list_failures",
 }
-ENDS = {
+RESULT_COLUMNS = {
     "DELIVERED": "served",
     "REJECTED": "refused",
     "ERROR": "errors",
@@ -47,29 +47,29 @@
 
 @dataclass(slots=True)
 class Cell:
-    """One destination (none: discovery) in one span."""
+    """Counts of one destination, or of discovery, in one time span."""
 
     counts: Counter[str] = field(default_factory=Counter)
-    limit: float = 0.0  # calls a second, as told last; the sum of routes apart is not told
+    limit: float = 0.0  # calls per second, as last reported
     left: float = 0.0
     told: int = 0
 
-    def note(self, line: dict[str, Any]) -> None:
-        """Take in one line of a log."""
+    def count(self, line: dict[str, Any]) -> None:
+        """Count one log line."""
         event = str(line.get("event"))
-        if event in COUNTED:
-            self.counts[COUNTED[event]] += 1
+        if event in EVENT_COLUMNS:
+            self.counts[EVENT_COLUMNS[event]] += 1
         if event == "call":
             self.counts["attempts"] += int(line["attempts"])
         elif event == "call over":
-            self.counts[ENDS.get(str(line["result"]), "other")] += 1
+            self.counts[RESULT_COLUMNS.get(str(line["result"]), "other")] += 1
             if line.get("limit"):
                 self.limit, self.told = float(line["limit"]), self.told + 1
                 self.left += float(line["left"])
 
 
 def read_lines(paths: Sequence[Path]) -> Iterator[tuple[float, dict[str, Any]]]:
-    """Every line of the logs with its Unix time in seconds; what is no such line is passed over."""
+    """Yield every log line with its Unix time in seconds; other lines are skipped."""
     for path in paths:
         with path.open(errors="replace") as lines:
             for text in lines:
@@ -78,26 +78,26 @@
                     continue
                 try:
                     line = json.loads(text[start:])
-                    at = datetime.fromisoformat(line["timestamp"].replace("Z", "+00:00")).timestamp()
+                    time_s = datetime.fromisoformat(line["timestamp"].replace("Z", "+00:00")).timestamp()
                 except (ValueError, KeyError, AttributeError, TypeError):
                     continue
-                yield at, line
+                yield time_s, line
 
 
 def tally(paths: Sequence[Path], span_s: float) -> dict[tuple[int, int], Cell]:
-    """Cells by destination (-1: discovery) and span, counted from the earliest line."""
-    lines = [pair for pair in read_lines(paths) if str(pair[1].get("event")) in (*COUNTED, "call over")]
-    begun = min((at for at, _ in lines), default=0.0)
+    """Return cells by destination (-1: discovery) and span index, counted from the earliest line."""
+    lines = [pair for pair in read_lines(paths) if str(pair[1].get("event")) in (*EVENT_COLUMNS, "call over")]
+    start = min((time_s for time_s, _ in lines), default=0.0)
     cells: dict[tuple[int, int], Cell] = {}
-    for at, line in lines:
-        key = (int(line.get("group", -1)), int((at - begun) / span_s))
-        cells.setdefault(key, Cell()).note(line)
+    for time_s, line in lines:
+        key = (int(line.get("group", -1)), int((time_s - start) / span_s))
+        cells.setdefault(key, Cell()).count(line)
     return cells
 
 
 def total(cells: dict[tuple[int, int], Cell]) -> Counter[str]:
-    """Everything over the whole time."""
-    whole: Counter[str] = Counter()
+    """Sum the counts of all cells."""
+    totals: Counter[str] = Counter()
     for cell in cells.values():
-        whole.update(cell.counts)
-    return whole
+        totals.update(cell.counts)
+    return totals
--- a/tests/experiments/test_lab.py
+++ b/tests/experiments/test_lab.py
@@ -1,4 +1,4 @@
-"""The lab: plans are checked whole, tables repeat to the byte, and what is done outlasts a stop."""
+"""Experiments: plan validation, reproducible tables, and interrupted runs that keep finished rows."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 from springspread.cli.main import cli
 from springspread.experiments.compare import mean_of, paired, rank_correlation
 from springspread.experiments.plan import check_plan, read_plan
-from springspread.experiments.run import play, read_rows
+from springspread.experiments.run import read_rows, simulate
 from springspread.validation import PlanError
 
 PLAN: dict[str, Any] = {
@@ -56,14 +56,14 @@
     return folder / "one.csv"
 
 
-def test_a_plan_is_every_combination_with_every_seed() -> None:
+def test_plan_runs_every_combination_with_every_seed() -> None:
     runs = list(check_plan(PLAN).runs())
     assert [(run.seed, run.knobs.load) for run in runs] == [(1, 0.5), (2, 0.5), (1, 1.0), (2, 1.0)]
     assert runs[0].knobs.day(1).length_ms == 5000.0 and len(runs[0].knobs.day(1).partners) == 4
 
 
 @pytest.mark.parametrize(
-    ("change", "told"),
+    ("change", "error"),
     [
         ({"seeds": []}, "seeds: "),
         ({"seeds": [True]}, "seeds.0: "),
@@ -75,24 +75,24 @@
         ({"base": {"load": 99.0}}, "base.load: "),
         ({"base": {"load": "1"}}, "base.load: "),
         ({"base": {"trouble": "rain"}}, "base.trouble: must be one of any, "),
-        ({"base": {"load": 1.0}}, "base.load: stands under vary, too"),
+        ({"base": {"load": 1.0}}, "base.load: is also under vary"),
         ({"vary": {"load": [0.5, "x"]}}, "vary.load[1]: "),
         ({"vary": {"loud": [0.5]}}, "vary.loud: no such key; did you mean load?"),
         ({"vary": {"load": 0.5}}, "vary.load: "),
-        ({"vary": {"load": []}}, "vary.load: holds no value"),
-        ({"vary": {"load": [0.5] * 5001}}, "vary: 10002 runs"),
+        ({"vary": {"load": []}}, "vary.load: must have at least one value"),
+        ({"vary": {"load": [0.5] * 5001}}, "vary: 10002 runs, but at most 10000"),
         ({"arms": {"a": {"modul": {}}}}, "arms.a.modul: no such key; did you mean module?"),
-        ({"arms": {"a": {"module": {"PATIENT": 1.0}}}}, "arms.a.module: PATIENT: the decision module has no"),
-        ({"arms": {"a": {"load": 1.0}}}, "arms.a.load: stands under vary, too"),
+        ({"arms": {"a": {"module": {"PATIENT": 1.0}}}}, "arms.a.module: PATIENT: no such constant in the"),
+        ({"arms": {"a": {"load": 1.0}}}, "arms.a.load: is also under vary"),
     ],
 )
-def test_a_faulty_plan_is_refused_with_its_key(change: dict[str, Any], told: str) -> None:
+def test_invalid_plan_is_rejected_with_its_key(change: dict[str, Any], error: str) -> None:
     with pytest.raises(PlanError) as caught:
         check_plan({**PLAN, **change})
-    assert str(caught.value).startswith(told)
+    assert str(caught.value).startswith(error)
 
 
-def test_every_fault_of_a_plan_is_told_with_its_file(tmp_path: Path) -> None:
+def test_every_error_of_a_plan_names_its_file(tmp_path: Path) -> None:
     plan = tmp_path / "bad.toml"
     plan.write_text('name = ""\nseeds = []\nbase = { senders = 0, loda = 1 }\n')
     with pytest.raises(PlanError) as caught:
@@ -102,22 +102,22 @@
     assert [line.split(": ")[1] for line in lines] == ["name", "seeds", "base.senders", "base.loda"]
 
 
-def test_the_same_plan_gives_the_same_table_also_out_of_its_record(table: Path, tmp_path: Path) -> None:
+def test_plan_and_its_record_reproduce_the_table(table: Path, tmp_path: Path) -> None:
     record = json.loads(table.with_suffix(".json").read_text())
     assert record["complete"] and "structlog" in record["libraries"]
-    again = tmp_path / "again.csv"
-    code, _ = run("lab", "run", table.with_suffix(".json"), "--out", again, "--processes", "1")
-    assert code == 0 and again.read_bytes() == table.read_bytes()
+    repeated = tmp_path / "repeated.csv"
+    code, _ = run("lab", "run", table.with_suffix(".json"), "--out", repeated, "--processes", "1")
+    assert code == 0 and repeated.read_bytes() == table.read_bytes()
     assert table.read_bytes().count(b"\n") == 1 + 2 * 2 * 2
 
 
-def test_an_arm_sets_numbers_of_the_decision_module_for_its_days_alone() -> None:
+def test_arm_overrides_constants_only_during_its_days() -> None:
     base = {**PLAN["base"], "troubles": 3}
     arms = {"a": {}, "b": {"module": {"FLAG_AFTER_FAULTS": 1.0, "WINDOW_DECREASE": 0.1}}}
     plan = check_plan({**PLAN, "base": base, "arms": arms})
     before = policy.FLAG_AFTER_FAULTS, policy.WINDOW_DECREASE
     runs = [one for one in plan.runs() if one.seed == 1 and one.knobs.load == 1.0]
-    rows = [play(one)[0] for one in runs]
+    rows = [simulate(one)[0] for one in runs]
     assert rows[0]["digest"] != rows[1]["digest"]
     assert before == (policy.FLAG_AFTER_FAULTS, policy.WINDOW_DECREASE)
 
@@ -146,33 +146,35 @@
     mean = mean_of([1.0, 2.0, 3.0])
     assert mean.mean == 2.0 and mean.half == pytest.approx(2.4841, abs=1e-4)  # t(0.975, 2) = 4.3027
     assert mean_of([1.0]).half == float("inf") and not mean_of([1.0]).sure
-    rows = read_like([(1, 0.5), (2, 0.9)])
-    others = [{**row, "arm": "drains", "drains": "10"} for row in read_like([(1, 0.4), (2, 0.8)])]
-    assert paired(rows, others, "service").mean == pytest.approx(-0.1)  # the knob is what is compared
-    better = read_like([(1, 0.6), (2, 1.0), (3, 0.1)])
-    found = paired(rows, better, "service")
-    assert found.count == 2 and found.mean == pytest.approx(0.1) and found.sure
-    with pytest.raises(ValueError, match="stands in both"):
-        paired(rows, read_like([(9, 0.5)]), "service")
+    rows = rows_of([(1, 0.5), (2, 0.9)])
+    others = [{**row, "arm": "drains", "drains": "10"} for row in rows_of([(1, 0.4), (2, 0.8)])]
+    assert paired(rows, others, "service").mean == pytest.approx(-0.1)  # drains differ only between the sides
+    improved = rows_of([(1, 0.6), (2, 1.0), (3, 0.1)])
+    difference = paired(rows, improved, "service")
+    assert difference.count == 2 and difference.mean == pytest.approx(0.1) and difference.sure
+    with pytest.raises(ValueError, match="is in both"):
+        paired(rows, rows_of([(9, 0.5)]), "service")
     assert rank_correlation([1.0, 2.0, 3.0, 4.0], [10.0, 20.0, 40.0, 30.0]) == pytest.approx(0.8)
 
 
-def read_like(days: list[tuple[int, float]]) -> list[dict[str, str]]:
+def rows_of(days: list[tuple[int, float]]) -> list[dict[str, str]]:
     head = {key: str(value) for key, value in check_plan(PLAN).base.model_dump().items()}
     return [{**head, "arm": "plain", "seed": str(seed), "service": str(service)} for seed, service in days]
 
 
-def begin(plan: Path, out: Path, **values: Any) -> subprocess.Popen[str]:
+def start_run(plan: Path, out: Path, **values: Any) -> subprocess.Popen[str]:
     args = [sys.executable, "-m", "springspread.cli", "lab", "run", str(plan), "--out", str(out)]
     return subprocess.Popen([*args, "--processes", "1"], stdout=-1, stderr=-1, text=True, **values)
 
 
-def test_an_interrupted_experiment_keeps_what_is_done_and_marks_the_rest(tmp_path: Path) -> None:
+def test_interrupted_experiment_keeps_finished_rows_and_marks_the_rest(tmp_path: Path) -> None:
     plan, out = tmp_path / "plan.toml", tmp_path / "long.csv"
     plan.write_text(TOML.replace("[1, 2]", str(list(range(1, 1001)))))
-    process = begin(plan, out)
+    process = start_run(plan, out)
     end = time.monotonic() + 60.0
-    while time.monotonic() < end and (not (fresh := out.with_suffix(".new")).exists() or rows_in(fresh) < 3):
+    while time.monotonic() < end and (
+        not (fresh := out.with_suffix(".new")).exists() or row_count(fresh) < 3
+    ):
         time.sleep(0.02)
     process.send_signal(signal.SIGINT)
     output, errors = process.communicate(timeout=60.0)
@@ -185,43 +187,43 @@
     assert len(read_rows(out)) == done
 
 
-def rows_in(path: Path) -> int:
+def row_count(path: Path) -> int:
     return max(path.read_bytes().count(b"\n") - 1, 0)
 
 
-def test_a_disk_that_fills_under_the_results_costs_none_of_them(tmp_path: Path) -> None:
+def test_full_disk_loses_no_finished_rows(tmp_path: Path) -> None:
     plan, out = tmp_path / "plan.toml", tmp_path / "full.csv"
     plan.write_text(TOML.replace("[1, 2]", str(list(range(1, 51)))))
     out.write_text("an older table\n")
 
-    def little_room() -> None:
+    def limit_file_size() -> None:
         signal.signal(signal.SIGXFSZ, signal.SIG_IGN)
-        resource.setrlimit(resource.RLIMIT_FSIZE, (1 << 15, 1 << 15))  # a sender's journal of such a day fits
+        resource.setrlimit(resource.RLIMIT_FSIZE, (1 << 15, 1 << 15))  # room for a sender's journal
 
-    process = begin(plan, out, preexec_fn=little_room, env={**os.environ, "TMPDIR": str(tmp_path)})
+    process = start_run(plan, out, preexec_fn=limit_file_size, env={**os.environ, "TMPDIR": str(tmp_path)})
     output, errors = process.communicate(timeout=120.0)
     assert process.returncode == 4 and "the table takes no more" in errors, errors
     assert out.read_text() == "an older table\n"
-    assert rows_in(out.with_suffix(".new")) >= 3
+    assert row_count(out.with_suffix(".new")) >= 3
 
 
 def test_one_day_from_the_command_line() -> None:
     code, output = run("town", "play", "--set", "length_ms=5000", "--set", "senders=2", "--json")
-    told = json.loads(output)
-    assert code == 0 and told["faults"] == [] and 0.5 < told["service"] <= 1.0
-    assert told["latency_ms"]["p50"] <= told["latency_ms"]["p99"]
+    result = json.loads(output)
+    assert code == 0 and result["faults"] == [] and 0.5 < result["service"] <= 1.0
+    assert result["latency_ms"]["p50"] <= result["latency_ms"]["p99"]
 
 
-def test_faults_of_the_caller_are_told_in_a_line(table: Path, tmp_path: Path) -> None:
+def test_usage_errors_are_one_line(table: Path, tmp_path: Path) -> None:
     plan = tmp_path / "plan.toml"
     plan.write_text("seeds = 3")
     for args, text in (
         (["lab", "run", plan, "--out", "x.csv"], "name: Field required"),
         (["lab", "run", tmp_path / "none", "--out", "x.csv"], "No such file"),
-        (["lab", "report", plan, "--out", tmp_path], "no table of an experiment"),
+        (["lab", "report", plan, "--out", tmp_path], "not an experiment table"),
         (["lab", "compare", table], "give a second table, or --arms"),
         (["lab", "compare", table, table, "--measure", "luck"], "no such column: luck"),
-        (["lab", "compare", table, "--arms", "plain", "none"], "stands in both"),
+        (["lab", "compare", table, "--arms", "plain", "none"], "is in both"),
         (["lab", "compare", table, table, "--where", "luck=1"], "--where: no such column: luck"),
         (["town", "play", "--set", "senders=0"], "senders: "),
         (["town", "play", "--set", "sendres=1"], "did you mean senders?"),
@@ -231,7 +233,7 @@
         assert code != 0 and text in output, output
 
 
-def test_the_sender_loads_nothing_of_town_lab_or_command_line() -> None:
+def test_sender_does_not_import_simulator_experiments_or_cli() -> None:
     code = "import sys, springspread.__main__; print(list(sys.modules))"
     loaded = subprocess.run([sys.executable, "-c", code], capture_output=True, text=True, check=True).stdout
     assert "springspread.core.loop" in loaded
--- a/tests/experiments/test_tally.py
+++ b/tests/experiments/test_tally.py
@@ -1,4 +1,4 @@
-"""Counting over a fleet, from the logs of real senders."""
+"""Counts of a fleet from its senders' logs."""
 
 from __future__ import annotations
 
@@ -11,8 +11,8 @@
 from springspread.logs import Logger, QueueLogger
 
 
-def write(folder: Path, name: str, served: int) -> Path:
-    """A sender's log, as its own logger writes it, behind what another program put in front of each line."""
+def write_log(folder: Path, name: str, served: int) -> Path:
+    """Write a log with the sender's own logger, and a prefix before each line."""
     path = folder / f"{name}.log"
     with path.open("w") as out:
         sink = QueueLogger(100, out, "json")
@@ -36,7 +36,7 @@
 
 
 def test_calls_of_all_senders_are_counted_by_destination(tmp_path: Path) -> None:
-    cells = tally([write(tmp_path, "n0", 3), write(tmp_path, "n1", 1)], 600.0)
+    cells = tally([write_log(tmp_path, "n0", 3), write_log(tmp_path, "n1", 1)], 600.0)
     counts = total(cells)
     assert (counts["calls"], counts["attempts"], counts["served"], counts["refused"]) == (6, 12, 4, 2)
     assert counts["list_requests"] == 2 and {group for group, _ in cells} == {-1, 3}
@@ -44,10 +44,10 @@
     assert cell.limit == 40.0 and cell.left / cell.told == 0.5
 
 
-def test_the_command_tells_them_as_a_table_and_names_a_folder_without_logs(tmp_path: Path) -> None:
-    write(tmp_path, "n0", 2)
-    told = CliRunner().invoke(cli, ["lab", "tally", str(tmp_path), "--whole"]).output.splitlines()
-    assert told[0].startswith("taken,calls") and told[1].startswith("0,3,6,2,1")
+def test_command_prints_a_table_and_rejects_a_folder_without_logs(tmp_path: Path) -> None:
+    write_log(tmp_path, "n0", 2)
+    lines = CliRunner().invoke(cli, ["lab", "tally", str(tmp_path), "--whole"]).output.splitlines()
+    assert lines[0].startswith("taken,calls") and lines[1].startswith("0,3,6,2,1")
     (tmp_path / "n0.log").unlink()
     empty = CliRunner().invoke(cli, ["lab", "tally", str(tmp_path)])
     assert empty.exit_code != 0 and "no *.log" in empty.output
