--- a/springspread/cli/lab.py
+++ b/springspread/cli/lab.py
@@ -106,7 +106,7 @@
 
     Days are paired by seed and knobs; the 95 % confidence interval is Student's.
     """
-    from springspread.experiments.compare import paired
+    from springspread.experiments.compare import paired_difference
     from springspread.experiments.run import COLUMNS, read_rows
 
     if (theirs is None) == (arms is None):
@@ -122,7 +122,7 @@
         left, right = ([row for row in rows if row[column] == value] for rows in (left, right))
     if arms is not None:
         left, right = ([row for row in left if row["arm"] == arm] for arm in arms)
-    difference = paired(left, right, measure)
+    difference = paired_difference(left, right, measure)
     word = "significant" if difference.sure else "not significant"
     click.echo(
         f"{measure}: {difference.mean:+.4f} ± {difference.half:.4f} over {difference.count} days ({word})"
--- a/springspread/experiments/compare.py
+++ b/springspread/experiments/compare.py
@@ -46,7 +46,7 @@
     return Mean(count, fmean(values), half, min(values))
 
 
-def paired(ours: Rows, theirs: Rows, measure: str) -> Mean:
+def paired_difference(ours: Rows, theirs: Rows, measure: str) -> Mean:
     """Compute the mean of ``theirs`` minus ``ours`` in a measure, over paired days.
 
     Days are paired by seed and by the columns that vary within either side; columns that differ only between
--- a/tests/experiments/test_lab.py
+++ b/tests/experiments/test_lab.py
@@ -18,7 +18,7 @@
 
 from springspread import policy
 from springspread.cli.main import cli
-from springspread.experiments.compare import mean_of, paired, rank_correlation
+from springspread.experiments.compare import mean_of, paired_difference, rank_correlation
 from springspread.experiments.plan import check_plan, read_plan
 from springspread.experiments.run import read_rows, simulate
 from springspread.validation import PlanError
@@ -148,12 +148,12 @@
     assert mean_of([1.0]).half == float("inf") and not mean_of([1.0]).sure
     rows = rows_of([(1, 0.5), (2, 0.9)])
     others = [{**row, "arm": "drains", "drains": "10"} for row in rows_of([(1, 0.4), (2, 0.8)])]
-    assert paired(rows, others, "service").mean == pytest.approx(-0.1)  # drains differ only between the sides
+    assert paired_difference(rows, others, "service").mean == pytest.approx(-0.1)  # drains may differ
     improved = rows_of([(1, 0.6), (2, 1.0), (3, 0.1)])
-    difference = paired(rows, improved, "service")
+    difference = paired_difference(rows, improved, "service")
     assert difference.count == 2 and difference.mean == pytest.approx(0.1) and difference.sure
     with pytest.raises(ValueError, match="is in both"):
-        paired(rows, rows_of([(9, 0.5)]), "service")
+        paired_difference(rows, rows_of([(9, 0.5)]), "service")
     assert rank_correlation([1.0, 2.0, 3.0, 4.0], [10.0, 20.0, 40.0, 30.0]) == pytest.approx(0.8)
 
 
