--- a/springspread/cli/lab.py
+++ b/springspread/cli/lab.py
@@ -125,7 +125,7 @@
     difference = paired_difference(left, right, measure)
     word = "significant" if difference.sure else "not significant"
     click.echo(
-        f"{measure}: {difference.mean:+.4f} ± {difference.half:.4f} over {difference.count} days ({word})"
+        f"{measure}: {difference.mean:+.4f} ± {difference.margin:.4f} over {difference.count} days ({word})"
     )
 
 
--- a/springspread/experiments/compare.py
+++ b/springspread/experiments/compare.py
@@ -26,13 +26,13 @@
 
     count: int
     mean: float
-    half: float
+    margin: float
     minimum: float
 
     @property
     def sure(self) -> bool:
         """Whether the confidence interval excludes zero."""
-        return abs(self.mean) > self.half
+        return abs(self.mean) > self.margin
 
 
 def mean_of(values: Sequence[float], confidence: float = CONFIDENCE) -> Mean:
@@ -40,10 +40,10 @@
     if not values:
         raise ValueError("no values")
     count = len(values)
-    half = inf
+    margin = inf
     if count > 1:
-        half = float(stats.t.ppf(0.5 + confidence / 2, count - 1)) * stdev(values) / sqrt(count)
-    return Mean(count, fmean(values), half, min(values))
+        margin = float(stats.t.ppf(0.5 + confidence / 2, count - 1)) * stdev(values) / sqrt(count)
+    return Mean(count, fmean(values), margin, min(values))
 
 
 def paired_difference(ours: Rows, theirs: Rows, measure: str) -> Mean:
--- a/springspread/experiments/report.py
+++ b/springspread/experiments/report.py
@@ -63,7 +63,7 @@
         for measure in MEASURES:
             values = [value for row in group if (value := measure_value(row, measure)) is not None]
             mean = mean_of(values) if values else None
-            cells.append(f"{mean.mean:.3f} ± {mean.half:.3f}" if mean else "")
+            cells.append(f"{mean.mean:.3f} ± {mean.margin:.3f}" if mean else "")
         cells.append(f"{min(float(row['service']) for row in group):.3f}")
         cells += [str(value) for value in latency_percentiles(group)]
         refused, messages = (sum(int(row[key]) for row in group) for key in ("refused", "messages"))
