--- a/springspread/cli/lab.py
+++ b/springspread/cli/lab.py
@@ -123,7 +123,7 @@
     if arms is not None:
         left, right = ([row for row in left if row["arm"] == arm] for arm in arms)
     difference = paired_difference(left, right, measure)
-    word = "significant" if difference.sure else "not significant"
+    word = "significant" if difference.significant else "not significant"
     click.echo(
         f"{measure}: {difference.mean:+.4f} ± {difference.margin:.4f} over {difference.count} days ({word})"
     )
--- a/springspread/experiments/compare.py
+++ b/springspread/experiments/compare.py
@@ -30,7 +30,7 @@
     minimum: float
 
     @property
-    def sure(self) -> bool:
+    def significant(self) -> bool:
         """Whether the confidence interval excludes zero."""
         return abs(self.mean) > self.margin
 
--- a/tests/experiments/test_lab.py
+++ b/tests/experiments/test_lab.py
@@ -145,13 +145,13 @@
 def test_means_and_paired_differences() -> None:
     mean = mean_of([1.0, 2.0, 3.0])
     assert mean.mean == 2.0 and mean.margin == pytest.approx(2.4841, abs=1e-4)  # t(0.975, 2) = 4.3027
-    assert mean_of([1.0]).margin == float("inf") and not mean_of([1.0]).sure
+    assert mean_of([1.0]).margin == float("inf") and not mean_of([1.0]).significant
     rows = rows_of([(1, 0.5), (2, 0.9)])
     others = [{**row, "arm": "drains", "drains": "10"} for row in rows_of([(1, 0.4), (2, 0.8)])]
     assert paired_difference(rows, others, "service").mean == pytest.approx(-0.1)  # drains may differ
     improved = rows_of([(1, 0.6), (2, 1.0), (3, 0.1)])
     difference = paired_difference(rows, improved, "service")
-    assert difference.count == 2 and difference.mean == pytest.approx(0.1) and difference.sure
+    assert difference.count == 2 and difference.mean == pytest.approx(0.1) and difference.significant
     with pytest.raises(ValueError, match="is in both"):
         paired_difference(rows, rows_of([(9, 0.5)]), "service")
     assert rank_correlation([1.0, 2.0, 3.0, 4.0], [10.0, 20.0, 40.0, 30.0]) == pytest.approx(0.8)
