--- a/springspread/cli/lab.py
+++ b/springspread/cli/lab.py
@@ -70,7 +70,7 @@
             table.close()
     except OSError as exc:
         stopped = stopped or f"the table takes no more: {exc}"
-        click.echo(f"the rows written so far are in {table.fresh if table else out}", err=True)
+        click.echo(f"the rows written so far are in {table.partial_path if table else out}", err=True)
     mean = f", {seconds / done:.2f} s each on average" if done else ""
     click.echo(f"{done} of {days} days{mean}, {broken} with broken promises: {out}")
     if stopped:
--- a/springspread/experiments/run.py
+++ b/springspread/experiments/run.py
@@ -120,9 +120,9 @@
 
     def __init__(self, path: Path, plan: Plan) -> None:
         self._path, self._plan, self._written = path, plan, 0
-        self.fresh = path.with_suffix(".new")
+        self.partial_path = path.with_suffix(".new")
         self._write_record(complete=False)
-        self._out = self.fresh.open("w", newline="")
+        self._out = self.partial_path.open("w", newline="")
         self._writer = csv.DictWriter(self._out, COLUMNS, lineterminator="\n", restval="")
         self._writer.writeheader()
 
@@ -137,7 +137,7 @@
         for run in list(self._plan.runs())[self._written :]:
             self._writer.writerow(_input_columns(run) | {"state": NOT_RUN})
         self._out.close()
-        self.fresh.replace(self._path)
+        self.partial_path.replace(self._path)
         self._write_record(complete=self._written == sum(1 for _ in self._plan.runs()))
 
     def _write_record(self, complete: bool) -> None:
--- a/tests/experiments/test_lab.py
+++ b/tests/experiments/test_lab.py
@@ -173,7 +173,7 @@
     process = start_run(plan, out)
     end = time.monotonic() + 60.0
     while time.monotonic() < end and (
-        not (fresh := out.with_suffix(".new")).exists() or row_count(fresh) < 3
+        not (partial := out.with_suffix(".new")).exists() or row_count(partial) < 3
     ):
         time.sleep(0.02)
     process.send_signal(signal.SIGINT)
