--- a/springspread/experiments/tally.py
+++ b/springspread/experiments/tally.py
@@ -52,7 +52,7 @@
     counts: Counter[str] = field(default_factory=Counter)
     limit: float = 0.0  # calls per second, as last reported
     left: float = 0.0
-    told: int = 0
+    limit_reports: int = 0
 
     def count(self, line: dict[str, Any]) -> None:
         """Count one log line."""
@@ -64,7 +64,7 @@
         elif event == "call over":
             self.counts[RESULT_COLUMNS.get(str(line["result"]), "other")] += 1
             if line.get("limit"):
-                self.limit, self.told = float(line["limit"]), self.told + 1
+                self.limit, self.limit_reports = float(line["limit"]), self.limit_reports + 1
                 self.left += float(line["left"])
 
 
