--- a/springspread/cli/lab.py
+++ b/springspread/cli/lab.py
@@ -152,5 +152,5 @@
     click.echo(",".join(("destination", "from_s", *counting.COLUMNS, "limit", "left")))
     for (group, number), cell in sorted(cells.items()):
         counted = [str(cell.counts[column]) for column in counting.COLUMNS]
-        left = f"{cell.left / cell.limit_reports:.3f}" if cell.limit_reports else ""
+        left = f"{cell.left_sum / cell.limit_reports:.3f}" if cell.limit_reports else ""
         click.echo(",".join((str(group), f"{number * span:g}", *counted, f"{cell.limit:g}", left)))
--- a/springspread/experiments/tally.py
+++ b/springspread/experiments/tally.py
@@ -51,7 +51,7 @@
 
     counts: Counter[str] = field(default_factory=Counter)
     limit: float = 0.0  # calls per second, as last reported
-    left: float = 0.0
+    left_sum: float = 0.0
     limit_reports: int = 0
 
     def count(self, line: dict[str, Any]) -> None:
@@ -65,7 +65,7 @@
             self.counts[RESULT_COLUMNS.get(str(line["result"]), "other")] += 1
             if line.get("limit"):
                 self.limit, self.limit_reports = float(line["limit"]), self.limit_reports + 1
-                self.left += float(line["left"])
+                self.left_sum += float(line["left"])
 
 
 def read_lines(paths: Sequence[Path]) -> Iterator[tuple[float, dict[str, Any]]]:
--- a/tests/experiments/test_tally.py
+++ b/tests/experiments/test_tally.py
@@ -41,7 +41,7 @@
     assert (counts["calls"], counts["attempts"], counts["served"], counts["refused"]) == (6, 12, 4, 2)
     assert counts["list_requests"] == 2 and {group for group, _ in cells} == {-1, 3}
     (cell,) = [cell for (group, _), cell in cells.items() if group == 3]
-    assert cell.limit == 40.0 and cell.left / cell.limit_reports == 0.5
+    assert cell.limit == 40.0 and cell.left_sum / cell.limit_reports == 0.5
 
 
 def test_command_prints_a_table_and_rejects_a_folder_without_logs(tmp_path: Path) -> None:
