--- a/benchmarks/__init__.py
+++ b/benchmarks/__init__.py
@@ -1,1 +1,1 @@
-"""Long measurements, kept out of CI: commands that start the program and speak to it over loopback."""
+"""Benchmarks and long-running checks that are not part of CI."""
--- a/benchmarks/capacity_page.py
+++ b/benchmarks/capacity_page.py
@@ -18,17 +18,17 @@
 
 
 def main() -> None:
-    """Write or check the page."""
+    """Update or check the page."""
     parser = argparse.ArgumentParser(description=__doc__, formatter_class=argparse.RawTextHelpFormatter)
     parser.add_argument("--check", action="store_true")
     parser.add_argument("--page", type=Path, default=PAGE)
     parser.add_argument("--folder", type=Path, default=FOLDER)
     args = parser.parse_args()
-    held = args.page.read_text()
-    made = with_tables(held, read_figures(args.folder))
+    current = args.page.read_text()
+    updated = with_tables(current, read_figures(args.folder))
     if not args.check:
-        args.page.write_text(made)
-    elif made != held:
+        args.page.write_text(updated)
+    elif updated != current:
         sys.exit(f"{args.page}: differs from the figures; write it with python -m benchmarks.capacity_page")
 
 
--- a/benchmarks/capacity_slopes.py
+++ b/benchmarks/capacity_slopes.py
@@ -1,10 +1,10 @@
-"""Measure what each role of a fleet costs by size, and fit slope, fixed part and residual.
+"""Measure the cost of each role of a fleet by size, and fit slope, intercept and residual.
 
     python -m benchmarks.capacity_slopes [--only ROLE ...] [--measure NAME ...] [--quick]
         [--label before|after] [--folder docs/data/capacity]
 
-Each size runs in a process of its own. Rows go to ``ROLE.csv``, lines to ``fits.csv`` of the folder; rows of
-other quantities and of the other label stay. ``--quick`` takes the small sizes of each measurement.
+Each size runs in its own process. Rows go to ``ROLE.csv`` and fits to ``fits.csv`` in the folder; rows of
+other measurements and of the other label are kept. ``--quick`` measures only the small sizes.
 """
 
 from __future__ import annotations
@@ -21,22 +21,22 @@
 
 
 def measure_role(role: str, names: list[str], quick: bool, label: str, folder: Path) -> None:
-    """Measure a role; its table is written after each measurement, so that a run cut short keeps its rows."""
-    path, here, now = folder / f"{role}.csv", machine(), commit()
+    """Measure a role, writing its table after each measurement so that an interrupted run keeps its rows."""
+    path, host, revision = folder / f"{role}.csv", machine(), commit()
     for measurement in measurements_of(role):
         if names and measurement.name not in names:
             continue
-        begun, rows = time.monotonic(), []
+        start, rows = time.monotonic(), []
         for size in measurement.quick_sizes if quick else measurement.sizes:
-            rows += run(role, measurement, size, now, here, label)
+            rows += run(role, measurement, size, revision, host, label)
         write_rows(path, merge_rows(read_rows(path), rows))
-        print(f"{role} {measurement.name}: {time.monotonic() - begun:.1f} s", flush=True)
+        print(f"{role} {measurement.name}: {time.monotonic() - start:.1f} s", flush=True)
         for row in rows:
             print(f"  {row.what} at {row.size:g}: {row.value} {row.unit}", flush=True)
 
 
 def fit_all(folder: Path) -> None:
-    """Fit every table of the folder."""
+    """Fit every table in the folder."""
     write_fits(
         folder / "fits.csv",
         [fit for role in ROLES for fit in fit_rows(role, read_rows(folder / f"{role}.csv"))],
@@ -44,7 +44,7 @@
 
 
 def main() -> None:
-    """Measure the chosen roles and fit all."""
+    """Measure the selected roles and fit all tables."""
     parser = argparse.ArgumentParser(description=__doc__, formatter_class=argparse.RawTextHelpFormatter)
     parser.add_argument("--only", choices=ROLES, nargs="+", default=list(ROLES))
     parser.add_argument("--measure", nargs="+", default=[])
--- a/benchmarks/cold_town.py
+++ b/benchmarks/cold_town.py
@@ -1,11 +1,11 @@
-"""The town's cold endpoints as they return: what all senders together send each, against what it may be sent.
+"""Load on the simulator's cold endpoints as they return, relative to the load that they can take.
 
     python -m benchmarks.cold_town [--senders 3 20 30 200] [--returns 50] [--csv FILE]
 
-Days of the town in virtual time with partners that are away for a while, until there were so many returns
-at each size of the fleet. Counted is the fullest span of ``fall_ms`` of each cold endpoint over N + 2 x
-root of N + 2, N being what it can take by then: ``aware`` where two thirds of it came from senders that had
-seen a call fail there, ``all`` for any.
+Simulates days with partner outages in virtual time until there are enough returns at each fleet size. The
+result is the peak number of calls to a cold endpoint in ``fall_ms``, divided by N + 2 sqrt(N) + 2, where N is
+the number that it can take: ``aware`` for windows in which two thirds of the calls came from senders that saw
+a call fail there, ``all`` for any window.
 """
 
 from __future__ import annotations
@@ -16,16 +16,16 @@
 from math import sqrt
 from pathlib import Path
 
-from benchmarks.tables import tell_fullest, write_table
+from benchmarks.tables import print_peaks, write_table
 from springspread.simulator.day import Change, draw
 from springspread.simulator.partner import Answer
 from springspread.simulator.virtual import Town
 
 
-class Watched(Town):
-    """The town, with each return's fullest spans taken down."""
+class ObservedTown(Town):
+    """A simulation that records the peak load of each return."""
 
-    returns: dict[tuple[str, float], list[float]]  # by endpoint and moment: calls, aware, all
+    returns: dict[tuple[str, float], list[float]]  # by endpoint and time: calls, aware, all
 
     def _change(self, change: Change) -> None:
         super()._change(change)
@@ -34,22 +34,22 @@
             self.returns[change.endpoint, endpoint.back_at] = [0.0, 0.0, 0.0]
 
     def arrive(self, name: str, messages: int, sender: str) -> Answer:
-        """Take down the span that ends with this call."""
+        """Record the load of the window that ends with this call."""
         endpoint = self.partners[self._group[name]].endpoints[name]
         answer = super().arrive(name, messages, sender)
         now, habit = self.clock.now(), endpoint.habit
         found = self.returns.get((name, endpoint.back_at))
         if found is not None and now - endpoint.back_at < habit.warm_ms:
             n = habit.fall_multiple * endpoint.warmth(now) * endpoint.capacity * habit.fall_ms / 1000.0
-            part = len(endpoint.pushers) / (n + 2.0 * sqrt(n) + 2.0)
-            knew = sum(who in self.checker._saw_fail[name] for who in endpoint.pushers)
-            aware = part if 3 * knew >= 2 * len(endpoint.pushers) else 0.0
-            found[:] = found[0] + 1.0, max(found[1], aware), max(found[2], part)
+            ratio = len(endpoint.pushers) / (n + 2.0 * sqrt(n) + 2.0)
+            aware_calls = sum(sender_name in self.checker._saw_fail[name] for sender_name in endpoint.pushers)
+            aware = ratio if 3 * aware_calls >= 2 * len(endpoint.pushers) else 0.0
+            found[:] = found[0] + 1.0, max(found[1], aware), max(found[2], ratio)
         return answer
 
 
-def play(senders: int, seed: int) -> list[dict[str, object]]:
-    """One day's returns."""
+def simulate(senders: int, seed: int) -> list[dict[str, object]]:
+    """Simulate a day and return its recorded returns."""
     day = draw(
         seed,
         senders=senders,
@@ -61,7 +61,7 @@
         tight=True,
     )
     with tempfile.TemporaryDirectory(prefix="springspread-cold-") as folder:
-        town = Watched(day, Path(folder))
+        town = ObservedTown(day, Path(folder))
         town.returns = {}
         town.play()
     return [
@@ -72,16 +72,16 @@
             "returned_ms": round(at),
             "calls": round(calls),
             "aware": round(aware, 3),
-            "all": round(most, 3),
+            "all": round(peak, 3),
         }
-        for (name, at), (calls, aware, most) in sorted(town.returns.items())
+        for (name, at), (calls, aware, peak) in sorted(town.returns.items())
         if calls
     ]
 
 
 def main() -> None:
-    """Play days until there are enough returns, and tell the fullest of each size."""
-    parser = argparse.ArgumentParser(description="What cold endpoints of the town are sent.")
+    """Simulate days until there are enough returns, and print the peaks of each fleet size."""
+    parser = argparse.ArgumentParser(description="Load on the simulator's cold endpoints.")
     parser.add_argument("--senders", type=int, nargs="+", default=[3, 20, 30, 200])
     parser.add_argument("--returns", type=int, default=50)
     parser.add_argument("--csv", type=Path)
@@ -92,11 +92,11 @@
             found: list[dict[str, object]] = []
             seed = 0
             while len(found) < args.returns and seed < 200:
-                for day in pool.map(play, [size] * 8, range(seed, seed + 8)):
+                for day in pool.map(simulate, [size] * 8, range(seed, seed + 8)):
                     found += day
                 seed += 8
             rows += found
-            tell_fullest(size, found)
+            print_peaks(size, found)
     write_table(args.csv, rows)
 
 
--- a/benchmarks/crash_points.py
+++ b/benchmarks/crash_points.py
@@ -1,8 +1,8 @@
-"""Every crash point of a journal that outlasts power losses, and faults planted in it.
+"""Exhaustive crash-point search of the power-safe journal, and of variants with injected faults.
 
     python -m benchmarks.crash_points [--seeds 8] [--steps 120] [--csv FILE]
 
-Exits with 1 where a promise is broken, or a planted fault is not found.
+Exits with 1 if a guarantee is violated or an injected fault is not found.
 """
 
 from __future__ import annotations
@@ -11,31 +11,31 @@
 import sys
 from pathlib import Path
 
-from benchmarks.tables import tell, write_table
+from benchmarks.tables import print_row, write_table
 from springspread.faults.crashes import planted, real, search
 
 
 def main() -> None:
-    """Search and tell."""
+    """Run the searches and print the results."""
     parser = argparse.ArgumentParser(description=__doc__, formatter_class=argparse.RawTextHelpFormatter)
     parser.add_argument("--seeds", type=int, default=8)
     parser.add_argument("--steps", type=int, default=120)
     parser.add_argument("--csv", type=Path)
     args = parser.parse_args()
-    rows, right = [], True
-    for name, make in (("", real), *planted()):
+    rows, passed = [], True
+    for name, factory in (("", real), *planted()):
         states = points = 0
         broken = ""
         for seed in range(args.seeds):
-            found = search(seed, args.steps, make)
-            states, points, broken = states + found.states, points + found.points, broken or found.broken
+            result = search(seed, args.steps, factory)
+            states, points, broken = states + result.states, points + result.points, broken or result.broken
             if broken:
                 break
-        right &= bool(broken) == bool(name)
+        passed &= bool(broken) == bool(name)
         rows.append({"journal": name or "as it is", "points": points, "states": states, "broken": broken})
-        tell(rows[-1])
+        print_row(rows[-1])
     write_table(args.csv, rows)
-    sys.exit(0 if right else 1)
+    sys.exit(0 if passed else 1)
 
 
 if __name__ == "__main__":
--- a/benchmarks/crowd.py
+++ b/benchmarks/crowd.py
@@ -1,10 +1,10 @@
-"""Clients by the hundred a second beside usual ones: what the listener lets in, how fast, and what it costs.
+"""Connection floods beside normal clients: admission rate, latency and resource use of the listener.
 
     python -m benchmarks.crowd --rates 0,100,500,2000 --seconds 10 --repeats 3 [--old CHECKOUT] [--csv FILE]
 
-A third of the crowd says nothing, a third asks once and stays, a third sends half a request. Usual clients
-hand in 40 messages a second, each on a new connection. ``--old`` measures the program of another checkout
-beside this one, in turn, so that both meet the same machine.
+A third of the flood sends nothing, a third sends one request and stays connected, a third sends half a
+request. Normal clients submit 40 messages per second, each on a new connection. ``--old`` also measures the
+program of another checkout, alternating with this one.
 """
 
 from __future__ import annotations
@@ -26,22 +26,22 @@
 
 from tests.peer import Peer, Program
 
-KINDS = (b"", b"GET /_health HTTP/1.1\r\nHost: x\r\n\r\n", b"POST /api HTTP/1.1\r\nContent-Le")
-OWED_S = 3.0
-USUAL_PER_S = 40.0
-LATE_S = 0.4
+FLOOD_PAYLOADS = (b"", b"GET /_health HTTP/1.1\r\nHost: x\r\n\r\n", b"POST /api HTTP/1.1\r\nContent-Le")
+ANSWER_TIMEOUT_S = 3.0
+NORMAL_PER_S = 40.0
+NORMAL_TIMEOUT_S = 0.4
 
 
 @dataclass(frozen=True)
 class Row:
-    """One run. Times are milliseconds from connecting to the verdict, of usual clients on new connections."""
+    """One run. Times are milliseconds from connecting to the answer, of normal clients."""
 
     program: str  # "new", or "old" for the other checkout
     repeat: int
     rate: int
-    admitted_per_s: float  # of the crowd, an answer or a close, a second while it came
-    heard_share: float  # of the crowd, an answer or a close within 3 s
-    served_share: float  # of the usual messages, taken on within 400 ms
+    admitted_per_s: float  # flood connections answered or closed, per second
+    heard_share: float  # flood connections answered or closed within 3 s
+    served_share: float  # normal messages accepted within 400 ms
     p50_ms: float
     p99_ms: float
     most_ms: float
@@ -49,24 +49,24 @@
     descriptors: int
     threads: int
     memory_mb: float
-    late_ms: float  # how late the generator itself was at worst
+    late_ms: float  # maximum delay of the load generator
 
 
-def crowd(address: tuple[str, int], rate: int, seconds: float, pipe: Connection) -> None:
-    """Open connections at a rate, whatever becomes of them, and count those that heard something in time."""
+def flood(address: tuple[str, int], rate: int, seconds: float, pipe: Connection) -> None:
+    """Open connections at a fixed rate, and count those answered or closed in time."""
     selector = selectors.DefaultSelector()
     opened: dict[socket.socket, float] = {}
-    heard = total = admitted = 0
-    late = 0.0
+    answered = total = admitted = 0
+    max_late = 0.0
     start = time.monotonic()
-    while (now := time.monotonic()) < start + seconds + OWED_S + 0.5:
+    while (now := time.monotonic()) < start + seconds + ANSWER_TIMEOUT_S + 0.5:
         if rate and now < start + seconds:
             while total < (now - start) * rate:
-                late = max(late, now - start - total / rate)
+                max_late = max(max_late, now - start - total / rate)
                 sock = socket.socket()
                 sock.setblocking(False)
                 sock.connect_ex(address)
-                selector.register(sock, selectors.EVENT_WRITE, KINDS[total % len(KINDS)])
+                selector.register(sock, selectors.EVENT_WRITE, FLOOD_PAYLOADS[total % len(FLOOD_PAYLOADS)])
                 opened[sock] = now
                 total += 1
         for key, events in selector.select(0.002):
@@ -81,16 +81,16 @@
             except OSError:
                 data = b""
             if sock in opened:
-                heard += time.monotonic() - opened.pop(sock) <= OWED_S
+                answered += time.monotonic() - opened.pop(sock) <= ANSWER_TIMEOUT_S
                 admitted += time.monotonic() < start + seconds
             if not data:
                 selector.unregister(sock)
                 sock.close()
-    pipe.send((heard, total, admitted / seconds, late))
+    pipe.send((answered, total, admitted / seconds, max_late))
 
 
-class Usual:
-    """Usual clients: open-loop arrivals, each on a thread that does nothing else."""
+class NormalTraffic:
+    """Normal clients: open-loop arrivals, each on its own thread."""
 
     def __init__(self, program: Program, seconds: float) -> None:
         self.program, self.seconds = program, seconds
@@ -98,33 +98,33 @@
         self.served = self.asked = 0
         self._lock = threading.Lock()
 
-    def _one(self, number: int) -> None:
-        begun = time.monotonic()
+    def _submit(self, number: int) -> None:
+        start = time.monotonic()
         try:
-            taken = self.program.hand_in(f"u{number}") in (200, 202)
+            accepted = self.program.hand_in(f"u{number}") in (200, 202)
         except OSError:
-            taken = False
-        took = time.monotonic() - begun
+            accepted = False
+        took = time.monotonic() - start
         with self._lock:
-            self.served += taken and took <= LATE_S
+            self.served += accepted and took <= NORMAL_TIMEOUT_S
             self.times.append(1000 * took)
 
     def run(self) -> None:
-        """Hand messages in until the time is over and all have been answered."""
+        """Submit messages until the time is over, and wait for all answers."""
         start = time.monotonic()
         threads = []
         while time.monotonic() < start + self.seconds:
-            thread = threading.Thread(target=self._one, args=(self.asked,))
+            thread = threading.Thread(target=self._submit, args=(self.asked,))
             thread.start()
             threads.append(thread)
             self.asked += 1
-            time.sleep(max(start + self.asked / USUAL_PER_S - time.monotonic(), 0.0))
+            time.sleep(max(start + self.asked / NORMAL_PER_S - time.monotonic(), 0.0))
         for thread in threads:
             thread.join()
 
 
-def status(pid: int) -> tuple[float, int, int, float]:
-    """CPU seconds, descriptors, threads and resident MB of a process."""
+def process_stats(pid: int) -> tuple[float, int, int, float]:
+    """Return CPU seconds, descriptors, threads and resident MB of a process."""
     stat = Path(f"/proc/{pid}/stat").read_text().rpartition(")")[2].split()
     cpu = (int(stat[11]) + int(stat[12])) / os.sysconf("SC_CLK_TCK")
     resident = int(Path(f"/proc/{pid}/statm").read_text().split()[1]) * os.sysconf("SC_PAGE_SIZE")
@@ -132,58 +132,58 @@
 
 
 def measure(name: str, repeat: int, rate: int, seconds: float, tree: Path) -> Row:
-    """One run of one program at one rate."""
+    """Measure one program at one rate."""
     peer = Peer()
     with tempfile.TemporaryDirectory() as folder:
         program = Program(Path(folder), peer, tree=tree)
         try:
             ours, theirs = multiprocessing.Pipe()
-            work = multiprocessing.Process(target=crowd, args=(program.address, rate, seconds, theirs))
-            work.start()
-            usual = Usual(program, seconds)
-            driver = threading.Thread(target=usual.run)
-            cpu, *most = status(program.process.pid)
-            begun = time.monotonic()
+            flooder = multiprocessing.Process(target=flood, args=(program.address, rate, seconds, theirs))
+            flooder.start()
+            normal = NormalTraffic(program, seconds)
+            driver = threading.Thread(target=normal.run)
+            cpu, *peak = process_stats(program.process.pid)
+            start = time.monotonic()
             driver.start()
             while driver.is_alive():
                 time.sleep(0.1)
-                now_cpu, *seen = status(program.process.pid)
-                most = [max(pair) for pair in zip(most, seen, strict=True)]
-            per_s = (now_cpu - cpu) / (time.monotonic() - begun)
-            heard, total, admitted, late = ours.recv()
-            work.join()
+                now_cpu, *current = process_stats(program.process.pid)
+                peak = [max(pair) for pair in zip(peak, current, strict=True)]
+            cpu_per_s = (now_cpu - cpu) / (time.monotonic() - start)
+            answered, total, admitted, max_late = ours.recv()
+            flooder.join()
         finally:
             program.process.kill()
             program.process.wait()
             peer.close()
-    times = sorted(usual.times)
+    times = sorted(normal.times)
     return Row(
         name,
         repeat,
         rate,
         round(admitted, 1),
-        round(heard / total if total else 1.0, 4),
-        round(usual.served / usual.asked, 4),
+        round(answered / total if total else 1.0, 4),
+        round(normal.served / normal.asked, 4),
         round(times[len(times) // 2], 2),
         round(times[int(len(times) * 0.99)], 2),
         round(times[-1], 2),
-        round(per_s, 3),
-        int(most[0]),
-        int(most[1]),
-        round(most[2], 1),
-        round(1000 * late, 1),
+        round(cpu_per_s, 3),
+        int(peak[0]),
+        int(peak[1]),
+        round(peak[2], 1),
+        round(1000 * max_late, 1),
     )
 
 
 def write(rows: list[Row], out: TextIO) -> None:
-    """As CSV, a line a run."""
+    """Write the rows as CSV."""
     writer = csv.DictWriter(out, [item.name for item in fields(Row)], lineterminator="\n")
     writer.writeheader()
     writer.writerows(map(asdict, rows))
 
 
 def main() -> None:
-    """Measure at each rate and write the table."""
+    """Measure each rate and write the table."""
     parser = argparse.ArgumentParser(description=__doc__, formatter_class=argparse.RawTextHelpFormatter)
     parser.add_argument("--rates", default="0,100,500,2000")
     parser.add_argument("--seconds", type=float, default=10.0)
--- a/benchmarks/damaged_folders.py
+++ b/benchmarks/damaged_folders.py
@@ -1,10 +1,10 @@
-"""A fleet that loses its power, and of whose files one, or two, come back damaged.
+"""A fleet that loses power and restarts with one or two damaged files.
 
     python -m benchmarks.damaged_folders [--pairs 20] [--seed 1] [--csv FILE]
 
-Each file of the fleet and of its first instance, torn, flipped, emptied and missing, one by one; then drawn
-pairs. Exits with 1 where a message of an undamaged journal has no end, an unsafe one ran twice, or one has
-two ends."""
+Each file of the fleet and of its first instance is torn, flipped, emptied and deleted in turn; then random
+pairs are damaged. Exits with 1 if a message of an undamaged journal has no outcome, an unsafe message ran
+twice, or a message has two outcomes."""
 
 from __future__ import annotations
 
@@ -14,38 +14,43 @@
 from pathlib import Path
 from random import Random
 
-from benchmarks.tables import add, tell
+from benchmarks.tables import append_row, print_row
 from springspread.faults.chaos import fleet_of
 from springspread.faults.damage import HOWS, Damaged
 
 
 def main() -> None:
-    """Play and tell."""
+    """Run the benchmark."""
     parser = argparse.ArgumentParser(description=__doc__, formatter_class=argparse.RawTextHelpFormatter)
     parser.add_argument("--pairs", type=int, default=20)
     parser.add_argument("--seed", type=int, default=1)
     parser.add_argument("--csv", type=Path)
     args = parser.parse_args()
     rng, broken = Random(f"{args.seed}/damage"), False
-    made = {"lease_ms": 1000.0, "each_s": 0.05, "power": "power"}
-    with fleet_of(Damaged, 2, **made) as (fleet, _):
-
-        def play(damages: Sequence[tuple[str, str]]) -> bool:
-            told = fleet.return_with(damages)
-            what = " + ".join(f"{name} {how}" for name, how in damages)
-            refused = told.refused[-150:]
-            row = {"damage": what, "lost": told.lost, "gone": told.gone, "unsafe_twice": told.unsafe_twice}
-            row |= {"two_ends": told.two_ends, "refused": refused}
-            tell(row)
-            add(args.csv, row)
-            return told.broken
+    options = {"lease_ms": 1000.0, "each_s": 0.05, "power": "power"}
+    with fleet_of(Damaged, 2, **options) as (fleet, _):
+
+        def run_with(damages: Sequence[tuple[str, str]]) -> bool:
+            result = fleet.return_with(damages)
+            description = " + ".join(f"{name} {how}" for name, how in damages)
+            refused = result.refused[-150:]
+            row = {
+                "damage": description,
+                "lost": result.lost,
+                "gone": result.gone,
+                "unsafe_twice": result.unsafe_twice,
+            }
+            row |= {"two_ends": result.two_ends, "refused": refused}
+            print_row(row)
+            append_row(args.csv, row)
+            return result.broken
 
         for kind in dict.fromkeys(name.rstrip("0123456789") for name in fleet.files):
-            for how in HOWS:  # a damaged journal goes on under another number
+            for how in HOWS:  # a damaged journal continues under a new number
                 name = next(name for name in fleet.files if name.startswith(kind))
-                broken |= play([(name, how)])
+                broken |= run_with([(name, how)])
         for _ in range(args.pairs):
-            broken |= play([(name, rng.choice(list(HOWS))) for name in rng.sample(fleet.files, 2)])
+            broken |= run_with([(name, rng.choice(list(HOWS))) for name in rng.sample(fleet.files, 2)])
     sys.exit(broken)
 
 
--- a/benchmarks/drivers.py
+++ b/benchmarks/drivers.py
@@ -1,4 +1,4 @@
-"""The town's two drivers against each other: the same ten days in virtual time and on sockets, side by side.
+"""Compares the simulator's two drivers: the same ten days in virtual time and on sockets.
 
 python -m benchmarks.drivers [--seconds 8] [--csv FILE]
 """
@@ -33,7 +33,7 @@
 
 
 def scenarios(length_ms: float) -> dict[str, Day]:
-    """Ten days, by name."""
+    """Return ten days by name."""
     days = {"calm": draw(1, senders=2, length_ms=length_ms)}
     for n, trouble in enumerate(("refusing", "silent", "failing", "shut", "slow")):
         days[trouble] = draw(2 + n, senders=2, length_ms=length_ms, troubles=3, trouble=trouble)
@@ -45,36 +45,36 @@
 
 
 def compare(name: str, day: Day) -> dict[str, object]:
-    """Play a day twice."""
+    """Run one day with both drivers."""
     with tempfile.TemporaryDirectory(prefix="springspread-drivers-") as folder:
-        begun = time.perf_counter()
+        start = time.perf_counter()
         virtual = Town(day, Path(folder) / "virtual").play().checker
-        took = time.perf_counter() - begun
+        took = time.perf_counter() - start
         town = SocketTown(day, Path(folder) / "sockets")
         try:
-            live = town.play()
+            sockets = town.play()
         finally:
             town.close()
-    ours, theirs = virtual.tally, live.checker.tally
-    for fault in live.checker.faults[:3]:
+    virtual_tally, sockets_tally = virtual.tally, sockets.checker.tally
+    for fault in sockets.checker.faults[:3]:
         print(name, fault, file=sys.stderr)
     return {
         "scenario": name,
-        "messages": ours.messages,
-        "service_virtual": round(ours.service, 4),
-        "service_sockets": round(theirs.service, 4),
-        "difference": round(theirs.service - ours.service, 4),
-        "refused_virtual": ours.refused,
-        "refused_sockets": theirs.refused,
+        "messages": virtual_tally.messages,
+        "service_virtual": round(virtual_tally.service, 4),
+        "service_sockets": round(sockets_tally.service, 4),
+        "difference": round(sockets_tally.service - virtual_tally.service, 4),
+        "refused_virtual": virtual_tally.refused,
+        "refused_sockets": sockets_tally.refused,
         "faults_virtual": len(virtual.faults),
-        "faults_sockets": len(live.checker.faults),
-        "late_ms_p99": round(live.late_ms[0], 1),
-        "virtual_messages_per_s": round(ours.messages / took),
+        "faults_sockets": len(sockets.checker.faults),
+        "late_ms_p99": round(sockets.late_ms[0], 1),
+        "virtual_messages_per_s": round(virtual_tally.messages / took),
     }
 
 
 def main() -> None:
-    """Play each day twice and write a line."""
+    """Run each day with both drivers and write the table."""
     parser = argparse.ArgumentParser(description=__doc__, formatter_class=argparse.RawTextHelpFormatter)
     parser.add_argument("--seconds", type=float, default=8.0)
     parser.add_argument("--processes", type=int, default=4, help="days at once; each takes two cores")
--- a/benchmarks/durability.py
+++ b/benchmarks/durability.py
@@ -1,9 +1,9 @@
-"""The price of outlasting a power loss: messages taken on with durability ``process`` and ``power``, in turn.
+"""The cost of durability: latency and throughput with durability ``process`` and ``power``.
 
     python -m benchmarks.durability [--seconds 8] [--takers 1 8 64] [--repeats 3] [--csv FILE]
 
-Each taker hands in one message after the other to the real program; a stand-in partner takes every call at
-once. Tells the time from a client's first byte to its answer, messages a second, and syncs for each message.
+Each taker is a client that submits messages one after the other to the real program; a mock partner answers
+every call at once. Prints the latency of the answers, messages per second, and syncs per message.
 """
 
 from __future__ import annotations
@@ -23,69 +23,69 @@
 
 import numpy as np
 
-from benchmarks.tables import tell, write_table
+from benchmarks.tables import print_row, write_table
 from springspread.faults.partner import GROUP, Outside
 
 READY_S = 20.0
 
 
 class Sender:
-    """The real program with a configuration of its own, until ``end``."""
+    """The real program with its own configuration."""
 
-    def __init__(self, place: Path, outside: Outside, durability: str) -> None:
-        raw = outside.configuration() | {"name": "n0", "listen": "127.0.0.1:0", "durability": durability}
-        raw |= {"state": str(place)}
+    def __init__(self, folder: Path, partner: Outside, durability: str) -> None:
+        raw = partner.configuration() | {"name": "n0", "listen": "127.0.0.1:0", "durability": durability}
+        raw |= {"state": str(folder)}
         raw["limits"] |= {"disk_mb": 64}
         raw["settings"]["specifics"]["callsOut"] = 40
-        file = place / "config.json"
+        file = folder / "config.json"
         file.write_text(json.dumps(raw))
         env = {**os.environ, "RELAY_CONFIG": str(file)}
-        line = [sys.executable, "-m", "springspread"]
-        self.process = subprocess.Popen(line, env=env, stderr=subprocess.PIPE, text=True)
+        command = [sys.executable, "-m", "springspread"]
+        self.process = subprocess.Popen(command, env=env, stderr=subprocess.PIPE, text=True)
         assert self.process.stderr is not None
         for text in self.process.stderr:
-            told = json.loads(text)
-            if told["event"] == "ready":
-                host, _, port = told["listen"].rpartition(":")
+            record = json.loads(text)
+            if record["event"] == "ready":
+                host, _, port = record["listen"].rpartition(":")
                 self.address = (host, int(port))
                 break
 
-    def end(self) -> dict[str, Any]:
-        """End it in order; its last line."""
+    def stop(self) -> dict[str, Any]:
+        """Terminate the program and return its last log line."""
         self.process.terminate()
         _, text = self.process.communicate(timeout=READY_S)
         stopped: dict[str, Any] = json.loads(text.splitlines()[-1])
         return stopped
 
 
-def play(durability: str, takers: int, seconds: float) -> dict[str, object]:
-    """One run."""
-    outside, ids, over = Outside(), count(1), threading.Event()
+def measure(durability: str, takers: int, seconds: float) -> dict[str, object]:
+    """Measure one run."""
+    partner, ids, done = Outside(), count(1), threading.Event()
     times: list[float] = []
     refused: list[float] = []
-    head = {"X-Service-Class": "notice", "X-Consignee": f"dest={GROUP}", "X-Time-Left-Ms": "8000"}
-    with tempfile.TemporaryDirectory(prefix="springspread-durability-") as place:
-        sender = Sender(Path(place), outside, durability)
+    headers = {"X-Service-Class": "notice", "X-Consignee": f"dest={GROUP}", "X-Time-Left-Ms": "8000"}
+    with tempfile.TemporaryDirectory(prefix="springspread-durability-") as folder:
+        sender = Sender(Path(folder), partner, durability)
 
-        def take() -> None:
-            while not over.is_set():
+        def submit() -> None:
+            while not done.is_set():
                 connection = http.client.HTTPConnection(*sender.address, timeout=5.0)
                 start = time.perf_counter()
-                connection.request("POST", "/api", b"hello", {**head, "X-Correlation-Id": f"m{next(ids)}"})
+                connection.request("POST", "/api", b"hello", {**headers, "X-Correlation-Id": f"m{next(ids)}"})
                 status = connection.getresponse().status
                 took = 1000.0 * (time.perf_counter() - start)
                 (times if status in (200, 202) else refused).append(took)
                 connection.close()
 
-        threads = [threading.Thread(target=take) for _ in range(takers)]
+        threads = [threading.Thread(target=submit) for _ in range(takers)]
         for thread in threads:
             thread.start()
         time.sleep(seconds)
-        over.set()
+        done.set()
         for thread in threads:
             thread.join()
-        stopped = sender.end()
-        outside.close()
+        stopped = sender.stop()
+        partner.close()
     return {
         "durability": durability,
         "takers": takers,
@@ -99,7 +99,7 @@
 
 
 def main() -> None:
-    """Play in turn and tell."""
+    """Measure each setting and print the rows."""
     parser = argparse.ArgumentParser(description=__doc__, formatter_class=argparse.RawTextHelpFormatter)
     parser.add_argument("--seconds", type=float, default=8.0)
     parser.add_argument("--takers", type=int, nargs="+", default=[1, 8, 64])
@@ -110,8 +110,8 @@
     for takers in args.takers:
         for _ in range(args.repeats):
             for durability in ("process", "power"):
-                rows.append(play(durability, takers, args.seconds))
-                tell(rows[-1])
+                rows.append(measure(durability, takers, args.seconds))
+                print_row(rows[-1])
     write_table(args.csv, rows)
 
 
--- a/benchmarks/fleet_chaos.py
+++ b/benchmarks/fleet_chaos.py
@@ -17,7 +17,7 @@
 from pathlib import Path
 from random import Random
 
-from benchmarks.tables import add, tell_long
+from benchmarks.tables import append_row, print_columns
 from springspread.fleet.limits import LimitMode
 from springspread.simulator.day import Day, Death, Fate, draw
 from springspread.simulator.sockets import SocketTown
@@ -104,8 +104,8 @@
     )
     deaths = fates(args.seed, args.senders, length_ms, 1000.0 * args.each_s)
     row = play(replace(day, deaths=deaths), LimitMode(args.mode))
-    tell_long(row)
-    add(args.csv, row)
+    print_columns(row)
+    append_row(args.csv, row)
     over = not args.apart and args.mode == "exact" and float(str(row["limit_ratio"])) > 1.0
     sys.exit(1 if row["broken"] or over else 3 if float(str(row["late_ms_p99"])) > 25.0 else 0)
 
--- a/benchmarks/fleet_cost.py
+++ b/benchmarks/fleet_cost.py
@@ -17,7 +17,7 @@
 import time
 from pathlib import Path
 
-from benchmarks.crowd import status
+from benchmarks.crowd import process_stats
 from springspread.core.clock import SYSTEM
 from springspread.core.types import Endpoint
 from springspread.fleet.allocator_server import AllocatorServer
@@ -51,9 +51,9 @@
             rows = json.loads(done.stdout) if done.returncode == 0 else []
         print(f"{instances} instances serve {time.monotonic() - begun:.1f} s after the daemon's start")
         pids = [int(str(row["pid"])) for row in rows]
-        before = {pid: status(pid)[0] for pid in [daemon.pid, *pids]}
+        before = {pid: process_stats(pid)[0] for pid in [daemon.pid, *pids]}
         time.sleep(seconds)
-        after = {pid: status(pid) for pid in before}
+        after = {pid: process_stats(pid) for pid in before}
         used = {pid: (after[pid][0] - before[pid]) / seconds for pid in before}
         memory = [after[pid][3] for pid in pids]
         print(f"an instance: {statistics.median(memory):.1f} MB (most {max(memory):.1f}),", end=" ")
--- a/benchmarks/hollow_fleet.py
+++ b/benchmarks/hollow_fleet.py
@@ -26,7 +26,7 @@
 from collections.abc import Sequence
 from pathlib import Path
 
-from benchmarks.tables import add
+from benchmarks.tables import append_row
 from springspread.faults.hollow.comparison import compare
 from springspread.faults.hollow.faults import SCHEDULES
 from springspread.faults.hollow.fleet import FleetSize
@@ -69,7 +69,7 @@
             "commit": told_commit,
             "machine": told_machine,
         }
-        add(csv, line)
+        append_row(csv, line)
 
 
 def arguments() -> argparse.Namespace:
--- a/benchmarks/policy_chaos.py
+++ b/benchmarks/policy_chaos.py
@@ -17,7 +17,7 @@
 
 import numpy as np
 
-from benchmarks.tables import add, tell_long
+from benchmarks.tables import append_row, print_columns
 from springspread.faults.chaos import Chaos, Told, fleet_of
 from springspread.faults.schedule import Act, Kind, drawn, read, smaller, written
 
@@ -92,7 +92,7 @@
         "change_p99_ms": round(float(np.percentile(told.across or [float("nan")], 99)), 1),
         "change_most_ms": round(max(told.across, default=float("nan")), 1),
     }
-    tell_long(row)
+    print_columns(row)
     for what, count in sorted(told.acts.items()):
         print(f"  {what:24} {count}")
     for line in [
@@ -101,7 +101,7 @@
         *(f"{n} refused: {why}" for why, n in told.refused.items()),
     ]:
         print(f"  {line}")
-    add(args.csv, row)
+    append_row(args.csv, row)
     sys.exit(0 if told.held else 1)
 
 
--- a/benchmarks/policy_rounds.py
+++ b/benchmarks/policy_rounds.py
@@ -14,7 +14,7 @@
 
 import numpy as np
 
-from benchmarks.tables import tell, write_table
+from benchmarks.tables import print_row, write_table
 from springspread.faults.chaos import fleet_of
 from springspread.faults.rounds import Arm, Rounds, tell_broken
 from springspread.faults.schedule import Kind
@@ -73,7 +73,7 @@
             if args.only in (None, name):
                 arm = rounds.arm(name, kinds, args.changes, args.many, args.seed, limits)
                 rows.append(row(arm))
-                tell(rows[-1])
+                print_row(rows[-1])
                 tell_broken(arm)
                 broken += arm.broken
     write_table(args.csv, rows)
--- a/benchmarks/policy_sabotage.py
+++ b/benchmarks/policy_sabotage.py
@@ -11,7 +11,7 @@
 import sys
 from pathlib import Path
 
-from benchmarks.tables import tell, write_table
+from benchmarks.tables import print_row, write_table
 from springspread.faults.chaos import Chaos, Told, fleet_of
 from springspread.faults.sabotage import SABOTAGES
 from springspread.faults.schedule import pressed
@@ -60,7 +60,7 @@
                     "right": bool(told.broken) == bool(name),
                 }
             )
-            tell(rows[-1])
+            print_row(rows[-1])
     write_table(args.csv, rows)
     sys.exit(0 if all(row["right"] for row in rows) else 1)
 
--- a/benchmarks/policy_steps.py
+++ b/benchmarks/policy_steps.py
@@ -12,7 +12,7 @@
 import sys
 from pathlib import Path
 
-from benchmarks.tables import tell, write_table
+from benchmarks.tables import print_row, write_table
 from springspread.faults.chaos import fleet_of
 from springspread.faults.rounds import Rounds, tell_broken
 from springspread.faults.steps import Deed
@@ -36,7 +36,7 @@
                 seconds = round(max(arm.seconds, default=float("nan")), 2)
                 row = {"deed": deed.value, "at": at, "moment": name, "seconds": seconds, "calls": arm.calls}
                 rows.append({**row, "messages": arm.messages, "broken": arm.broken})
-                tell(rows[-1])
+                print_row(rows[-1])
                 tell_broken(arm)
                 broken += arm.broken
     write_table(args.csv, rows)
--- a/benchmarks/policy_virtual.py
+++ b/benchmarks/policy_virtual.py
@@ -15,7 +15,7 @@
 
 import numpy as np
 
-from benchmarks.tables import tell, write_table
+from benchmarks.tables import print_row, write_table
 from springspread.faults.virtual import Costs, Virtual
 from springspread.fleet.wire import encode
 from springspread.rollout.document import Policy
@@ -76,7 +76,7 @@
                     "force_most_ms": round(max(took)),
                 }
             )
-            tell(rows[-1])
+            print_row(rows[-1])
     write_table(args.csv, rows)
 
 
--- a/benchmarks/power_cuts.py
+++ b/benchmarks/power_cuts.py
@@ -15,7 +15,7 @@
 from pathlib import Path
 from random import Random
 
-from benchmarks.tables import add, tell_long
+from benchmarks.tables import append_row, print_columns
 from springspread.faults.chaos import Chaos, fleet_of
 from springspread.faults.observer import fullest
 
@@ -63,8 +63,8 @@
         "over_limit": round(fullest(outside.arrivals, LIMIT), 3),
         "ran_and_told_as_not": len(ran_and_told),  # an answer that was on its way, or on record nowhere yet
     }
-    tell_long(row)
-    add(args.csv, row)
+    print_columns(row)
+    append_row(args.csv, row)
     over = fullest(outside.arrivals, LIMIT) > 1.0
     found = bool(chaos.told.without_end or twice or chaos.told.two_ends or over)
     sys.exit(found if args.durability == "power" else not found)
--- a/benchmarks/power_return.py
+++ b/benchmarks/power_return.py
@@ -15,7 +15,7 @@
 import time
 from pathlib import Path
 
-from benchmarks.tables import add, tell
+from benchmarks.tables import append_row, print_row
 from springspread.faults.chaos import fleet_of
 from springspread.faults.comeback import Comeback, Returning
 
@@ -85,11 +85,11 @@
                 "unsafe_twice": told.unsafe_twice,
                 "without_end": told.without_end,
             }
-            tell(row)
-            add(args.csv, row)
+            print_row(row)
+            append_row(args.csv, row)
             for second, counts in enumerate(told.seconds):
                 kinds = {kind: counts.get(kind, 0) for kind in ("offered", "taken", "refused", "delivered")}
-                add(args.by_second, {"arm": name, "clock": clock, "second": second, **kinds})
+                append_row(args.by_second, {"arm": name, "clock": clock, "second": second, **kinds})
             broken |= told.broken
     sys.exit(broken)
 
--- a/benchmarks/recovery_size.py
+++ b/benchmarks/recovery_size.py
@@ -16,7 +16,7 @@
 import time
 from pathlib import Path
 
-from benchmarks.tables import add, tell
+from benchmarks.tables import append_row, print_row
 from springspread.core.journal import Journal, PendingMessage
 
 DISK = 1 << 40
@@ -89,8 +89,8 @@
                 read, taken_up, memory = json.loads(done.stdout.splitlines()[-1])
                 row = {"owed": count, "journal_mb": round(size / 1e6, 2), "read_ms": round(1000 * read, 1)}
                 row |= {"taken_up_ms": round(1000 * taken_up, 1), "memory_mb": round(memory, 1)}
-                tell(row)
-                add(args.csv, row)
+                print_row(row)
+                append_row(args.csv, row)
     outside.close()
 
 
--- a/benchmarks/slow.py
+++ b/benchmarks/slow.py
@@ -22,7 +22,7 @@
 from pathlib import Path
 from typing import Any
 
-from benchmarks.crowd import Usual, status
+from benchmarks.crowd import NormalTraffic, process_stats
 from tests.peer import Peer, Program
 
 SLOW_CLIENTS, DEAF_CLIENTS, SLOW_ENDPOINTS = 60, 60, 80
@@ -133,10 +133,10 @@
         program = Program(Path(folder), peer, known=members(peer, endpoints), slots=100)
         try:
             others = [SlowClients(program.address), SlowTraffic(program)] if slow else []
-            usual = Usual(program, seconds)
+            usual = NormalTraffic(program, seconds)
             usual.run()
             time.sleep(1.0)
-            _, _, threads, memory = status(program.process.pid)
+            _, _, threads, memory = process_stats(program.process.pid)
             for other in others:
                 other.open = False
             delivered = sum(id.startswith("u") for id in set(peer.ids()))
--- a/benchmarks/startup.py
+++ b/benchmarks/startup.py
@@ -13,7 +13,7 @@
 import time
 from pathlib import Path
 
-from benchmarks.crowd import status
+from benchmarks.crowd import process_stats
 from tests.peer import Peer, Program, until
 
 
@@ -32,7 +32,7 @@
         begun = time.perf_counter()
         program = Program(Path(folder), peer, tree=tree)
         took = 1000.0 * (time.perf_counter() - begun)
-        resident = status(program.process.pid)[-1]
+        resident = process_stats(program.process.pid)[-1]
         before = processor_ms(program.process.pid)
         for n in range(messages):
             program.hand_in(f"m{n}")
--- a/benchmarks/tables.py
+++ b/benchmarks/tables.py
@@ -1,4 +1,4 @@
-"""What the long measurements tell: rows on the screen, and tables as CSV."""
+"""Output of the benchmarks: printed rows and CSV tables."""
 
 from __future__ import annotations
 
@@ -9,27 +9,27 @@
 Row = Mapping[str, object]
 
 
-def tell(row: Row) -> None:
-    """A row in one line, at once."""
+def print_row(row: Row) -> None:
+    """Print a row on one line."""
     print("  ".join(f"{key} {value}" for key, value in row.items()), flush=True)
 
 
-def tell_long(row: Row) -> None:
-    """A row with a line for each of its values."""
+def print_columns(row: Row) -> None:
+    """Print a row with one line for each column."""
     for key, value in row.items():
         print(f"{key:20} {value}")
 
 
 def write_table(path: Path | None, rows: Sequence[Row]) -> None:
-    """A table anew; none where no path is given."""
+    """Write a table, replacing an older one; does nothing without a path."""
     if path is not None and rows:
         path.unlink(missing_ok=True)
         for row in rows:
-            add(path, row)
+            append_row(path, row)
 
 
-def add(path: Path | None, row: Row) -> None:
-    """A row more to a table, which is begun where there is none."""
+def append_row(path: Path | None, row: Row) -> None:
+    """Append a row to a table, creating it if needed; does nothing without a path."""
     if path is None:
         return
     new = not path.exists()
@@ -40,10 +40,10 @@
         writer.writerow(row)
 
 
-def tell_fullest(size: int, found: Sequence[Row]) -> None:
-    """Of the returns at one size of a fleet: the fullest span, the middle, and how many are over 1."""
+def print_peaks(size: int, rows: Sequence[Row]) -> None:
+    """Print the maximum and median peak ratio at one fleet size, and how many exceed 1."""
     for name in ("aware", "all"):
-        parts = sorted(float(str(row[name])) for row in found)
-        over = sum(part > 1.0 for part in parts)
-        told = f"most {parts[-1]:.2f}  middle {parts[len(parts) // 2]:.2f}  over {over}"
-        print(f"{size:4} senders  {len(found):4} returns  {name:5}  {told}")
+        ratios = sorted(float(str(row[name])) for row in rows)
+        over = sum(ratio > 1.0 for ratio in ratios)
+        text = f"most {ratios[-1]:.2f}  middle {ratios[len(ratios) // 2]:.2f}  over {over}"
+        print(f"{size:4} senders  {len(rows):4} returns  {name:5}  {text}")
