--- a/benchmarks/fleet_chaos.py
+++ b/benchmarks/fleet_chaos.py
@@ -1,10 +1,10 @@
-"""Fifty instances on loopback against the town's partners, killed, ended and frozen at random.
+"""Fifty instances against simulated partners on loopback, killed, terminated and frozen at random.
 
     python -m benchmarks.fleet_chaos [--seconds 600] [--senders 50] [--apart] [--mode adaptive] [--csv FILE]
 
-Tells the most calls in any 2 s over the limit, messages without exactly one end, refusals and worth.
-``--apart`` plays the same day without shares. Exits with 1 where the checker finds a broken promise or, in a
-fleet with exact limits, a span above its limit; with 3 where the town itself was late.
+Prints the peak number of calls in 2 s relative to the limit, messages without exactly one outcome, refusals
+and worth. ``--apart`` runs the same day without shares. Exits with 1 if a guarantee is violated or, in a
+fleet with exact limits, a window exceeds its limit; with 3 if the simulator itself was late.
 """
 
 from __future__ import annotations
@@ -22,36 +22,36 @@
 from springspread.simulator.day import Day, Death, Fate, draw
 from springspread.simulator.sockets import SocketTown
 
-LONGEST_MS = {Fate.KILL: 3_000.0, Fate.TERM: 6_000.0, Fate.FREEZE: 10_000.0}
+MAX_AWAY_MS = {Fate.KILL: 3_000.0, Fate.TERM: 6_000.0, Fate.FREEZE: 10_000.0}
 
 
-def fates(seed: int, senders: int, length_ms: float, each_ms: float) -> tuple[Death, ...]:
-    """One sender after the other meets its fate, about every ``each_ms``; none while it is still away."""
-    rng, made, free = Random(f"{seed}/fates"), [], [0.0] * senders
+def draw_deaths(seed: int, senders: int, length_ms: float, each_ms: float) -> tuple[Death, ...]:
+    """Draw deaths of random senders, about one per ``each_ms``; no sender dies while it is away."""
+    rng, drawn, available_at = Random(f"{seed}/fates"), [], [0.0] * senders
     at = 5_000.0
     while at < length_ms - 15_000.0:
-        sender = rng.choice([n for n in range(senders) if free[n] <= at])
+        sender = rng.choice([n for n in range(senders) if available_at[n] <= at])
         fate = rng.choice(list(Fate))
-        back_at = at + rng.uniform(4_500.0 if fate is Fate.TERM else 300.0, LONGEST_MS[fate])
-        made.append(Death(at, sender, back_at, fate))
-        free[sender] = back_at + 4_000.0
+        back_at = at + rng.uniform(4_500.0 if fate is Fate.TERM else 300.0, MAX_AWAY_MS[fate])
+        drawn.append(Death(at, sender, back_at, fate))
+        available_at[sender] = back_at + 4_000.0
         at += rng.expovariate(1.0 / each_ms)
-    return tuple(made)
+    return tuple(drawn)
 
 
-def play(day: Day, mode: LimitMode) -> dict[str, object]:
-    """Play it once; what came of it. CPU is that of the fleet's processes, for each call that they made."""
-    before = _children_cpu_s()
+def run_day(day: Day, mode: LimitMode) -> dict[str, object]:
+    """Run a day and return its row; CPU is that of the fleet's processes, per call."""
+    cpu_before_s = _children_cpu_s()
     with tempfile.TemporaryDirectory(prefix="springspread-chaos-") as folder:
         town = SocketTown(day, Path(folder), mode)
         try:
-            live = town.play()
+            outcome = town.play()
         finally:
             town.close()
-    tally = live.checker.tally
-    for fault in live.checker.faults[:10]:
+    tally = outcome.checker.tally
+    for fault in outcome.checker.faults[:10]:
         print(f"BROKEN {fault.rule} at {fault.at:.0f} ms, {fault.sender}: {fault.text}", file=sys.stderr)
-    answers = sum(fault.rule in ("lost", "answers") for fault in live.checker.faults)
+    without_one_outcome = sum(fault.rule in ("lost", "answers") for fault in outcome.checker.faults)
     return {
         "kind": "fleet" if day.shared else "apart",
         "senders": day.senders,
@@ -62,29 +62,29 @@
         "messages": tally.messages,
         "calls": tally.calls,
         "limit_ratio": round(tally.limit_ratio, 3),
-        "without_one_end": answers,
-        "broken": len(live.checker.faults),
+        "without_one_end": without_one_outcome,
+        "broken": len(outcome.checker.faults),
         "refused": tally.refused,
         "failed": tally.failed,
         "service": round(tally.service, 4),
-        "late_ms_p99": round(live.late_ms[0], 1),
-        "cpu_ms_a_call": round(1000.0 * (_children_cpu_s() - before) / max(tally.calls, 1), 3),
+        "late_ms_p99": round(outcome.late_ms[0], 1),
+        "cpu_ms_a_call": round(1000.0 * (_children_cpu_s() - cpu_before_s) / max(tally.calls, 1), 3),
     }
 
 
 def _children_cpu_s() -> float:
-    """CPU of processes that have ended and were waited for, by this one or by such a process."""
+    """Return the CPU seconds of ended descendant processes."""
     usage = resource.getrusage(resource.RUSAGE_CHILDREN)
     return usage.ru_utime + usage.ru_stime
 
 
 def main() -> None:
-    """Play and tell."""
+    """Run the benchmark."""
     parser = argparse.ArgumentParser(description=__doc__, formatter_class=argparse.RawTextHelpFormatter)
     parser.add_argument("--seconds", type=float, default=600.0)
     parser.add_argument("--senders", type=int, default=50)
     parser.add_argument("--per-s", type=float, default=100.0)
-    parser.add_argument("--each-s", type=float, default=2.0, help="mean time between two fates")
+    parser.add_argument("--each-s", type=float, default=2.0, help="mean time between two deaths")
     parser.add_argument("--seed", type=int, default=1)
     parser.add_argument("--apart", action="store_true")
     parser.add_argument("--mode", choices=[mode.value for mode in LimitMode], default="exact")
@@ -102,8 +102,8 @@
         length_ms=length_ms,
         shared=not args.apart,
     )
-    deaths = fates(args.seed, args.senders, length_ms, 1000.0 * args.each_s)
-    row = play(replace(day, deaths=deaths), LimitMode(args.mode))
+    deaths = draw_deaths(args.seed, args.senders, length_ms, 1000.0 * args.each_s)
+    row = run_day(replace(day, deaths=deaths), LimitMode(args.mode))
     print_columns(row)
     append_row(args.csv, row)
     over = not args.apart and args.mode == "exact" and float(str(row["limit_ratio"])) > 1.0
--- a/benchmarks/grown_cost.py
+++ b/benchmarks/grown_cost.py
@@ -1,9 +1,9 @@
-"""Processor time for each message of a grown fleet, against another checkout, in turn.
+"""CPU time per message of a large fleet, compared with another checkout.
 
     python -m benchmarks.grown_cost --old CHECKOUT [--repeats 5]
 
-Both play the same days of the town in virtual time. The other checkout needs a town with the same knobs, so
-an older decision module is compared by putting its policy.py and state.py into a checkout of today's.
+Both simulate the same days in virtual time. The other checkout needs a simulator with the same knobs: to
+compare an older decision module, copy its policy.py and state.py into a current checkout.
 """
 
 from __future__ import annotations
@@ -14,7 +14,7 @@
 import sys
 from pathlib import Path
 
-PLAY = """
+SCRIPT = """
 import sys, tempfile, time
 from pathlib import Path
 from springspread.simulator.day import draw
@@ -28,29 +28,29 @@
 """
 
 
-def cost(tree: Path, seed: int) -> float:
-    """Microseconds of processor time a message, town included."""
+def cpu_us(tree: Path, seed: int) -> float:
+    """Return microseconds of CPU time per message, including the simulator."""
     done = subprocess.run(
-        [sys.executable, "-c", PLAY, str(seed)], cwd=tree, capture_output=True, text=True, check=True
+        [sys.executable, "-c", SCRIPT, str(seed)], cwd=tree, capture_output=True, text=True, check=True
     )
     return float(done.stdout)
 
 
 def main() -> None:
-    """Play in turn and print the ratio of the medians."""
-    options = argparse.ArgumentParser(description=__doc__)
-    options.add_argument("--old", type=Path, required=True)
-    options.add_argument("--repeats", type=int, default=5)
-    chosen = options.parse_args()
-    trees = {"old": chosen.old, "new": Path.cwd()}
-    took: dict[str, list[float]] = {name: [] for name in trees}
-    for seed in range(1, chosen.repeats + 1):
+    """Measure both checkouts alternately and print the ratio of the medians."""
+    parser = argparse.ArgumentParser(description=__doc__)
+    parser.add_argument("--old", type=Path, required=True)
+    parser.add_argument("--repeats", type=int, default=5)
+    args = parser.parse_args()
+    trees = {"old": args.old, "new": Path.cwd()}
+    costs: dict[str, list[float]] = {name: [] for name in trees}
+    for seed in range(1, args.repeats + 1):
         for name, tree in trees.items():
-            took[name].append(cost(tree, seed))
-    for name, values in took.items():
-        middle = statistics.median(values)
-        print(f"{name}: {middle:.0f} us a message ({min(values):.0f} to {max(values):.0f})")
-    print(f"new / old: {statistics.median(took['new']) / statistics.median(took['old']):.3f}")
+            costs[name].append(cpu_us(tree, seed))
+    for name, values in costs.items():
+        median = statistics.median(values)
+        print(f"{name}: {median:.0f} us a message ({min(values):.0f} to {max(values):.0f})")
+    print(f"new / old: {statistics.median(costs['new']) / statistics.median(costs['old']):.3f}")
 
 
 if __name__ == "__main__":
--- a/benchmarks/hollow_fleet.py
+++ b/benchmarks/hollow_fleet.py
@@ -1,9 +1,9 @@
-"""A fleet of hollow senders: what control costs each sender and each allocator at a size that is coming.
+"""A fleet of stub senders: the cost of control for each sender and each allocator at a large size.
 
     python -m benchmarks.hollow_fleet [--senders 1100] [--destinations 140000] [--per-s 200000]
         [--seconds 15] [--warm-s 6] [--seed 1] [--faults calm] [--tight 0.0] [--csv FILE]
 
-In virtual time, with the real control code; ``springspread.faults.hollow`` says what is modelled.
+Virtual time, with the real control code; ``springspread.faults.hollow`` describes the model.
 ``--faults`` is one of the names in ``springspread.faults.hollow.faults.SCHEDULES``, or several joined with
 ``+``.
 
@@ -14,7 +14,7 @@
 
     python -m benchmarks.hollow_fleet --true [--senders 8] [--per-s 60] [--seconds 60] [--mode exact]
 
-The same day with real instances of the program and with as many hollow ones: lines and bytes of both.
+The same day with real instances of the program and with as many stubs: lines and bytes of both.
 """
 
 from __future__ import annotations
@@ -40,21 +40,21 @@
 
 
 def machine() -> str:
-    """The processors of this machine."""
+    """Return the number and model of the processors."""
     lines = Path("/proc/cpuinfo").read_text().splitlines()
     models = [line.partition(":")[2].strip() for line in lines if line.startswith("model name")]
     return f"{len(models)} x {models[0]}" if models else "unknown"
 
 
 def commit() -> str:
-    """The commit of the working copy, marked where it has changes."""
+    """Return the commit of the working copy, marked if it has changes."""
     line = ["git", "describe", "--always", "--dirty", "--exclude", "*"]
     return subprocess.run(line, capture_output=True, text=True).stdout.strip() or "unknown"
 
 
-def tell(run: str, rows: Sequence[Row], csv: Path | None) -> None:
-    """Print the figures, and add them to a table."""
-    told_commit, told_machine = commit(), machine()
+def write_figures(run: str, rows: Sequence[Row], csv: Path | None) -> None:
+    """Print the figures and append them to a table."""
+    revision, host = commit(), machine()
     print(f"run {run}")
     for row in rows:
         value = float(f"{row.value:.5g}")
@@ -66,14 +66,14 @@
             "statistic": row.statistic,
             "value": value,
             "unit": row.unit,
-            "commit": told_commit,
-            "machine": told_machine,
+            "commit": revision,
+            "machine": host,
         }
         append_row(csv, line)
 
 
-def arguments() -> argparse.Namespace:
-    """The command line."""
+def parse_arguments() -> argparse.Namespace:
+    """Parse the command line."""
     parser = argparse.ArgumentParser(description=__doc__, formatter_class=argparse.RawTextHelpFormatter)
     parser.add_argument("--senders", type=int, default=1_100)
     parser.add_argument("--destinations", type=int, default=140_000)
@@ -100,7 +100,7 @@
 
 
 def compare_with_real(args: argparse.Namespace) -> None:
-    """One small day of real instances and of hollow ones."""
+    """Run one day with real instances and with stubs."""
     length_ms = 1000.0 * args.seconds
     day = draw(
         args.seed,
@@ -113,7 +113,7 @@
     )
     with tempfile.TemporaryDirectory(prefix="springspread-hollow-") as folder:
         rows = compare(day, Path(folder), LimitMode(args.mode))
-    tell(
+    write_figures(
         f"true {args.mode} {args.senders} at {args.per_s:g}/s load {args.load:g} seed {args.seed}",
         rows,
         args.csv,
@@ -121,8 +121,8 @@
 
 
 def main() -> None:
-    """Play and tell."""
-    args = arguments()
+    """Run the benchmark."""
+    args = parse_arguments()
     policy = Policy(json.loads(args.config.read_text())["settings"], {})
     law = TrafficLaw(
         args.destinations,
@@ -141,17 +141,17 @@
             args.senders, args.processes, law, args.seconds, seed=args.seed, control=not args.no_control
         )
         mode = args.mode if plan.control else "driver alone"
-        tell(f"sockets {mode} {shape}", play_sockets(plan), args.csv)
+        write_figures(f"sockets {mode} {shape}", play_sockets(plan), args.csv)
         return
     size = FleetSize(args.senders, args.allocators, law, args.seed)
     faults = "calm" if args.calm else args.faults
     fleet, rows = play(size, Plan(args.seconds, args.warm_s, faults, args.changes), policy)
-    told = "" if not args.tight else f" tight={args.tight:g}"
-    told += "" if args.down == TrafficLaw(1, 1.0).down_part else f" down={args.down:g}"
-    told += "" if args.headroom == TrafficLaw(1, 1.0).headroom else f" headroom={args.headroom:g}"
-    told += "" if law.mode is LimitMode.ADAPTIVE else f" {args.mode}"
-    run = f"virtual {faults}{told} {shape}"
-    tell(run, rows, args.csv)
+    suffix = "" if not args.tight else f" tight={args.tight:g}"
+    suffix += "" if args.down == TrafficLaw(1, 1.0).down_part else f" down={args.down:g}"
+    suffix += "" if args.headroom == TrafficLaw(1, 1.0).headroom else f" headroom={args.headroom:g}"
+    suffix += "" if law.mode is LimitMode.ADAPTIVE else f" {args.mode}"
+    run = f"virtual {faults}{suffix} {shape}"
+    write_figures(run, rows, args.csv)
     print(f"history {digest(fleet)}")
 
 
--- a/benchmarks/large_town.py
+++ b/benchmarks/large_town.py
@@ -1,9 +1,9 @@
-"""The town on sockets at its largest: some 2,000 endpoints, 300 messages a second, four senders.
+"""The simulator on sockets at its largest: about 2,000 endpoints, 300 messages per second, four senders.
 
     python -m benchmarks.large_town [--seconds 20] [--partners 780] [--per-s 300] [--senders 4]
 
-Exits with 3 where the town itself was late, as the run then says nothing of the senders, and with 1 where a
-promise was broken.
+Exits with 1 if a guarantee was violated, and with 3 if the simulator itself was late, which makes the run
+invalid.
 """
 
 from __future__ import annotations
@@ -19,7 +19,7 @@
 
 
 def main() -> None:
-    """Play it once and tell what came of it."""
+    """Run the day once and print its results."""
     parser = argparse.ArgumentParser(description=__doc__, formatter_class=argparse.RawTextHelpFormatter)
     parser.add_argument("--seconds", type=float, default=20.0)
     parser.add_argument("--partners", type=int, default=780)
@@ -41,17 +41,17 @@
     with tempfile.TemporaryDirectory(prefix="springspread-large-") as folder:
         town = SocketTown(day, Path(folder))
         try:
-            live = town.play()
+            outcome = town.play()
         finally:
             town.close()
-    tally = live.checker.tally
+    tally = outcome.checker.tally
     print(f"{endpoints} endpoints, {tally.messages} messages in {args.seconds:g} s, {tally.calls} calls")
     print(f"service {tally.service:.4f}, refused {tally.refused}, failed {tally.failed}")
-    print(f"the town was late by {live.late_ms[0]:.1f} ms (99 %), {live.late_ms[1]:.1f} ms at most")
-    for fault in live.checker.faults[:5]:
+    print(f"the town was late by {outcome.late_ms[0]:.1f} ms (99 %), {outcome.late_ms[1]:.1f} ms at most")
+    for fault in outcome.checker.faults[:5]:
         print(f"BROKEN {fault.rule} at {fault.at:.0f} ms, {fault.sender}: {fault.text}")
-    print(f"{len(live.checker.faults)} broken promises")
-    sys.exit(1 if live.checker.faults else 0 if live.valid else 3)
+    print(f"{len(outcome.checker.faults)} broken promises")
+    sys.exit(1 if outcome.checker.faults else 0 if outcome.valid else 3)
 
 
 if __name__ == "__main__":
--- a/benchmarks/policy_chaos.py
+++ b/benchmarks/policy_chaos.py
@@ -1,12 +1,12 @@
-"""One change of policy after the other on a real fleet, under load and random faults between its processes.
+"""Successive policy changes on a real fleet, under load and random faults between its processes.
 
     python -m benchmarks.policy_chaos [--seconds 120] [--instances 8] [--seed 1] [--calm] [--csv FILE]
     python -m benchmarks.policy_chaos --replay FILE [--smaller TRIES] [--keep FILE]
 
-Tells mixtures, answers that were undone, messages without an end, and the time from a proposal until it is
-in force. Exits with 1 where any of the first three is not none, or a span has more calls than ``--limit``;
-the schedule is kept then, and can be played again and made smaller. ``--old`` plays another checkout's fleet
-without relays and changes: faults of processes alone."""
+Prints mixtures, answers that were undone, messages without an outcome, and the time from a proposal until it
+is in force. Exits with 1 if there are any of the first three, or a window has more calls than ``--limit``;
+the schedule is then saved, and can be replayed and minimized. ``--old`` runs the fleet of another checkout
+without relays and changes, with faults of processes only."""
 
 from __future__ import annotations
 
@@ -21,20 +21,20 @@
 from springspread.faults.chaos import Chaos, Told, fleet_of
 from springspread.faults.schedule import Act, Kind, drawn, read, smaller, written
 
-LIMIT_MS = 1_000.0
+LIMIT_SPAN_MS = 1_000.0
 PROCESSES = (Kind.KILL, Kind.FREEZE, Kind.DAEMON)
 
 
-def play(args: argparse.Namespace, acts: Sequence[Act]) -> Told:
-    """One run on a new fleet."""
-    limit = (args.limit, LIMIT_MS) if args.limit else None
-    made = {"lease_ms": args.lease_ms, "each_s": args.load_s, "limit": limit, "program": args.old}
-    with fleet_of(Chaos, args.instances, **made) as (chaos, _):
+def run_schedule(args: argparse.Namespace, acts: Sequence[Act]) -> Told:
+    """Run a schedule on a new fleet."""
+    limit = (args.limit, LIMIT_SPAN_MS) if args.limit else None
+    options = {"lease_ms": args.lease_ms, "each_s": args.load_s, "limit": limit, "program": args.old}
+    with fleet_of(Chaos, args.instances, **options) as (chaos, _):
         return chaos.play(acts, 1000.0 * args.seconds)
 
 
 def main() -> None:
-    """Play and tell."""
+    """Run the benchmark."""
     parser = argparse.ArgumentParser(description=__doc__, formatter_class=argparse.RawTextHelpFormatter)
     parser.add_argument("--seconds", type=float, default=120.0)
     parser.add_argument("--instances", type=int, default=8)
@@ -43,12 +43,14 @@
     parser.add_argument("--lease-ms", type=float, default=1500.0)
     parser.add_argument("--load-s", type=float, default=0.1, help="time between an instance's messages")
     parser.add_argument("--calm", action="store_true", help="no faults")
-    parser.add_argument("--limit", type=int, default=0, help=f"calls in {LIMIT_MS:g} ms at the partner")
-    parser.add_argument("--processes", action="store_true", help="kills, freezes and daemon deaths alone")
+    parser.add_argument("--limit", type=int, default=0, help=f"calls in {LIMIT_SPAN_MS:g} ms at the partner")
+    parser.add_argument("--processes", action="store_true", help="only kills, freezes and daemon deaths")
     parser.add_argument("--old", type=Path, help="a checkout from before there were policies")
-    parser.add_argument("--replay", type=Path, help="play this schedule")
-    parser.add_argument("--smaller", type=int, default=0, help="play so often to make a failing one smaller")
-    parser.add_argument("--keep", type=Path, default=Path("failing.json"), help="where a failing one is kept")
+    parser.add_argument("--replay", type=Path, help="replay this schedule")
+    parser.add_argument("--smaller", type=int, default=0, help="runs for minimizing a failing schedule")
+    parser.add_argument(
+        "--keep", type=Path, default=Path("failing.json"), help="where a failing schedule is saved"
+    )
     parser.add_argument("--csv", type=Path)
     args = parser.parse_args()
     length_ms = 1000.0 * args.seconds
@@ -57,52 +59,52 @@
         acts = read(args.replay.read_text())
     if args.processes or args.old:
         acts = tuple(act for act in acts if act.kind in PROCESSES)
-    told = play(args, acts)
-    if not told.held:
+    result = run_schedule(args, acts)
+    if not result.held:
         if args.smaller:
-            acts = smaller(acts, lambda part: not play(args, part).held, args.smaller)
+            acts = smaller(acts, lambda part: not run_schedule(args, part).held, args.smaller)
         args.keep.write_text(written(acts))
         print(f"{args.keep}: the schedule, {len(acts)} acts; play it again with --replay")
-    times = np.array(told.in_force or [float("nan")])
+    force_times = np.array(result.in_force or [float("nan")])
     row = {
         "program": "old" if args.old else "new",
         "instances": args.instances,
         "seconds": args.seconds,
         "seed": "calm" if args.calm else args.seed,
         "lease_ms": args.lease_ms,
-        "proposals": told.proposals,
-        "in_force": len(told.in_force),
-        "refused": sum(told.refused.values()),
-        "undecided": told.undecided,
-        "unheard": told.unheard,
-        "calls": told.calls,
-        "messages": len(told.handed),
-        "mixtures": len(told.mixtures),
-        "undone": len(told.undone),
-        "without_end": len(told.without_end),
-        "two_ends": len(told.two_ends),
-        "limit_ratio": round(told.limit_ratio, 3),
-        "begun_ratio": round(told.begun_ratio, 3),
-        "delivered": told.delivered,
-        "p50_s": round(float(np.percentile(times, 50)), 2),
-        "p99_s": round(float(np.percentile(times, 99)), 2),
-        "most_s": round(float(times.max()), 2),
-        "gap_p99_ms": round(float(np.percentile(told.within or [float("nan")], 99)), 1),
-        "gap_most_ms": round(max(told.within, default=float("nan")), 1),
-        "change_p99_ms": round(float(np.percentile(told.across or [float("nan")], 99)), 1),
-        "change_most_ms": round(max(told.across, default=float("nan")), 1),
+        "proposals": result.proposals,
+        "in_force": len(result.in_force),
+        "refused": sum(result.refused.values()),
+        "undecided": result.undecided,
+        "unheard": result.unheard,
+        "calls": result.calls,
+        "messages": len(result.handed),
+        "mixtures": len(result.mixtures),
+        "undone": len(result.undone),
+        "without_end": len(result.without_end),
+        "two_ends": len(result.two_ends),
+        "limit_ratio": round(result.limit_ratio, 3),
+        "begun_ratio": round(result.begun_ratio, 3),
+        "delivered": result.delivered,
+        "p50_s": round(float(np.percentile(force_times, 50)), 2),
+        "p99_s": round(float(np.percentile(force_times, 99)), 2),
+        "most_s": round(float(force_times.max()), 2),
+        "gap_p99_ms": round(float(np.percentile(result.within or [float("nan")], 99)), 1),
+        "gap_most_ms": round(max(result.within, default=float("nan")), 1),
+        "change_p99_ms": round(float(np.percentile(result.across or [float("nan")], 99)), 1),
+        "change_most_ms": round(max(result.across, default=float("nan")), 1),
     }
     print_columns(row)
-    for what, count in sorted(told.acts.items()):
+    for what, count in sorted(result.acts.items()):
         print(f"  {what:24} {count}")
     for line in [
-        *told.mixtures[:10],
-        *told.undone[:10],
-        *(f"{n} refused: {why}" for why, n in told.refused.items()),
+        *result.mixtures[:10],
+        *result.undone[:10],
+        *(f"{n} refused: {why}" for why, n in result.refused.items()),
     ]:
         print(f"  {line}")
     append_row(args.csv, row)
-    sys.exit(0 if told.held else 1)
+    sys.exit(0 if result.held else 1)
 
 
 if __name__ == "__main__":
--- a/benchmarks/policy_rounds.py
+++ b/benchmarks/policy_rounds.py
@@ -1,9 +1,9 @@
-"""Changes of policy on a real fleet under load, by kind of fault: time to force, and every promise counted.
+"""Policy changes on a real fleet under load, by kind of fault: time until in force, and violated guarantees.
 
     python -m benchmarks.policy_rounds [--instances 20] [--changes 77] [--only NAME] [--csv FILE]
 
-Each arm makes ``--changes`` changes; round each of them ``--many`` instances meet the arm's fault. Exits with
-1 where a promise was broken.
+Each arm makes ``--changes`` changes; during each of them ``--many`` instances have the arm's fault. Exits
+with 1 if a guarantee was violated.
 """
 
 from __future__ import annotations
@@ -19,18 +19,18 @@
 from springspread.faults.rounds import Arm, Rounds, tell_broken
 from springspread.faults.schedule import Kind
 
-MIXED = tuple(Kind)
+ALL_KINDS = tuple(Kind)
 ARMS: dict[str, tuple[tuple[Kind, ...], bool]] = {
     "none": ((), False),
     "none, limits move": ((), True),
     **{kind.value: ((kind,), False) for kind in Kind},
-    "any kind, limits move": (MIXED, True),
+    "any kind, limits move": (ALL_KINDS, True),
 }
 
 
-def row(arm: Arm) -> dict[str, object]:
-    """A line of the table; times to force in seconds, the stall in milliseconds."""
-    times = np.array(arm.seconds or [float("nan")])
+def row_of(arm: Arm) -> dict[str, object]:
+    """Return the row of an arm; times until in force are seconds, the stall is milliseconds."""
+    force_times = np.array(arm.seconds or [float("nan")])
     before, after = (np.mean([pair[n] for pair in arm.service] or [float("nan")]) for n in (0, 1))
     return {
         "fault": arm.name,
@@ -45,9 +45,9 @@
         "two_ends": len(arm.two_ends),
         "over_limit": len(arm.over_limit),
         "unheard": arm.unheard,
-        "p50_s": round(float(np.percentile(times, 50)), 2),
-        "p99_s": round(float(np.percentile(times, 99)), 2),
-        "most_s": round(float(times.max()), 2),
+        "p50_s": round(float(np.percentile(force_times, 50)), 2),
+        "p99_s": round(float(np.percentile(force_times, 99)), 2),
+        "most_s": round(float(force_times.max()), 2),
         "stall_ms": round(arm.stall_ms, 1),
         "before": round(float(before), 4),
         "after": round(float(after), 4),
@@ -55,10 +55,10 @@
 
 
 def main() -> None:
-    """Play and tell."""
+    """Run the benchmark."""
     parser = argparse.ArgumentParser(description=__doc__, formatter_class=argparse.RawTextHelpFormatter)
     parser.add_argument("--instances", type=int, default=20)
-    parser.add_argument("--many", type=int, default=5, help="instances that meet a fault at a time")
+    parser.add_argument("--many", type=int, default=5, help="instances with a fault at a time")
     parser.add_argument("--changes", type=int, default=77)
     parser.add_argument("--seed", type=int, default=1)
     parser.add_argument("--lease-ms", type=float, default=1000.0)
@@ -67,12 +67,12 @@
     parser.add_argument("--csv", type=Path)
     args = parser.parse_args()
     broken, rows = 0, []
-    made = {"lease_ms": args.lease_ms, "each_s": args.load_s}
-    with fleet_of(Rounds, args.instances, **made) as (rounds, _):
+    options = {"lease_ms": args.lease_ms, "each_s": args.load_s}
+    with fleet_of(Rounds, args.instances, **options) as (rounds, _):
         for name, (kinds, limits) in ARMS.items():
             if args.only in (None, name):
                 arm = rounds.arm(name, kinds, args.changes, args.many, args.seed, limits)
-                rows.append(row(arm))
+                rows.append(row_of(arm))
                 print_row(rows[-1])
                 tell_broken(arm)
                 broken += arm.broken
--- a/benchmarks/policy_sabotage.py
+++ b/benchmarks/policy_sabotage.py
@@ -1,8 +1,8 @@
-"""Each sabotaged build of the fleet under changes and faults: the observer must convict it, not the true one.
+"""Fault injection into the fleet: the observer must detect every faulty build, and pass the correct one.
 
     python -m benchmarks.policy_sabotage [--seconds 40] [--only NAME] [--csv FILE]
 
-Exits with 1 where a sabotage is not convicted, or the true build is.
+Exits with 1 if a faulty build is not detected or the correct build fails.
 """
 
 from __future__ import annotations
@@ -17,21 +17,21 @@
 from springspread.faults.schedule import pressed
 
 INSTANCES = 5
-LEASE_MS = 5_000.0  # longer than a new daemon takes to begin and to decide
-LIMIT = (40, 1_000.0)  # a little less than what is handed in, so that there is always something owed
+LEASE_MS = 5_000.0  # exceeds the start and the first decision of a daemon
+LIMIT = (40, 1_000.0)  # slightly below the load, so that messages are always pending
 
 
-def play(sabotage: str, limited: bool, seconds: float, seed: int) -> Told:
-    """One run of a build."""
-    own = SABOTAGES[sabotage].acts if sabotage else ()
-    acts = own or pressed(seed, INSTANCES, 1000.0 * seconds)
+def run_build(sabotage: str, limited: bool, seconds: float, seed: int) -> Told:
+    """Run one build."""
+    schedule = SABOTAGES[sabotage].acts if sabotage else ()
+    acts = schedule or pressed(seed, INSTANCES, 1000.0 * seconds)
     limit = LIMIT if limited else None
     with fleet_of(Chaos, INSTANCES, lease_ms=LEASE_MS, limit=limit, sabotage=sabotage) as (chaos, _):
-        return chaos.play(acts, 1000.0 * seconds, rival=not own)
+        return chaos.play(acts, 1000.0 * seconds, rival=not schedule)
 
 
 def main() -> None:
-    """Play and tell."""
+    """Run the benchmark."""
     parser = argparse.ArgumentParser(description=__doc__, formatter_class=argparse.RawTextHelpFormatter)
     parser.add_argument("--seconds", type=float, default=40.0)
     parser.add_argument("--seed", type=int, default=1)
@@ -39,25 +39,25 @@
     parser.add_argument("--csv", type=Path)
     args = parser.parse_args()
     rows = []
-    builds = [("", False), ("", True), *((name, one.limited) for name, one in SABOTAGES.items())]
+    builds = [("", False), ("", True), *((name, sabotage.limited) for name, sabotage in SABOTAGES.items())]
     for name, limited in builds:
         if args.only in (None, name):
-            told = play(name, limited, args.seconds, args.seed)
+            result = run_build(name, limited, args.seconds, args.seed)
             rows.append(
                 {
                     "build": name or "the true one",
                     "limit": limited,
                     "promise": SABOTAGES[name].promise if name else "",
-                    "broken": " ".join(map(str, sorted(told.broken))),
-                    "changes": len(told.in_force),
-                    "calls": told.calls,
-                    "nowhere": len(told.nowhere),
-                    "mixtures": len(told.mixtures),
-                    "limit_ratio": round(told.limit_ratio, 3),
-                    "undone": len(told.undone),
-                    "without_end": len(told.without_end),
-                    "interleaved": len(told.interleaved),
-                    "right": bool(told.broken) == bool(name),
+                    "broken": " ".join(map(str, sorted(result.broken))),
+                    "changes": len(result.in_force),
+                    "calls": result.calls,
+                    "nowhere": len(result.nowhere),
+                    "mixtures": len(result.mixtures),
+                    "limit_ratio": round(result.limit_ratio, 3),
+                    "undone": len(result.undone),
+                    "without_end": len(result.without_end),
+                    "interleaved": len(result.interleaved),
+                    "right": bool(result.broken) == bool(name),
                 }
             )
             print_row(rows[-1])
--- a/benchmarks/policy_steps.py
+++ b/benchmarks/policy_steps.py
@@ -1,9 +1,9 @@
-"""A change of policy on a real fleet whose daemon dies, or meets a full disk, at each of its moments.
+"""A policy change on a real fleet whose daemon dies, or finds a full disk, at each of its steps.
 
     python -m benchmarks.policy_steps [--instances 3] [--csv FILE]
 
-A moment stands before and after each write, sync and message of the change. After each the next daemon goes
-on, and the change is asked for until there is one answer. Exits with 1 where a promise was broken.
+There is a step before and after each write, sync and message of the change. After each fault a new daemon
+continues, and the change is requested until it is answered. Exits with 1 if a guarantee was violated.
 """
 
 from __future__ import annotations
@@ -17,11 +17,11 @@
 from springspread.faults.rounds import Rounds, tell_broken
 from springspread.faults.steps import Deed
 
-MOST = 200
+MAX_STEPS = 200
 
 
 def main() -> None:
-    """Play and tell."""
+    """Run the benchmark."""
     parser = argparse.ArgumentParser(description=__doc__, formatter_class=argparse.RawTextHelpFormatter)
     parser.add_argument("--instances", type=int, default=3)
     parser.add_argument("--csv", type=Path)
@@ -29,7 +29,7 @@
     rows, broken = [], 0
     with fleet_of(Rounds, args.instances, lease_ms=1000.0, each_s=0.05) as (rounds, _):
         for deed in Deed:
-            for at in range(1, MOST):
+            for at in range(1, MAX_STEPS):
                 name, arm = rounds.moment(at, deed)
                 if not name:
                     break
--- a/benchmarks/policy_virtual.py
+++ b/benchmarks/policy_virtual.py
@@ -1,9 +1,8 @@
-"""What a change of policy, and being able to make one, costs fleets of any size, in virtual time.
+"""The cost of policy changes, and of being ready for them, by fleet size, in virtual time.
 
     python -m benchmarks.policy_virtual [--sizes 10 50 200 1000] [--csv FILE]
 
-A line's cost at the daemon is measured first, in this process. The version before said nothing of policies:
-its standing cost is none.
+The cost of a line at the daemon is measured first, in this process.
 """
 
 from __future__ import annotations
@@ -25,8 +24,8 @@
 CHANGES = 10
 
 
-def line_ms() -> float:
-    """What writing one grant takes here (ms), without the socket."""
+def encode_ms() -> float:
+    """Return the time to encode one grant (ms), without the socket."""
     grant = Grant((1, 2), 3, 123456.789, 234567.891)
     start = time.perf_counter()
     for _ in range(20_000):
@@ -35,15 +34,15 @@
 
 
 def main() -> None:
-    """Play and tell."""
+    """Run the benchmark."""
     parser = argparse.ArgumentParser(description=__doc__, formatter_class=argparse.RawTextHelpFormatter)
     parser.add_argument("--sizes", type=int, nargs="+", default=[10, 50, 200, 1000])
-    parser.add_argument("--socket-ms", type=float, default=0.02, help="for the daemon to hand a line over")
+    parser.add_argument("--socket-ms", type=float, default=0.02, help="time for the daemon to send a line")
     parser.add_argument("--config", type=Path, default=Path("deploy/sender.json"))
     parser.add_argument("--csv", type=Path)
     args = parser.parse_args()
     policy = Policy(json.loads(args.config.read_text())["settings"], {})
-    costs = Costs(line=line_ms() + args.socket_ms)
+    costs = Costs(line=encode_ms() + args.socket_ms)
     print(f"a line: {costs.line * 1000:.0f} microseconds; the policy: {len(policy.text)} bytes")
     rows = []
     for size in args.sizes:
@@ -55,14 +54,14 @@
             idle = (fleet.said.lines - before[0], fleet.said.bytes - before[1])
             cpu_us = 1e6 * (time.process_time() - before[2])
             start = (fleet.said.lines, fleet.said.bytes)
-            took, spent = [], 0.0
+            change_ms, changing_ms = [], 0.0
             for _ in range(CHANGES):
                 at = fleet.now
-                took.append(fleet.change())
-                spent += fleet.now - at
-                most = max(fleet.acting())
-                assert fleet.acting()[most] == size - deaf, fleet.acting()
-            standing = [count / IDLE_MS * spent for count in idle]
+                change_ms.append(fleet.change())
+                changing_ms += fleet.now - at
+                newest = max(fleet.acting())
+                assert fleet.acting()[newest] == size - deaf, fleet.acting()
+            baseline = [count / IDLE_MS * changing_ms for count in idle]
             rows.append(
                 {
                     "instances": size,
@@ -70,10 +69,10 @@
                     "idle_lines_each_s": round(idle[0] / seconds, 2),
                     "idle_bytes_each_s": round(idle[1] / seconds),
                     "idle_cpu_us_each_s": round(cpu_us / seconds),
-                    "change_lines": round((fleet.said.lines - start[0] - standing[0]) / CHANGES),
-                    "change_bytes": round((fleet.said.bytes - start[1] - standing[1]) / CHANGES),
-                    "force_p50_ms": round(float(np.percentile(took, 50))),
-                    "force_most_ms": round(max(took)),
+                    "change_lines": round((fleet.said.lines - start[0] - baseline[0]) / CHANGES),
+                    "change_bytes": round((fleet.said.bytes - start[1] - baseline[1]) / CHANGES),
+                    "force_p50_ms": round(float(np.percentile(change_ms, 50))),
+                    "force_most_ms": round(max(change_ms)),
                 }
             )
             print_row(rows[-1])
--- a/benchmarks/power_cuts.py
+++ b/benchmarks/power_cuts.py
@@ -1,10 +1,10 @@
-"""Power cuts of a whole fleet under load: the daemon and all instances at once, and what they did not sync.
+"""Power cuts of a whole fleet under load: the daemon and all instances lose unsynced data at once.
 
     python -m benchmarks.power_cuts [--instances 6] [--cuts 60] [--durability power] [--csv FILE]
 
-Half of the messages may be carried once only. Tells messages that were answered 202 and have no end, unsafe
-ones that ran twice, and messages with two ends. With durability ``power`` it exits with 1 where there is any;
-with ``process`` where there is none, as the run should find what it takes away.
+Half of the messages are unsafe to repeat. Prints messages that were answered 202 and have no outcome, unsafe
+messages that ran twice, and messages with two outcomes. Exits with 1 if there are any with durability
+``power``, or none with ``process``, where losses are expected.
 """
 
 from __future__ import annotations
@@ -19,28 +19,28 @@
 from springspread.faults.chaos import Chaos, fleet_of
 from springspread.faults.observer import fullest
 
-LIMIT = (100, 1_000.0)  # so that there is always something held
+LIMIT = (100, 1_000.0)  # low, so that messages are always pending
 
 
 def main() -> None:
-    """Play and tell."""
+    """Run the benchmark."""
     parser = argparse.ArgumentParser(description=__doc__, formatter_class=argparse.RawTextHelpFormatter)
     parser.add_argument("--instances", type=int, default=6)
     parser.add_argument("--cuts", type=int, default=60)
     parser.add_argument("--seed", type=int, default=1)
     parser.add_argument("--durability", choices=["process", "power"], default="power")
     parser.add_argument("--each-s", type=float, default=0.05, help="time between an instance's messages")
-    parser.add_argument("--whole", action="store_true", help="nothing unsynced is ever on disk")
+    parser.add_argument("--whole", action="store_true", help="no unsynced data reaches the disk")
     parser.add_argument("--csv", type=Path)
     args = parser.parse_args()
     rng = Random(f"{args.seed}/cuts")
-    back = "" if args.whole else str(args.seed)
-    made = {"lease_ms": 1000.0, "each_s": args.each_s, "limit": LIMIT, "power": args.durability}
-    made |= {"write_back": back}
-    with fleet_of(Chaos, args.instances, **made) as (chaos, outside):
+    write_back = "" if args.whole else str(args.seed)
+    options = {"lease_ms": 1000.0, "each_s": args.each_s, "limit": LIMIT, "power": args.durability}
+    options |= {"write_back": write_back}
+    with fleet_of(Chaos, args.instances, **options) as (chaos, outside):
         chaos.load()
         for _ in range(args.cuts):
-            # Some come while the fleet returns from the one before.
+            # Some cuts come while the fleet is still recovering.
             end = time.monotonic() + rng.choice((0.2, 1.0, 2.0, 3.0))
             while time.monotonic() < end:
                 chaos.look()
@@ -48,8 +48,8 @@
             chaos.power_cut()
         chaos.until_whole()
         chaos.end_load()
-    twice = [id for id in chaos.unsafe if outside.applied[id] > 1]
-    ran_and_told = [id for id in chaos.unsafe if outside.applied[id] and outside.noticed.get(id)]
+    ran_twice = [id for id in chaos.unsafe if outside.applied[id] > 1]
+    ran_and_answered = [id for id in chaos.unsafe if outside.applied[id] and outside.noticed.get(id)]
     row = {
         "durability": args.durability,
         "instances": args.instances,
@@ -58,16 +58,16 @@
         "messages": len(chaos.told.handed),
         "unsafe": len(chaos.unsafe),
         "without_end": len(chaos.told.without_end),
-        "unsafe_twice": len(twice),
+        "unsafe_twice": len(ran_twice),
         "two_ends": len(chaos.told.two_ends),
         "over_limit": round(fullest(outside.arrivals, LIMIT), 3),
-        "ran_and_told_as_not": len(ran_and_told),  # an answer that was on its way, or on record nowhere yet
+        "ran_and_told_as_not": len(ran_and_answered),  # the answer was in flight or unrecorded
     }
     print_columns(row)
     append_row(args.csv, row)
-    over = fullest(outside.arrivals, LIMIT) > 1.0
-    found = bool(chaos.told.without_end or twice or chaos.told.two_ends or over)
-    sys.exit(found if args.durability == "power" else not found)
+    over_limit = fullest(outside.arrivals, LIMIT) > 1.0
+    violated = bool(chaos.told.without_end or ran_twice or chaos.told.two_ends or over_limit)
+    sys.exit(violated if args.durability == "power" else not violated)
 
 
 if __name__ == "__main__":
--- a/benchmarks/power_return.py
+++ b/benchmarks/power_return.py
@@ -1,12 +1,12 @@
-"""The return of a whole fleet from a power loss: as built, without each of its gates, and all at once.
+"""Recovery of a whole fleet from a power loss: as built, without each of its recovery gates, and all at once.
 
     python -m benchmarks.power_return [--instances 20] [--seconds 15] [--repeats 3]
         [--csv FILE] [--by-second FILE]
     python -m benchmarks.power_return --clocks [--csv FILE]
 
-Half of the messages may be carried once only; the partner takes a little more than is offered. With
-``--clocks`` the machine's clock comes up an hour early, an hour late, or in 1970, with and without its gate.
-Exits with 1 where a promise is broken."""
+Half of the messages are unsafe to repeat; the limit of the partner is slightly above the load. With
+``--clocks`` the machine's clock starts an hour early, an hour late, or in 1970, with and without its gate.
+Exits with 1 if a guarantee is violated."""
 
 from __future__ import annotations
 
@@ -19,78 +19,78 @@
 from springspread.faults.chaos import fleet_of
 from springspread.faults.comeback import Comeback, Returning
 
-NONE = "clock_ms = 0.0\npolicy_ms = 0.0\nlist_ms = 0.0\nowed_ms = 0.0\n"
+NO_GATES = "clock_ms = 0.0\npolicy_ms = 0.0\nlist_ms = 0.0\nowed_ms = 0.0\n"
 ARMS = {
     "as built": "",
     "no list gate": "list_ms = 0.0",
     "no owed gate": "owed_ms = 0.0",
     "no policy gate": "policy_ms = 0.0",
-    "no gates": NONE,
+    "no gates": NO_GATES,
     "all start at once": "at_once = 1000",
-    "all at once": NONE + "at_once = 1000",
+    "all at once": NO_GATES + "at_once = 1000",
 }
-LIMIT = 1.3  # times what is offered
+LIMIT_FACTOR = 1.3  # relative to the load
 
 
-def play(args: argparse.Namespace, recovery: str, clock_s: float) -> Comeback:
-    """One return of a new fleet."""
-    a_second = args.instances / args.each_s
-    made = {"lease_ms": 1000.0, "each_s": args.each_s, "limit": (int(LIMIT * a_second), 1_000.0)}
-    made |= {"power": "power", "recovery": recovery}
-    with fleet_of(Returning, args.instances, **made) as (fleet, _):
+def run_return(args: argparse.Namespace, recovery: str, clock_s: float) -> Comeback:
+    """Run one power loss and return of a new fleet."""
+    load_per_s = args.instances / args.each_s
+    options = {"lease_ms": 1000.0, "each_s": args.each_s, "limit": (int(LIMIT_FACTOR * load_per_s), 1_000.0)}
+    options |= {"power": "power", "recovery": recovery}
+    with fleet_of(Returning, args.instances, **options) as (fleet, _):
         return fleet.come_back(args.seconds, clock_s, args.away_s)
 
 
 def main() -> None:
-    """Play and tell."""
+    """Run the benchmark."""
     parser = argparse.ArgumentParser(description=__doc__, formatter_class=argparse.RawTextHelpFormatter)
     parser.add_argument("--instances", type=int, default=20)
     parser.add_argument("--seconds", type=float, default=15.0)
     parser.add_argument("--each-s", type=float, default=0.2, help="time between an instance's messages")
     parser.add_argument("--repeats", type=int, default=3)
-    parser.add_argument("--away-s", type=float, default=0.0, help="the partner is away for so much longer")
+    parser.add_argument("--away-s", type=float, default=0.0, help="further outage of the partner")
     parser.add_argument("--only", choices=ARMS)
     parser.add_argument("--clocks", action="store_true")
     parser.add_argument("--csv", type=Path)
     parser.add_argument("--by-second", type=Path)
     args = parser.parse_args()
-    plays = [(name, recovery, 0.0) for name, recovery in ARMS.items() if args.only in (None, name)]
+    runs = [(name, recovery, 0.0) for name, recovery in ARMS.items() if args.only in (None, name)]
     if args.clocks:
         clocks = (-3600.0, 3600.0, -time.time())
         arms = (("as built", ""), ("no clock gate", "clock_ms = 0.0"))
-        plays = [(arm, how, clock_s) for clock_s in clocks for arm, how in arms]
+        runs = [(arm, gates, clock_s) for clock_s in clocks for arm, gates in arms]
     broken = False
     for _ in range(args.repeats):
-        for name, recovery, clock_s in plays:
-            told = play(args, recovery, clock_s)
+        for name, recovery, clock_s in runs:
+            result = run_return(args, recovery, clock_s)
             clock = "1970" if clock_s < -1e6 else f"{clock_s / 3600.0:+g} h" if clock_s else "right"
             row = {
                 "arm": name,
                 "clock": clock,
                 "away_s": args.away_s,
                 "instances": args.instances,
-                "owed": told.owed,
-                "kept": told.kept,
-                "given_up": told.given_up,
-                "late": told.late,
-                "offered": told.offered,
-                "refused": told.refused,
-                "taken": told.taken,
-                "failed": told.failed,
-                "in_aim": told.in_aim,
-                "first_s": round(told.first_s, 2),
-                "usual_s": told.usual_s,
-                "handshakes": told.handshakes,
-                "list_requests": told.list_requests,
-                "unsafe_twice": told.unsafe_twice,
-                "without_end": told.without_end,
+                "owed": result.owed,
+                "kept": result.kept,
+                "given_up": result.given_up,
+                "late": result.late,
+                "offered": result.offered,
+                "refused": result.refused,
+                "taken": result.taken,
+                "failed": result.failed,
+                "in_aim": result.in_aim,
+                "first_s": round(result.first_s, 2),
+                "usual_s": result.usual_s,
+                "handshakes": result.handshakes,
+                "list_requests": result.list_requests,
+                "unsafe_twice": result.unsafe_twice,
+                "without_end": result.without_end,
             }
             print_row(row)
             append_row(args.csv, row)
-            for second, counts in enumerate(told.seconds):
+            for second, counts in enumerate(result.seconds):
                 kinds = {kind: counts.get(kind, 0) for kind in ("offered", "taken", "refused", "delivered")}
                 append_row(args.by_second, {"arm": name, "clock": clock, "second": second, **kinds})
-            broken |= told.broken
+            broken |= result.broken
     sys.exit(broken)
 
 
--- a/benchmarks/rollout_search.py
+++ b/benchmarks/rollout_search.py
@@ -1,8 +1,8 @@
-"""Every interleaving of a change of policy, up to a number of worlds, and the planted faults.
+"""Exhaustive search of the interleavings of a policy change, up to a number of states, with injected faults.
 
     python -m benchmarks.rollout_search [--most 1000000] [--csv FILE]
 
-Exits with 1 where the machine breaks a promise, or where a planted fault is not found.
+Exits with 1 if the protocol violates a guarantee or an injected fault is not found.
 """
 
 from __future__ import annotations
@@ -23,47 +23,51 @@
     "2 instances, acting, deep": (Bounds(2, moments=5, proposals=1, refusals=0), True),
     "1 instance, acting, deep": (Bounds(1, moments=8, proposals=2, daemon_deaths=2), True),
 }
-SMALL = Bounds(1, moments=6, proposals=2, deaths=0, daemon_deaths=1, refusals=1)
-OWN = {"a generation is not synced": Bounds(1, moments=4, proposals=1, deaths=0, daemon_deaths=2, refusals=0)}
+FAULT_BOUNDS = Bounds(1, moments=6, proposals=2, deaths=0, daemon_deaths=1, refusals=1)
+FAULT_BOUNDS_BY_NAME = {
+    "a generation is not synced": Bounds(1, moments=4, proposals=1, deaths=0, daemon_deaths=2, refusals=0)
+}
 
 
-def look(job: tuple[str, int]) -> tuple[str, Found, float]:
-    """One search, by its name."""
+def run_search(job: tuple[str, int]) -> tuple[str, Found, float]:
+    """Run one search by name."""
     name, most = job
-    begun = time.monotonic()
+    start = time.monotonic()
     if name in SIZES:
-        found = search(SIZES[name][0], most=most, running=SIZES[name][1])
+        result = search(SIZES[name][0], most=most, running=SIZES[name][1])
     else:
-        found = search(OWN.get(name, SMALL), PLANTED[name], most, running=True)
-    return name, found, time.monotonic() - begun
+        result = search(FAULT_BOUNDS_BY_NAME.get(name, FAULT_BOUNDS), PLANTED[name], most, running=True)
+    return name, result, time.monotonic() - start
 
 
 def main() -> None:
-    """Search and tell."""
+    """Run all searches and print the results."""
     parser = argparse.ArgumentParser(description=__doc__, formatter_class=argparse.RawTextHelpFormatter)
     parser.add_argument(
-        "--most", type=int, default=1_000_000, help="worlds for each size of the real machine"
+        "--most", type=int, default=1_000_000, help="states for each size of the real protocol"
     )
     parser.add_argument("--csv", type=Path)
     args = parser.parse_args()
     jobs = [(name, args.most) for name in (*SIZES, *PLANTED)]
-    rows, wrong = [], 0
+    rows, failures = [], 0
     with Pool() as pool:
-        for name, found, took in pool.imap(look, jobs):
-            wrong += bool(found.broken) == (name in SIZES)
-            whole = found.worlds < args.most and not found.broken
+        for name, result, took in pool.imap(run_search, jobs):
+            failures += bool(result.broken) == (name in SIZES)
+            complete = result.worlds < args.most and not result.broken
             rows.append(
-                (name, found.worlds, whole, found.decided, found.broken, len(found.trace), round(took))
+                (name, result.worlds, complete, result.decided, result.broken, len(result.trace), round(took))
+            )
+            print(
+                f"{name}: {result.worlds} worlds{' (all)' * complete}, {result.broken or 'no promise broken'}"
             )
-            print(f"{name}: {found.worlds} worlds{' (all)' * whole}, {found.broken or 'no promise broken'}")
-            for step in found.trace:
+            for step in result.trace:
                 print(f"    {step}")
     if args.csv is not None:
         with args.csv.open("w", newline="") as out:
             writer = csv.writer(out, lineterminator="\n")
             writer.writerow(("search", "worlds", "all", "decided", "broken", "steps", "seconds"))
             writer.writerows(rows)
-    sys.exit(1 if wrong else 0)
+    sys.exit(1 if failures else 0)
 
 
 if __name__ == "__main__":
--- a/benchmarks/short_days.py
+++ b/benchmarks/short_days.py
@@ -1,9 +1,9 @@
-"""What broke on the short days, as the bench's entries in the journal tell it: a table by seed and day.
+"""Table of the violations on short days by seed and day, from the bench's entries in the journal.
 
     python -m benchmarks.short_days [--from ENTRY] [--to ENTRY] [--csv FILE]
 
-An entry is named as its file is, from its time on; of one that was left open all are read. A day on which
-nothing broke has no row; a seed without such a day has one that says so.
+Entries are named by their file names, from the time on; without bounds all are read. A day without violations
+has no row; a seed without violations has one row that says so.
 """
 
 from __future__ import annotations
@@ -20,15 +20,15 @@
 RULE = re.compile(r"\s+(\w+), (\d+) times, first at ([\d.]+) s: (.*)")
 
 
-def rows(entry: dict[str, object], name: str) -> Iterator[dict[str, object]]:
-    """The rows of one entry; none where it is of other days."""
+def rows_of(entry: dict[str, object], name: str) -> Iterator[dict[str, object]]:
+    """Yield the rows of one entry; none for other kinds of days."""
     argv = [str(word) for word in entry.get("argv") or ()]  # type: ignore[attr-defined]
     if entry.get("cmd") != "real-score" or "brink" not in argv:
         return
     seed = argv[argv.index("--seed") + 1] if "--seed" in argv else "own"
     figures = entry.get("figures") or {}
     assert isinstance(figures, dict)
-    told = {
+    common = {
         "entry": name,
         "head": str(entry.get("head"))[:7] + ("+" if entry.get("dirty") else ""),
         "site": entry.get("site"),
@@ -36,32 +36,32 @@
         "score": figures.get("real_score"),
         "gate": "passed" if figures.get("gate") else "failed",
     }
-    day, any_broke = "", False
+    day, has_violation = "", False
     for line in str(entry.get("digest")).splitlines():
         if match := RULE.match(line):
-            any_broke = True
+            has_violation = True
             rule, times, at, first = match.groups()
-            yield {**told, "day": day, "rule": rule, "times": times, "first_s": at, "first": first}
+            yield {**common, "day": day, "rule": rule, "times": times, "first_s": at, "first": first}
         elif line.strip():
             day = line.split()[0]
-    if not any_broke:
-        yield {**told, "day": "-", "rule": "nothing broke", "times": 0, "first_s": "", "first": ""}
+    if not has_violation:
+        yield {**common, "day": "-", "rule": "nothing broke", "times": 0, "first_s": "", "first": ""}
 
 
 def main() -> None:
     """Write the table."""
-    parser = argparse.ArgumentParser(description="Tell what broke on the short days.")
+    parser = argparse.ArgumentParser(description="Tabulate violations on short days.")
     parser.add_argument("--from", dest="first", default="")
     parser.add_argument("--to", dest="last", default="~")
     parser.add_argument("--csv", type=Path)
     args = parser.parse_args()
-    found = []
+    table = []
     for path in sorted(Path("journal").glob("*.json")):
         if args.first <= path.stem <= args.last:
-            found += list(rows(json.loads(path.read_text()), path.stem))
-    for row in found:
+            table += list(rows_of(json.loads(path.read_text()), path.stem))
+    for row in table:
         print(*(row[name] for name in COLUMNS[3:]), sep="  ")
-    write_table(args.csv, [{name: row[name] for name in COLUMNS} for row in found])
+    write_table(args.csv, [{name: row[name] for name in COLUMNS} for row in table])
 
 
 if __name__ == "__main__":
--- a/benchmarks/site_variants.py
+++ b/benchmarks/site_variants.py
@@ -1,9 +1,9 @@
-"""Variants of a site: other class names, shares, limits, deadlines and costs, each declared in a table.
+"""Variants of a site with other class names, shares, limits, deadlines and costs.
 
     python -m benchmarks.site_variants SITE.toml [--out deploy/sites]
 
-The sites that operators gave stay out of the repository, and so do their variants: the folder is git-ignored.
-What the bench reads beside a site (names, wire, what is unlocked) is copied beside its variants.
+Operators' sites are not in the repository, and neither are their variants: the folder is git-ignored. The
+files that the bench reads beside a site are copied beside its variants.
 """
 
 from __future__ import annotations
@@ -15,12 +15,12 @@
 from dataclasses import dataclass
 from pathlib import Path
 
-BESIDE = ("real.json", "wire.json", "unlock.txt")
+COMPANION_FILES = ("real.json", "wire.json", "unlock.txt")
 
 
 @dataclass(frozen=True, slots=True)
 class Change:
-    """One value of a site: the table it stands in (``class.0``: the first such), its key, its new value."""
+    """A new value for a key of a table of the site (``class.0``: the first ``class`` table)."""
 
     table: str
     key: str
@@ -28,7 +28,7 @@
 
 
 VARIANTS: dict[str, tuple[Change, ...]] = {
-    # Short deadlines, the worth in what may not be repeated, dear handshakes and probes.
+    # Short deadlines, most worth in the unsafe class, expensive handshakes and probes.
     "variant-a": (
         Change("", "name", '"variant-a"'),
         Change("class.0", "name", '"stock-level"'),
@@ -47,7 +47,7 @@
         Change("prices", "waste", "0.1"),
         Change("fam", "zone_fee", "[0, 0.06]"),
     ),
-    # Long deadlines, a wide first class, told waits, cheap handshakes, dear waste.
+    # Long deadlines, a large first class, announced waits, cheap handshakes, expensive waste.
     "variant-b": (
         Change("", "name", '"variant-b"'),
         Change("class.0", "name", '"meter-reading"'),
@@ -70,23 +70,25 @@
 }
 
 
-def changed(text: str, changes: tuple[Change, ...]) -> str:
-    """A site's text with its changes; raises ``ValueError`` for one whose place the site does not have."""
-    left = {(change.table, change.key): change.value for change in changes}
-    seen: Counter[str] = Counter()
+def apply_changes(text: str, changes: tuple[Change, ...]) -> str:
+    """Apply changes to the text of a site; raises ``ValueError`` for a key that the site does not have."""
+    remaining = {(change.table, change.key): change.value for change in changes}
+    table_counts: Counter[str] = Counter()
     table, lines = "", []
     for line in text.splitlines():
         if line.startswith("[["):
             name = line.strip("[] ")
-            table = f"{name}.{seen[name]}"
-            seen[name] += 1
+            table = f"{name}.{table_counts[name]}"
+            table_counts[name] += 1
         elif line.startswith("["):
             table = line.strip("[] ")
         key, equals, _ = line.partition(" = ")
-        value = left.pop((table, key), None) if equals else None
+        value = remaining.pop((table, key), None) if equals else None
         lines.append(line if value is None else f"{key} = {value}")
-    if left:
-        raise ValueError("no such value in the site: " + ", ".join(f"{where} {key}" for where, key in left))
+    if remaining:
+        raise ValueError(
+            "no such key in the site: " + ", ".join(f"{where} {key}" for where, key in remaining)
+        )
     return "\n".join(lines) + "\n"
 
 
@@ -99,11 +101,11 @@
     args.out.mkdir(parents=True, exist_ok=True)
     text = args.site.read_text()
     for name, changes in VARIANTS.items():
-        made = changed(text, changes)
-        tomllib.loads(made)
-        (args.out / f"{name}.toml").write_text(made)
+        variant = apply_changes(text, changes)
+        tomllib.loads(variant)
+        (args.out / f"{name}.toml").write_text(variant)
         print(args.out / f"{name}.toml", f"{len(changes)} changes")
-    for name in BESIDE:
+    for name in COMPANION_FILES:
         shutil.copy(args.site.parent / name, args.out / name)
 
 
--- a/benchmarks/slow.py
+++ b/benchmarks/slow.py
@@ -2,9 +2,9 @@
 
     python -m benchmarks.slow [--seconds 20] [--rounds 3] [--csv FILE]
 
-Of the 200, 60 clients send a byte a second, 60 ask without ever reading an answer, and 80 partners either
-accept a request and read nothing or answer a byte a second. A tenth of the messages go to the slow partners;
-what is counted are the others, which go to a partner of usual pace.
+Of the 200, 60 clients send a byte per second, 60 send requests and never read an answer, and 80 partners
+either accept a connection and read nothing or answer a byte per second. A tenth of the messages go to the
+slow partners; the others go to a normal partner and are measured.
 """
 
 from __future__ import annotations
@@ -25,17 +25,17 @@
 from benchmarks.crowd import NormalTraffic, process_stats
 from tests.peer import Peer, Program
 
-SLOW_CLIENTS, DEAF_CLIENTS, SLOW_ENDPOINTS = 60, 60, 80
+SLOW_CLIENTS, NON_READING_CLIENTS, SLOW_ENDPOINTS = 60, 60, 80
 HEALTH = b"GET /_health HTTP/1.1\r\nHost: x\r\n\r\n"
 
 
 @dataclass(frozen=True)
 class Row:
-    """One run: what normal traffic got. Times are milliseconds."""
+    """One run, as seen by normal traffic. Times are milliseconds."""
 
     slow_peers: int
     messages: int
-    taken_share: float  # told 202 within 400 ms
+    taken_share: float  # answered 202 within 400 ms
     delivered_share: float  # reached the partner
     p50_ms: float
     p99_ms: float
@@ -53,24 +53,24 @@
         threading.Thread(target=self._run, daemon=True).start()
 
     def _run(self) -> None:
-        held: list[socket.socket] = []
+        connections: list[socket.socket] = []
         self.sock.settimeout(1.0)
         while self.open:
             try:
                 sock, _ = self.sock.accept()
-                held.append(sock)
+                connections.append(sock)
             except TimeoutError:
                 pass
-            for sock in held[::2]:
+            for sock in connections[::2]:
                 try:
                     sock.send(b"H")
                 except OSError:
-                    held.remove(sock)
+                    connections.remove(sock)
                     sock.close()
 
 
 def members(peer: Peer, endpoints: SlowEndpoints | None) -> dict[str, Any]:
-    """The list: one partner of usual pace, and the slow ones, each a destination of its own."""
+    """Return the list: one normal partner, and the slow ones, each its own destination."""
     raw = peer.members()
     for n in range(SLOW_ENDPOINTS if endpoints is not None else 0):
         assert endpoints is not None
@@ -80,28 +80,28 @@
 
 
 class SlowClients:
-    """Clients that drip and clients that never read; each comes anew when it is ended."""
+    """Clients that send slowly and clients that never read; each reconnects when it is closed."""
 
     def __init__(self, address: tuple[str, int]) -> None:
         self.address, self.open = address, True
-        for n in range(SLOW_CLIENTS + DEAF_CLIENTS):
-            work = self._drip if n < SLOW_CLIENTS else self._deaf
-            threading.Thread(target=self._again, args=(work,), daemon=True).start()
+        for n in range(SLOW_CLIENTS + NON_READING_CLIENTS):
+            behavior = self._send_slowly if n < SLOW_CLIENTS else self._never_read
+            threading.Thread(target=self._reconnect, args=(behavior,), daemon=True).start()
 
-    def _again(self, work: Any) -> None:
+    def _reconnect(self, behavior: Any) -> None:
         while self.open:
             try:
                 with socket.create_connection(self.address, timeout=5) as sock:
-                    work(sock)
+                    behavior(sock)
             except OSError:
                 time.sleep(0.05)
 
-    def _drip(self, sock: socket.socket) -> None:
+    def _send_slowly(self, sock: socket.socket) -> None:
         for byte in b"POST /api HTTP/1.1\r\nHost: x\r\n":
             sock.send(bytes([byte]))
             time.sleep(1.0)
 
-    def _deaf(self, sock: socket.socket) -> None:
+    def _never_read(self, sock: socket.socket) -> None:
         sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 1024)
         sock.settimeout(10.0)
         while self.open:
@@ -110,7 +110,7 @@
 
 
 class SlowTraffic:
-    """Messages for the slow partners, four a second."""
+    """Messages for the slow partners, four per second."""
 
     def __init__(self, program: Program) -> None:
         self.program, self.open = program, True
@@ -126,19 +126,19 @@
 
 
 def measure(slow: bool, seconds: float) -> Row:
-    """One run."""
+    """Measure one run."""
     peer, endpoints = Peer(), SlowEndpoints() if slow else None
     with tempfile.TemporaryDirectory() as folder:
         peer.watch_bodies = [json.dumps(members(peer, endpoints)).encode()]
         program = Program(Path(folder), peer, known=members(peer, endpoints), slots=100)
         try:
-            others = [SlowClients(program.address), SlowTraffic(program)] if slow else []
-            usual = NormalTraffic(program, seconds)
-            usual.run()
+            background = [SlowClients(program.address), SlowTraffic(program)] if slow else []
+            normal = NormalTraffic(program, seconds)
+            normal.run()
             time.sleep(1.0)
             _, _, threads, memory = process_stats(program.process.pid)
-            for other in others:
-                other.open = False
+            for generator in background:
+                generator.open = False
             delivered = sum(id.startswith("u") for id in set(peer.ids()))
         finally:
             program.process.kill()
@@ -146,12 +146,12 @@
             peer.close()
             if endpoints is not None:
                 endpoints.open = False
-    times = sorted(usual.times)
+    times = sorted(normal.times)
     return Row(
-        SLOW_CLIENTS + DEAF_CLIENTS + SLOW_ENDPOINTS if slow else 0,
-        usual.asked,
-        round(usual.served / usual.asked, 4),
-        round(delivered / usual.asked, 4),
+        SLOW_CLIENTS + NON_READING_CLIENTS + SLOW_ENDPOINTS if slow else 0,
+        normal.asked,
+        round(normal.served / normal.asked, 4),
+        round(delivered / normal.asked, 4),
         round(times[len(times) // 2], 2),
         round(times[int(len(times) * 0.99)], 2),
         round(memory, 1),
@@ -160,7 +160,7 @@
 
 
 def main() -> None:
-    """Runs with and without, in turn."""
+    """Alternate runs without and with slow peers."""
     parser = argparse.ArgumentParser(description=__doc__, formatter_class=argparse.RawTextHelpFormatter)
     parser.add_argument("--seconds", type=float, default=20.0)
     parser.add_argument("--rounds", type=int, default=3)
