--- a/springspread/cli/lab.py
+++ b/springspread/cli/lab.py
@@ -70,7 +70,7 @@
             table.close()
     except OSError as exc:
         stopped = stopped or f"the table takes no more: {exc}"
-        click.echo(f"the rows written so far are in {table.fresh if table else out}", err=True)
+        click.echo(f"the rows written so far are in {table.partial_path if table else out}", err=True)
     mean = f", {seconds / done:.2f} s each on average" if done else ""
     click.echo(f"{done} of {days} days{mean}, {broken} with broken promises: {out}")
     if stopped:
@@ -106,7 +106,7 @@
 
     Days are paired by seed and knobs; the 95 % confidence interval is Student's.
     """
-    from springspread.experiments.compare import paired
+    from springspread.experiments.compare import paired_difference
     from springspread.experiments.run import COLUMNS, read_rows
 
     if (theirs is None) == (arms is None):
@@ -122,10 +122,10 @@
         left, right = ([row for row in rows if row[column] == value] for rows in (left, right))
     if arms is not None:
         left, right = ([row for row in left if row["arm"] == arm] for arm in arms)
-    difference = paired(left, right, measure)
-    word = "significant" if difference.sure else "not significant"
+    difference = paired_difference(left, right, measure)
+    word = "significant" if difference.significant else "not significant"
     click.echo(
-        f"{measure}: {difference.mean:+.4f} ± {difference.half:.4f} over {difference.count} days ({word})"
+        f"{measure}: {difference.mean:+.4f} ± {difference.margin:.4f} over {difference.count} days ({word})"
     )
 
 
@@ -152,5 +152,5 @@
     click.echo(",".join(("destination", "from_s", *counting.COLUMNS, "limit", "left")))
     for (group, number), cell in sorted(cells.items()):
         counted = [str(cell.counts[column]) for column in counting.COLUMNS]
-        left = f"{cell.left / cell.told:.3f}" if cell.told else ""
+        left = f"{cell.left_sum / cell.limit_reports:.3f}" if cell.limit_reports else ""
         click.echo(",".join((str(group), f"{number * span:g}", *counted, f"{cell.limit:g}", left)))
