--- a/benchmarks/cold_town.py
+++ b/benchmarks/cold_town.py
@@ -19,10 +19,10 @@
 from benchmarks.tables import tell_fullest, write_table
 from springspread.simulator.day import Change, draw
 from springspread.simulator.partner import Answer
-from springspread.simulator.virtual import Town
+from springspread.simulator.virtual import VirtualSimulation
 
 
-class Watched(Town):
+class Watched(VirtualSimulation):
     """The town, with each return's fullest spans taken down."""
 
     returns: dict[tuple[str, float], list[float]]  # by endpoint and moment: calls, aware, all
--- a/benchmarks/drivers.py
+++ b/benchmarks/drivers.py
@@ -15,7 +15,7 @@
 
 from springspread.simulator.day import Day, draw
 from springspread.simulator.sockets import SocketTown
-from springspread.simulator.virtual import Town
+from springspread.simulator.virtual import VirtualSimulation
 
 COLUMNS = (
     "scenario",
@@ -48,7 +48,7 @@
     """Play a day twice."""
     with tempfile.TemporaryDirectory(prefix="springspread-drivers-") as folder:
         begun = time.perf_counter()
-        virtual = Town(day, Path(folder) / "virtual").play().checker
+        virtual = VirtualSimulation(day, Path(folder) / "virtual").play().checker
         took = time.perf_counter() - begun
         town = SocketTown(day, Path(folder) / "sockets")
         try:
--- a/benchmarks/grown_cost.py
+++ b/benchmarks/grown_cost.py
@@ -18,10 +18,10 @@
 import sys, tempfile, time
 from pathlib import Path
 from springspread.simulator.day import draw
-from springspread.simulator.virtual import Town
+from springspread.simulator.virtual import VirtualSimulation
 knobs = dict(senders=40, partners=5, per_s=60.0, load=1.0, length_ms=12000.0, tight=True, skew=0.5)
 with tempfile.TemporaryDirectory() as folder:
-    town = Town(draw(int(sys.argv[1]), **knobs), Path(folder))
+    town = VirtualSimulation(draw(int(sys.argv[1]), **knobs), Path(folder))
     begun = time.process_time()
     tally = town.play().checker.tally
     print(1e6 * (time.process_time() - begun) / tally.messages)
--- a/benchmarks/profile_town.py
+++ b/benchmarks/profile_town.py
@@ -16,7 +16,7 @@
 from pathlib import Path
 
 from springspread.simulator.day import Day, draw
-from springspread.simulator.virtual import Town
+from springspread.simulator.virtual import VirtualSimulation
 
 TOP = 10
 
@@ -24,7 +24,7 @@
 def play(day: Day) -> float:
     """Play it; the seconds that it took."""
     with tempfile.TemporaryDirectory(prefix="springspread-profile-") as folder:
-        town = Town(day, Path(folder))
+        town = VirtualSimulation(day, Path(folder))
         begun = time.perf_counter()
         town.play()
         return time.perf_counter() - begun
--- a/springspread/cli/town.py
+++ b/springspread/cli/town.py
@@ -29,11 +29,11 @@
 
     Example: springspread town play --seed 5 --set troubles=3 --set trouble=flapping --set deaths=2
     """
-    from springspread.simulator.virtual import Town
+    from springspread.simulator.virtual import VirtualSimulation
 
     day = _knobs(words).day(seed)
     with tempfile.TemporaryDirectory(prefix="springspread-town-") as folder:
-        checker = Town(day, Path(folder)).play().checker
+        checker = VirtualSimulation(day, Path(folder)).play().checker
     tally = checker.tally
     percentiles = {f"p{p:g}": checker.latency.get_value_at_percentile(p) for p in (50, 90, 99, 99.9)}
     if as_json:
--- a/springspread/experiments/run.py
+++ b/springspread/experiments/run.py
@@ -24,7 +24,7 @@
 from springspread import policy
 from springspread.experiments.plan import Knobs, Plan, Run
 from springspread.simulator.day import CLASSES
-from springspread.simulator.virtual import Town
+from springspread.simulator.virtual import VirtualSimulation
 
 MEASURES = ("grade", "service", *(f"service_{spec.name}" for spec in CLASSES))
 COLUMNS = (
@@ -62,7 +62,7 @@
     """Play one day; the row, and how many seconds it took (in no row, as no two runs agree on it)."""
     begun = time.perf_counter()
     with tempfile.TemporaryDirectory(prefix="springspread-lab-") as folder, _module(run.module):
-        outcome = Town(run.knobs.day(run.seed), Path(folder)).play()
+        outcome = VirtualSimulation(run.knobs.day(run.seed), Path(folder)).play()
     checker = outcome.checker
     tally = checker.tally
     row = _head(run) | {"state": DONE, "messages": tally.messages, "service": round(tally.service, 4)}
--- a/springspread/simulator/virtual.py
+++ b/springspread/simulator/virtual.py
@@ -118,7 +118,7 @@
 class Instance:
     """One sender in the town, and the drivers that stand in for its sockets."""
 
-    def __init__(self, town: Town, index: int, folder: Path, seed: int, epoch: int) -> None:
+    def __init__(self, town: VirtualSimulation, index: int, folder: Path, seed: int, epoch: int) -> None:
         self.town, self.index, self.name = town, index, f"n{index}"
         self.dead = self._polling = False
         self.owner = (self.name, epoch)
@@ -444,7 +444,7 @@
     fleet_messages: int = 0  # between instances and the allocator
 
 
-class Town:
+class VirtualSimulation:
     """The heap of moments, the partners, the clients, and the senders among them."""
 
     def __init__(self, day: Day, folder: Path, knobs: Knobs | None = None) -> None:
--- a/tests/simulator/test_town.py
+++ b/tests/simulator/test_town.py
@@ -12,11 +12,11 @@
 import pytest
 
 from springspread.simulator.day import Change, Day, draw
-from springspread.simulator.virtual import Knobs, Outcome, Town
+from springspread.simulator.virtual import Knobs, Outcome, VirtualSimulation
 
 
 def play(folder: Path, day: Day, **knobs: bool) -> Outcome:
-    return Town(day, folder, Knobs(**knobs)).play()
+    return VirtualSimulation(day, folder, Knobs(**knobs)).play()
 
 
 def rules(outcome: Outcome) -> set[str]:
@@ -95,8 +95,8 @@
 import sys
 from pathlib import Path
 from springspread.simulator.day import draw
-from springspread.simulator.virtual import Town
-outcome = Town(draw(7, troubles=3, drains=3, length_ms=10_000.0), Path(sys.argv[1])).play()
+from springspread.simulator.virtual import VirtualSimulation
+outcome = VirtualSimulation(draw(7, troubles=3, drains=3, length_ms=10_000.0), Path(sys.argv[1])).play()
 print(outcome.checker.digest)
 """
 
