--- a/benchmarks/drivers.py
+++ b/benchmarks/drivers.py
@@ -14,7 +14,7 @@
 from pathlib import Path
 
 from springspread.simulator.day import Day, draw
-from springspread.simulator.sockets import SocketTown
+from springspread.simulator.sockets import SocketSimulation
 from springspread.simulator.virtual import VirtualSimulation
 
 COLUMNS = (
@@ -50,7 +50,7 @@
         begun = time.perf_counter()
         virtual = VirtualSimulation(day, Path(folder) / "virtual").play().checker
         took = time.perf_counter() - begun
-        town = SocketTown(day, Path(folder) / "sockets")
+        town = SocketSimulation(day, Path(folder) / "sockets")
         try:
             live = town.play()
         finally:
--- a/benchmarks/fleet_chaos.py
+++ b/benchmarks/fleet_chaos.py
@@ -20,7 +20,7 @@
 from benchmarks.tables import add, tell_long
 from springspread.fleet.limits import LimitMode
 from springspread.simulator.day import Day, Death, Fate, draw
-from springspread.simulator.sockets import SocketTown
+from springspread.simulator.sockets import SocketSimulation
 
 LONGEST_MS = {Fate.KILL: 3_000.0, Fate.TERM: 6_000.0, Fate.FREEZE: 10_000.0}
 
@@ -43,7 +43,7 @@
     """Play it once; what came of it. CPU is that of the fleet's processes, for each call that they made."""
     before = _children_cpu_s()
     with tempfile.TemporaryDirectory(prefix="springspread-chaos-") as folder:
-        town = SocketTown(day, Path(folder), mode)
+        town = SocketSimulation(day, Path(folder), mode)
         try:
             live = town.play()
         finally:
--- a/benchmarks/large_town.py
+++ b/benchmarks/large_town.py
@@ -15,7 +15,7 @@
 from pathlib import Path
 
 from springspread.simulator.day import draw
-from springspread.simulator.sockets import SocketTown
+from springspread.simulator.sockets import SocketSimulation
 
 
 def main() -> None:
@@ -39,7 +39,7 @@
     )
     endpoints = sum(len(spec.names) + len(spec.later) for spec in day.partners)
     with tempfile.TemporaryDirectory(prefix="springspread-large-") as folder:
-        town = SocketTown(day, Path(folder))
+        town = SocketSimulation(day, Path(folder))
         try:
             live = town.play()
         finally:
--- a/springspread/cli/main.py
+++ b/springspread/cli/main.py
@@ -99,11 +99,11 @@
         sys.exit(fleet_demo(instances, seconds, seed))
     from springspread.cli.live import LiveDisplay
     from springspread.simulator.day import draw
-    from springspread.simulator.sockets import SocketTown
+    from springspread.simulator.sockets import SocketSimulation
 
     day = draw(seed, senders=1, length_ms=1000 * seconds, troubles=3, drains=2)
     with tempfile.TemporaryDirectory(prefix="springspread-demo-") as folder:
-        town = SocketTown(day, Path(folder))
+        town = SocketSimulation(day, Path(folder))
         try:
             live = town.play(LiveDisplay().show)
         finally:
--- a/springspread/faults/hollow/comparison.py
+++ b/springspread/faults/hollow/comparison.py
@@ -39,7 +39,7 @@
 from springspread.simulator.fleet import name_of
 from springspread.simulator.partner import Answer
 from springspread.simulator.polling import Place
-from springspread.simulator.sockets import SocketTown
+from springspread.simulator.sockets import SocketSimulation
 
 WARM_MS = 10_000.0
 HOLLOW_START_MS = 1_000.0  # hollow calls begin so much after the recorded ones' zero
@@ -80,7 +80,7 @@
         """Nothing is down for good in what was recorded."""
 
 
-class RecordedTown(SocketTown):
+class RecordedTown(SocketSimulation):
     """A day on sockets that is written down."""
 
     def __init__(self, day: Day, folder: Path, mode: LimitMode) -> None:
--- a/springspread/simulator/sockets.py
+++ b/springspread/simulator/sockets.py
@@ -56,7 +56,7 @@
         return self.late_ms[0] <= LATE_MS
 
 
-class SocketTown:
+class SocketSimulation:
     """Plays one day; use it once, then ``close``."""
 
     def __init__(self, day: Day, folder: Path, mode: LimitMode = LimitMode.EXACT) -> None:
--- a/tests/simulator/test_sockets.py
+++ b/tests/simulator/test_sockets.py
@@ -12,12 +12,12 @@
 
 from springspread.simulator.day import Change, Day, Death, Fate, Outage, Service, draw
 from springspread.simulator.partner import Condition, Trouble
-from springspread.simulator.sockets import Live, SocketTown
+from springspread.simulator.sockets import Live, SocketSimulation
 from tests.peer import WAIT_S
 
 
 def play(folder: Path, day: Day, held_up_ms: float = 0.0) -> Live:
-    town = SocketTown(day, folder)
+    town = SocketSimulation(day, folder)
     if held_up_ms:
         town._at(800.0, time.sleep, held_up_ms / 1000.0)
     try:
@@ -73,7 +73,7 @@
     tmp_path: Path,
 ) -> None:
     switch_s = sys.getswitchinterval()
-    town = SocketTown(draw(1, senders=1, length_ms=2_000.0), tmp_path)
+    town = SocketSimulation(draw(1, senders=1, length_ms=2_000.0), tmp_path)
     port = next(iter(town._ports.values()))
     assert request(port, "GET /endpoints?since=1") == 404
     assert [stranger.split(" at ")[0] for stranger in town.strangers] == ["GET /endpoints?since=1"]
