--- a/springspread/faults/hollow/comparison.py
+++ b/springspread/faults/hollow/comparison.py
@@ -36,7 +36,7 @@
 from springspread.rollout.document import Policy
 from springspread.simulator.checker import SPAN_MS
 from springspread.simulator.day import Day
-from springspread.simulator.fleet import name_of
+from springspread.simulator.fleet import instance_name
 from springspread.simulator.partner import Answer
 from springspread.simulator.polling import Place
 from springspread.simulator.sockets import SocketSimulation
@@ -121,7 +121,7 @@
         found = [
             (max(at - LEASE_WAIT_MS, 0.0), number, self._number(endpoint))
             for number in range(self.day.senders)
-            for at, endpoint in given_up(self._folder / "fleet" / name_of(number) / "log", wall_s)
+            for at, endpoint in given_up(self._folder / "fleet" / instance_name(number) / "log", wall_s)
         ]
         self.recorded.calls += found
         return len(found)
@@ -208,7 +208,7 @@
     relays, counts = [], []
     for number in range(day.senders):
         place = folder / "fleet"
-        relay, count = Relay(relay_path(place, name_of(number)), place / "allot"), LineCounts()
+        relay, count = Relay(relay_path(place, instance_name(number)), place / "allot"), LineCounts()
         relay.seen = count.seen
         relays.append(relay)
         counts.append(count)
--- a/springspread/simulator/fleet.py
+++ b/springspread/simulator/fleet.py
@@ -49,7 +49,7 @@
     def start(self, config: Mapping[str, Any], directories: Mapping[int, int]) -> dict[int, tuple[str, int]]:
         """Start the daemon and wait for all; their addresses. ``directories``: the port that each asks."""
         (self._place / "sender.json").write_text(json.dumps(config))
-        own = {name_of(n): {"discovery": f"127.0.0.1:{port}"} for n, port in directories.items()}
+        own = {instance_name(n): {"discovery": f"127.0.0.1:{port}"} for n, port in directories.items()}
         given_path(self._folder).write_text(json.dumps(own))
         line = [sys.executable, "-m", "springspread.faults.daemon", str(self._file)]
         with (self._place / "daemon.log").open("wb") as log:
@@ -95,6 +95,6 @@
             self._daemon.wait()
 
 
-def name_of(number: int) -> str:
+def instance_name(number: int) -> str:
     """An instance's name in the daemon."""
     return f"n{number:03}"
