--- a/benchmarks/cold_town.py
+++ b/benchmarks/cold_town.py
@@ -37,10 +37,10 @@
         """Take down the span that ends with this call."""
         endpoint = self.partners[self._group[name]].endpoints[name]
         answer = super().arrive(name, messages, sender)
-        now, habit = self.clock.now(), endpoint.habit
+        now, profile = self.clock.now(), endpoint.profile
         found = self.returns.get((name, endpoint.back_at))
-        if found is not None and now - endpoint.back_at < habit.warm_ms:
-            n = habit.fall_multiple * endpoint.warmth(now) * endpoint.capacity * habit.fall_ms / 1000.0
+        if found is not None and now - endpoint.back_at < profile.warm_ms:
+            n = profile.fall_multiple * endpoint.warmth(now) * endpoint.capacity * profile.fall_ms / 1000.0
             part = len(endpoint.pushers) / (n + 2.0 * sqrt(n) + 2.0)
             knew = sum(who in self.checker._saw_fail[name] for who in endpoint.pushers)
             aware = part if 3 * knew >= 2 * len(endpoint.pushers) else 0.0
--- a/springspread/faults/hollow/comparison.py
+++ b/springspread/faults/hollow/comparison.py
@@ -92,7 +92,7 @@
         self._record_calls()
 
     def _limit(self, group: int, mode: LimitMode) -> Limit:
-        per_s = self._partners[group].habit.limit_per_s
+        per_s = self._partners[group].profile.limit_per_s
         if not per_s:
             raise ValueError(f"partner {group} has no limit")
         return Limit.of_rate(per_s, SPAN_MS, mode)
@@ -195,8 +195,8 @@
     """The day with a limit for each partner: one without any gets one that it never meets."""
     specs = []
     for spec in day.partners:
-        if not spec.habit.limit_per_s:
-            spec = replace(spec, habit=replace(spec.habit, limit_per_s=AMPLE_PER_S))
+        if not spec.profile.limit_per_s:
+            spec = replace(spec, profile=replace(spec.profile, limit_per_s=AMPLE_PER_S))
         specs.append(spec)
     return replace(day, partners=tuple(specs))
 
--- a/springspread/simulator/day.py
+++ b/springspread/simulator/day.py
@@ -38,7 +38,7 @@
 
     group: int
     kind: str
-    habit: Habit
+    profile: Habit
     names: tuple[str, ...]
     share: float
     later: tuple[str, ...] = ()  # endpoints that are listed only once a change says so
@@ -136,7 +136,7 @@
 
     def settings(self, index: int) -> dict[str, Any]:
         """What a sender is told of its deployment, in the platform's form."""
-        habits = {spec.kind: spec.habit for spec in self.partners}
+        habits = {spec.kind: spec.profile for spec in self.partners}
         apart = [habits[kind].apart if kind in habits else False for kind in KINDS]
         return {
             # One of a fleet is told its part of each limit, and need not guess it from the number of senders.
@@ -338,10 +338,12 @@
     rng = Random(f"{seed}/tight/{spec.group}")
     pace = rng.uniform(30.0, 100.0)
     per_s = max(want * rng.uniform(0.9, 1.8), 2.0)
-    ends = len(spec.names) if spec.habit.apart else 1
+    ends = len(spec.names) if spec.profile.apart else 1
     places = max(ceil(per_s * rng.uniform(1.2, 1.6) * pace / 1000 / len(spec.names)), 1)
-    habit = replace(spec.habit, pace_ms=pace, places=places, limit_per_s=per_s / ends, counts_refused=True)
-    return replace(spec, habit=habit)
+    profile = replace(
+        spec.profile, pace_ms=pace, places=places, limit_per_s=per_s / ends, counts_refused=True
+    )
+    return replace(spec, profile=profile)
 
 
 def _falls(seed: int, specs: tuple[PartnerSpec, ...], count: int, length_ms: float) -> list[Change]:
@@ -380,17 +382,17 @@
         kind = rng.choices(KINDS, (0.17, 0.33, 0.5))[0]
         want = full_per_s * shares[n] / sum(shares)
         endpoints = rng.choice((1, 2, 2, 3, 3, 4))
-        habit = Habit(pace_ms=rng.uniform(300.0, 510.0), apart=kind == "state-portal")
+        profile = Habit(pace_ms=rng.uniform(300.0, 510.0), apart=kind == "state-portal")
         if kind == "state-portal":
             rate = max(want * rng.uniform(1.4, 2.9), 1.6) / endpoints
-            habit = replace(habit, limit_per_s=max(rate, 0.5), span_ms=2000.0)
+            profile = replace(profile, limit_per_s=max(rate, 0.5), span_ms=2000.0)
         elif kind == "county-office":
-            habit = replace(habit, limit_per_s=max(want * rng.uniform(0.99, 2.1), 1.7))
-            habit = replace(habit, counts_refused=rng.random() < 0.3)
+            profile = replace(profile, limit_per_s=max(want * rng.uniform(0.99, 2.1), 1.7))
+            profile = replace(profile, counts_refused=rng.random() < 0.3)
         capacity = max(want * rng.uniform(1.2, 2.2), 1.5) * (1.0 if kind == "dealer" else 2.0)
-        places = max(round(capacity * habit.pace_ms / 1000 / endpoints), 1)
+        places = max(round(capacity * profile.pace_ms / 1000 / endpoints), 1)
         names = tuple(f"p{n}-{chr(97 + e)}" for e in range(endpoints))
-        made.append(PartnerSpec(n, kind, replace(habit, places=places), names, shares[n]))
+        made.append(PartnerSpec(n, kind, replace(profile, places=places), names, shares[n]))
     return tuple(made)
 
 
--- a/springspread/simulator/partner.py
+++ b/springspread/simulator/partner.py
@@ -127,7 +127,7 @@
     """One endpoint: its places of work, and how warm it is."""
 
     name: str
-    habit: Habit
+    profile: Habit
     rng: Random
     limit: Limit | None
     condition: Condition = field(default_factory=Condition)
@@ -137,27 +137,27 @@
     _cold_calls: deque[tuple[float, str]] = field(default_factory=deque)
 
     def __post_init__(self) -> None:
-        self._free = [0.0] * self.habit.places
+        self._free = [0.0] * self.profile.places
         heapify(self._free)
 
     @property
     def capacity(self) -> float:
         """Calls a second, warm."""
-        return 1000.0 * self.habit.places / self.habit.pace_ms
+        return 1000.0 * self.profile.places / self.profile.pace_ms
 
     def warmth(self, now: float) -> float:
         """The share of its capacity that it has."""
-        habit, since = self.habit, now - self.back_at
-        if since >= habit.warm_ms:
+        profile, since = self.profile, now - self.back_at
+        if since >= profile.warm_ms:
             return 1.0
-        return habit.cold_share + (1.0 - habit.cold_share) * max(since, 0.0) / habit.warm_ms
+        return profile.cold_share + (1.0 - profile.cold_share) * max(since, 0.0) / profile.warm_ms
 
     def troubled(self, now: float, condition: Condition) -> None:
         """Its trouble begins or ends. It is cold after one in which it served nobody."""
         away = (Trouble.REFUSING, Trouble.SILENT, Trouble.SHUT)
         if self.condition.trouble in away and condition.trouble not in away:
             self.back_at, self.fallen = now, False
-            self._free = [now] * self.habit.places
+            self._free = [now] * self.profile.places
             self._cold_calls.clear()
         self.condition = condition
 
@@ -177,7 +177,9 @@
         if trouble is Trouble.FAILING and self.rng.random() < self.condition.much:
             return self._told(now + 5.0, End.FAILED, self.rng.random() < 0.5)
         if trouble is Trouble.RESETTING and self.rng.random() < self.condition.much:
-            return Answer(now + self.rng.uniform(0.0, self.habit.pace_ms), End.RESET, self.rng.random() < 0.5)
+            return Answer(
+                now + self.rng.uniform(0.0, self.profile.pace_ms), End.RESET, self.rng.random() < 0.5
+            )
         answer = self._serve(now, messages, self.condition.much if trouble is Trouble.SLOW else 1.0)
         if trouble is Trouble.SPOILT and answer.end is End.DONE and self.rng.random() < self.condition.much:
             return replace(answer, end=End.SPOILT)
@@ -186,21 +188,21 @@
     def _serve(self, now: float, messages: int, factor: float) -> Answer:
         waiting = sum(at > now for at in self._free)
         start = max(now, self._free[0])
-        mean = self.habit.pace_ms * factor / self.warmth(now) * (1.0 + 0.25 * (messages - 1))
-        if waiting == len(self._free) and start - now > self.habit.queue * mean / self.habit.places:
+        mean = self.profile.pace_ms * factor / self.warmth(now) * (1.0 + 0.25 * (messages - 1))
+        if waiting == len(self._free) and start - now > self.profile.queue * mean / self.profile.places:
             return self._full(now)
-        noise = exp(self.rng.gauss(0.0, self.habit.spread) - self.habit.spread**2 / 2)
+        noise = exp(self.rng.gauss(0.0, self.profile.spread) - self.profile.spread**2 / 2)
         end = start + mean * noise
         heapreplace(self._free, end)
         return self._told(end, End.DONE, True)
 
     def _full(self, now: float) -> Answer:
-        if self.limit is not None and self.habit.counts_refused:
+        if self.limit is not None and self.profile.counts_refused:
             self.limit.refused()
-        return self._told(now + 1.0, End.FULL, False, self.habit.tells_wait_ms)
+        return self._told(now + 1.0, End.FULL, False, self.profile.tells_wait_ms)
 
     def _told(self, at: float, end: End, ran: bool, wait_ms: float = 0.0) -> Answer:
-        if self.limit is None or not self.habit.reports:
+        if self.limit is None or not self.profile.reports:
             return Answer(at, end, ran, wait_ms)
         left = round(max(self.limit.left(at), 0.0), 3)
         return Answer(at, end, ran, wait_ms, left, self.limit.per_s)
@@ -212,45 +214,45 @@
 
     def _pushed(self, now: float, sender: str) -> bool:
         # What a cold endpoint is sent, whether it serves it or not, may be so many times what it can do.
-        habit = self.habit
-        if now - self.back_at >= habit.warm_ms:
+        profile = self.profile
+        if now - self.back_at >= profile.warm_ms:
             return False
         self._cold_calls.append((now, sender))
-        while self._cold_calls[0][0] <= now - habit.fall_ms:
+        while self._cold_calls[0][0] <= now - profile.fall_ms:
             self._cold_calls.popleft()
-        budget = habit.fall_multiple * self.warmth(now) * self.capacity * habit.fall_ms / 1000
+        budget = profile.fall_multiple * self.warmth(now) * self.capacity * profile.fall_ms / 1000
         return len(self._cold_calls) > max(budget, 3.0)
 
 
 class Partner:
     """One destination: its endpoints share a limit, unless they are routes apart."""
 
-    def __init__(self, group: int, habit: Habit, names: list[str], seed: str) -> None:
-        self.group, self.habit, self._seed = group, habit, seed
+    def __init__(self, group: int, profile: Habit, names: list[str], seed: str) -> None:
+        self.group, self.profile, self._seed = group, profile, seed
         self._shared = self._limit()
         self.endpoints: dict[str, Endpoint] = {}
         for name in names:
             self.add(name)
 
     def _limit(self) -> Limit | None:
-        habit = self.habit
-        return Limit(habit.limit_per_s, habit.span_ms) if habit.limit_per_s else None
+        profile = self.profile
+        return Limit(profile.limit_per_s, profile.span_ms) if profile.limit_per_s else None
 
     def add(self, name: str) -> Endpoint:
         """A further endpoint."""
-        limit = self._limit() if self.habit.apart else self._shared
-        made = Endpoint(name, self.habit, Random(f"{self._seed}/pace/{name}"), limit)
+        limit = self._limit() if self.profile.apart else self._shared
+        made = Endpoint(name, self.profile, Random(f"{self._seed}/pace/{name}"), limit)
         self.endpoints[name] = made
         return made
 
     def limit_falls(self, part: float) -> None:
         """It takes this part of its usual limit from now on; 1 is the usual one again."""
         for limit in {id(e.limit): e.limit for e in self.endpoints.values() if e.limit}.values():
-            limit.falls_to(self.habit.limit_per_s * part)
+            limit.falls_to(self.profile.limit_per_s * part)
 
     @property
     def rating(self) -> float:
         """Calls a second that it takes from everybody (a route's, where they are apart)."""
         each = next(iter(self.endpoints.values())).capacity
-        total = each if self.habit.apart else each * len(self.endpoints)
-        return min(self.habit.limit_per_s or inf, total)
+        total = each if self.profile.apart else each * len(self.endpoints)
+        return min(self.profile.limit_per_s or inf, total)
--- a/springspread/simulator/sockets.py
+++ b/springspread/simulator/sockets.py
@@ -65,7 +65,7 @@
         self._begun = time.monotonic()
         self._server = PollingServer(self._now)
         self._partners = {
-            spec.group: Partner(spec.group, spec.habit, [*spec.names, *spec.later], f"{day.seed}")
+            spec.group: Partner(spec.group, spec.profile, [*spec.names, *spec.later], f"{day.seed}")
             for spec in day.partners
         }
         self._kinds = {spec.group: spec.kind for spec in day.partners}
@@ -78,7 +78,7 @@
         self._changed: dict[str, int] = dict.fromkeys(self._group, 1)
         self._watches: list[tuple[Place, str, int, bool]] = []
         limits = {
-            self._key(name): self._partners[group].habit.limit_per_s or inf
+            self._key(name): self._partners[group].profile.limit_per_s or inf
             for name, group in self._group.items()
         }
         self.checker = Checker(CLASSES, 500.0, 8, limits)
@@ -117,7 +117,7 @@
 
     def _key(self, endpoint: str) -> str:
         group = self._group[endpoint]
-        return endpoint if self._partners[group].habit.apart else f"g{group}"
+        return endpoint if self._partners[group].profile.apart else f"g{group}"
 
     def _limit_key(self, key: str) -> str:
         """A limit's key as the fleet names it."""
--- a/springspread/simulator/virtual.py
+++ b/springspread/simulator/virtual.py
@@ -453,7 +453,7 @@
         self._moments: list[tuple[float, int, Callable[..., None], tuple[Any, ...]]] = []
         self._count = 0
         self.partners = {
-            spec.group: Partner(spec.group, spec.habit, [*spec.names, *spec.later], f"{day.seed}")
+            spec.group: Partner(spec.group, spec.profile, [*spec.names, *spec.later], f"{day.seed}")
             for spec in day.partners
         }
         self._kinds = {spec.group: KINDS.index(spec.kind) for spec in day.partners}
@@ -466,7 +466,7 @@
         }
         self.version = 1
         limits = {
-            self.key(name): self.partners[group].habit.limit_per_s or inf
+            self.key(name): self.partners[group].profile.limit_per_s or inf
             for name, group in self._group.items()
         }
         self.checker = Checker(CLASSES, 500.0, 8, limits)
@@ -475,10 +475,10 @@
         self.fleet_messages = 0
         self._allocating = False
         for name, group in self._group.items():
-            habit = self.partners[group].habit
-            if habit.limit_per_s:
-                key = f"r{group}/{name}" if habit.apart else f"g{group}"
-                self.control.set_limit(0.0, key, Limit.of_rate(habit.limit_per_s, SPAN_MS))
+            profile = self.partners[group].profile
+            if profile.limit_per_s:
+                key = f"r{group}/{name}" if profile.apart else f"g{group}"
+                self.control.set_limit(0.0, key, Limit.of_rate(profile.limit_per_s, SPAN_MS))
         for cut in day.outages:
             if cut.service is Service.PLATFORM:
                 self.checker.platform_away(cut.begin, cut.end)
@@ -540,7 +540,7 @@
     def key(self, endpoint: str) -> str:
         """What a limit and a told wait bind."""
         group = self._group[endpoint]
-        return endpoint if self.partners[group].habit.apart else f"g{group}"
+        return endpoint if self.partners[group].profile.apart else f"g{group}"
 
     def way(self, sender: int, endpoint: str) -> float:
         """One way between a sender's building (they take turns) and an endpoint's."""
--- a/tests/simulator/test_partner.py
+++ b/tests/simulator/test_partner.py
@@ -15,8 +15,8 @@
 HABIT = Habit(pace_ms=100.0, spread=0.0, places=2, queue=2)
 
 
-def endpoint(habit: Habit = HABIT, limit: Limit | None = None) -> Endpoint:
-    return Endpoint("s-1", habit, Random(1), limit)
+def endpoint(profile: Habit = HABIT, limit: Limit | None = None) -> Endpoint:
+    return Endpoint("s-1", profile, Random(1), limit)
 
 
 def test_places_of_work_then_a_queue_then_full() -> None:
@@ -50,8 +50,8 @@
 def test_refused_calls_use_a_limit_up_where_they_count() -> None:
     served = {}
     for counts in (False, True):
-        habit = replace(HABIT, places=50, limit_per_s=20.0, counts_refused=counts)
-        partner = Partner(1, habit, ["a"], "seed")
+        profile = replace(HABIT, places=50, limit_per_s=20.0, counts_refused=counts)
+        partner = Partner(1, profile, ["a"], "seed")
         ends = [partner.endpoints["a"].arrive(25.0 * n).end for n in range(400)]  # 40 a second
         served[counts] = ends.count(End.DONE)
     assert served[False] >= 200 and served[True] <= 50
@@ -67,9 +67,9 @@
 
 
 def test_endpoints_share_a_limit_unless_they_are_routes_apart() -> None:
-    habit = replace(HABIT, limit_per_s=1.0, span_ms=2000.0, places=50)
+    profile = replace(HABIT, limit_per_s=1.0, span_ms=2000.0, places=50)
     for apart, served in ((False, 2), (True, 4)):
-        partner = Partner(1, replace(habit, apart=apart), ["a", "b"], "seed")
+        partner = Partner(1, replace(profile, apart=apart), ["a", "b"], "seed")
         ends = [it.arrive(0.0).end for _ in range(5) for it in partner.endpoints.values()]
         assert ends.count(End.DONE) == served
 
@@ -90,7 +90,7 @@
         it = endpoint(replace(HABIT, places=4, queue=100))
         it.troubled(0.0, Condition(Trouble.REFUSING))
         it.troubled(10_000.0, Condition())
-        assert it.warmth(10_000.0) == it.habit.cold_share
+        assert it.warmth(10_000.0) == it.profile.cold_share
         for n in range(calls):
             it.arrive(10_000.0 + n)
         assert it.fallen is not stands
