--- a/springspread/faults/hollow/comparison.py
+++ b/springspread/faults/hollow/comparison.py
@@ -38,7 +38,7 @@
 from springspread.simulator.day import Day
 from springspread.simulator.fleet import instance_name
 from springspread.simulator.partner import Answer
-from springspread.simulator.polling import Place
+from springspread.simulator.polling import AcceptedConnection
 from springspread.simulator.sockets import SocketSimulation
 
 WARM_MS = 10_000.0
@@ -129,7 +129,9 @@
     def _number(self, endpoint: str) -> int:
         return self._number_of[self._limit_key(self._key(endpoint))]
 
-    def _told(self, name: str, place: Place, ids: list[str], answer: Answer, bundle: bool) -> None:
+    def _told(
+        self, name: str, place: AcceptedConnection, ids: list[str], answer: Answer, bundle: bool
+    ) -> None:
         if answer.limit_per_s:
             sender = int(self.checker.sender_of(ids[0])[1:])
             told = (self._now(), sender, self._number(name), answer.limit_per_s)
--- a/springspread/simulator/polling.py
+++ b/springspread/simulator/polling.py
@@ -29,7 +29,7 @@
 BACKLOG = 256
 
 
-class Place:
+class AcceptedConnection:
     """One connection. ``at``: the port that it came to."""
 
     __slots__ = ("sock", "machine", "serve", "open", "at")
@@ -40,7 +40,7 @@
         self.open = True
 
 
-Handler = Callable[[Place, Request], None]
+Handler = Callable[[AcceptedConnection, Request], None]
 """Takes a request; it may answer at once, later by ``PollingServer.answer``, or never."""
 
 
@@ -97,10 +97,10 @@
     def reset_all_at(self, port: int) -> None:
         """Reset every connection that came to a port."""
         for key in list(self._selector.get_map().values()):
-            if isinstance(key.data, Place) and key.data.at == port:
+            if isinstance(key.data, AcceptedConnection) and key.data.at == port:
                 self.end(key.data, reset=True)
 
-    def end(self, place: Place, reset: bool = False) -> None:
+    def end(self, place: AcceptedConnection, reset: bool = False) -> None:
         """Close a connection, or reset it."""
         if place.open:
             place.open = False
@@ -109,7 +109,9 @@
                 place.sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, RESET)
             place.sock.close()
 
-    def answer(self, place: Place, status: int, headers: dict[str, str], body: bytes = b"") -> None:
+    def answer(
+        self, place: AcceptedConnection, status: int, headers: dict[str, str], body: bytes = b""
+    ) -> None:
         """Answer the request that a connection waits for, if it is still open."""
         if not place.open:
             return
@@ -150,7 +152,7 @@
         for key, _ in self._selector.select(wait_s):
             if key.data is None:
                 self._ear.recv(4096)
-            elif isinstance(key.data, Place):
+            elif isinstance(key.data, AcceptedConnection):
                 self._read(key.data)
             else:
                 self._accept(key.fileobj, key.data)  # type: ignore[arg-type]
@@ -162,10 +164,10 @@
             return
         sock.setblocking(False)
         sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
-        place = Place(sock, listener.getsockname()[1], serve)
+        place = AcceptedConnection(sock, listener.getsockname()[1], serve)
         self._selector.register(sock, selectors.EVENT_READ, place)
 
-    def _read(self, place: Place) -> None:
+    def _read(self, place: AcceptedConnection) -> None:
         try:
             data = place.sock.recv(READ_BYTES)
             request = place.machine.feed(data) if data else None
--- a/springspread/simulator/sockets.py
+++ b/springspread/simulator/sockets.py
@@ -30,7 +30,7 @@
 from springspread.simulator.day import CLASSES, Arrival, Change, Day, Death, Fate, Service
 from springspread.simulator.fleet import TownFleet
 from springspread.simulator.partner import Answer, End, Partner, Trouble
-from springspread.simulator.polling import LIMITS, Place, PollingServer
+from springspread.simulator.polling import LIMITS, AcceptedConnection, PollingServer
 
 SIGNALS = {Fate.KILL: signal.SIGKILL, Fate.TERM: signal.SIGTERM, Fate.FREEZE: signal.SIGSTOP}
 CALL_PATHS = ("/events", "/events/bundle")
@@ -76,7 +76,7 @@
         }
         self._version = 1
         self._changed: dict[str, int] = dict.fromkeys(self._group, 1)
-        self._watches: list[tuple[Place, str, int, bool]] = []
+        self._watches: list[tuple[AcceptedConnection, str, int, bool]] = []
         limits = {
             self._key(name): self._partners[group].profile.limit_per_s or inf
             for name, group in self._group.items()
@@ -123,10 +123,10 @@
         """A limit's key as the fleet names it."""
         return f"r{self._group[key]}/{key}" if key in self._group else key
 
-    def _call(self, name: str) -> Callable[[Place, Request], None]:
+    def _call(self, name: str) -> Callable[[AcceptedConnection, Request], None]:
         return lambda place, request: self._arrives(name, place, request)
 
-    def _arrives(self, name: str, place: Place, request: Request) -> None:
+    def _arrives(self, name: str, place: AcceptedConnection, request: Request) -> None:
         if request.path not in CALL_PATHS:
             self._turn_away(name, place, request)
             return
@@ -156,12 +156,14 @@
         elif answer.at < inf:
             self._at(answer.at, self._told, name, place, ids, answer, bundle)
 
-    def _turn_away(self, name: str, place: Place, request: Request) -> None:
+    def _turn_away(self, name: str, place: AcceptedConnection, request: Request) -> None:
         """Guards the town against another program, which takes this port for one of its own peers."""
         self.strangers.append(f"{request.method} {request.path} at {name}")
         self._server.answer(place, 404, {})
 
-    def _told(self, name: str, place: Place, ids: list[str], answer: Answer, bundle: bool) -> None:
+    def _told(
+        self, name: str, place: AcceptedConnection, ids: list[str], answer: Answer, bundle: bool
+    ) -> None:
         now, key, sender = self._now(), self._key(name), self.checker.sender_of(ids[0])
         headers, body = {}, b""
         if answer.left_share is not None:
@@ -242,8 +244,8 @@
             "since_ms": 0,
         }
 
-    def _directory(self, sender: str) -> Callable[[Place, Request], None]:
-        def serve(place: Place, request: Request) -> None:
+    def _directory(self, sender: str) -> Callable[[AcceptedConnection, Request], None]:
+        def serve(place: AcceptedConnection, request: Request) -> None:
             service = Service.PLATFORM if request.method == "POST" else Service.DIRECTORY
             if self.day.away(service, self._now()) > self._now():
                 self._server.end(place, reset=True)
@@ -267,14 +269,14 @@
 
         return serve
 
-    def _watched(self, place: Place, sender: str, since: int) -> None:
+    def _watched(self, place: AcceptedConnection, sender: str, since: int) -> None:
         for watch in self._watches:
             if watch[0] is place and watch[2] == since:
                 self._watches.remove(watch)
                 self._tell(place, sender, since, False)
                 return
 
-    def _tell(self, place: Place, sender: str, since: int, whole: bool) -> None:
+    def _tell(self, place: AcceptedConnection, sender: str, since: int, whole: bool) -> None:
         names = [name for name in self._group if whole or self._changed[name] > since]
         if whole:
             names = [name for name in names if self._states[name] is not EndpointState.GONE]
