--- a/springspread/simulator/sockets.py
+++ b/springspread/simulator/sockets.py
@@ -154,14 +154,14 @@
         if answer.end is End.REFUSED:
             self._server.end(place, reset=True)
         elif answer.at < inf:
-            self._at(answer.at, self._told, name, place, ids, answer, bundle)
+            self._at(answer.at, self._send_answer, name, place, ids, answer, bundle)
 
     def _turn_away(self, name: str, place: AcceptedConnection, request: Request) -> None:
         """Guards the town against another program, which takes this port for one of its own peers."""
         self.strangers.append(f"{request.method} {request.path} at {name}")
         self._server.answer(place, 404, {})
 
-    def _told(
+    def _send_answer(
         self, name: str, place: AcceptedConnection, ids: list[str], answer: Answer, bundle: bool
     ) -> None:
         now, key, sender = self._now(), self._key(name), self.checker.sender_of(ids[0])
