--- a/springspread/simulator/partner.py
+++ b/springspread/simulator/partner.py
@@ -208,7 +208,7 @@
         return Answer(at, end, ran, wait_ms, left, self.limit.per_s)
 
     @property
-    def pushers(self) -> list[str]:
+    def cold_callers(self) -> list[str]:
         """Who sent what it was sent in its last ``fall_ms`` while cold, a call each."""
         return [sender for _, sender in self._cold_calls]
 
--- a/springspread/simulator/sockets.py
+++ b/springspread/simulator/sockets.py
@@ -146,7 +146,7 @@
         self.checker.call(now, sender, name, group, key, ids)
         answer = endpoint.arrive(now, len(ids), sender)
         if endpoint.fallen and not stood:
-            self.checker.pushed_over(now, name, endpoint.pushers)
+            self.checker.pushed_over(now, name, endpoint.cold_callers)
         if answer.end is not End.DONE:
             self.checker.failed(now, sender, name)
         if answer.ran:
--- a/springspread/simulator/virtual.py
+++ b/springspread/simulator/virtual.py
@@ -553,7 +553,7 @@
         stood = endpoint.fallen
         answer = endpoint.arrive(self.clock.now(), messages, sender)
         if endpoint.fallen and not stood:
-            self.checker.pushed_over(self.clock.now(), name, endpoint.pushers)
+            self.checker.pushed_over(self.clock.now(), name, endpoint.cold_callers)
         return answer
 
     def member(self, name: str) -> Member:
