--- a/benchmarks/cold_town.py
+++ b/benchmarks/cold_town.py
@@ -42,7 +42,7 @@
         if found is not None and now - endpoint.back_at < profile.warm_ms:
             n = profile.fall_multiple * endpoint.warmth(now) * endpoint.capacity * profile.fall_ms / 1000.0
             part = len(endpoint.cold_callers) / (n + 2.0 * sqrt(n) + 2.0)
-            knew = sum(who in self.checker._saw_fail[name] for who in endpoint.cold_callers)
+            knew = sum(who in self.checker._failure_witnesses[name] for who in endpoint.cold_callers)
             aware = part if 3 * knew >= 2 * len(endpoint.cold_callers) else 0.0
             found[:] = found[0] + 1.0, max(found[1], aware), max(found[2], part)
         return answer
--- a/springspread/simulator/checker.py
+++ b/springspread/simulator/checker.py
@@ -108,7 +108,7 @@
         self._told_off: dict[tuple[str, str], float] = {}
         self._waits: dict[tuple[str, str], float] = {}
         self._spans: dict[str, Counter[int]] = defaultdict(Counter)
-        self._saw_fail: dict[str, set[str]] = defaultdict(set)
+        self._failure_witnesses: dict[str, set[str]] = defaultdict(set)
         self._seconds: dict[int, list[float]] = defaultdict(lambda: [0.0, 0.0])
         self._lately: dict[str, deque[float]] = defaultdict(deque)
         self._away: list[tuple[float, float]] = []
@@ -285,11 +285,11 @@
 
     def troubled(self, endpoint: str) -> None:
         """An endpoint's trouble begins: who has seen it fail is asked anew."""
-        self._saw_fail[endpoint].clear()
+        self._failure_witnesses[endpoint].clear()
 
     def failed(self, at: float, sender: str, endpoint: str) -> None:
         """A sender's call failed there, or was refused."""
-        self._saw_fail[endpoint].add(sender)
+        self._failure_witnesses[endpoint].add(sender)
 
     def pushed_over(self, at: float, endpoint: str, senders: Sequence[str]) -> None:
         """A cold endpoint fell over under what it was sent by ``senders``, a call each.
@@ -297,7 +297,7 @@
         The promise is broken where two thirds of it came from senders that had seen a call fail there.
         """
         self.tally.pushed_over += 1
-        knew = [sender for sender in senders if sender in self._saw_fail[endpoint]]
+        knew = [sender for sender in senders if sender in self._failure_witnesses[endpoint]]
         if 3 * len(knew) >= 2 * len(senders):
             text = f"{endpoint} fell over as it came back; {len(knew)} of {len(senders)} calls knew"
             self._fault(at, "cold", ",".join(sorted(set(knew))), text)
