--- a/benchmarks/fleet_chaos.py
+++ b/benchmarks/fleet_chaos.py
@@ -19,13 +19,13 @@
 
 from benchmarks.tables import add, tell_long
 from springspread.fleet.limits import LimitMode
-from springspread.simulator.day import Day, Death, Fate, draw
+from springspread.simulator.day import Day, Fate, SenderOutage, draw
 from springspread.simulator.sockets import SocketSimulation
 
 LONGEST_MS = {Fate.KILL: 3_000.0, Fate.TERM: 6_000.0, Fate.FREEZE: 10_000.0}
 
 
-def fates(seed: int, senders: int, length_ms: float, each_ms: float) -> tuple[Death, ...]:
+def fates(seed: int, senders: int, length_ms: float, each_ms: float) -> tuple[SenderOutage, ...]:
     """One sender after the other meets its fate, about every ``each_ms``; none while it is still away."""
     rng, made, free = Random(f"{seed}/fates"), [], [0.0] * senders
     at = 5_000.0
@@ -33,7 +33,7 @@
         sender = rng.choice([n for n in range(senders) if free[n] <= at])
         fate = rng.choice(list(Fate))
         back_at = at + rng.uniform(4_500.0 if fate is Fate.TERM else 300.0, LONGEST_MS[fate])
-        made.append(Death(at, sender, back_at, fate))
+        made.append(SenderOutage(at, sender, back_at, fate))
         free[sender] = back_at + 4_000.0
         at += rng.expovariate(1.0 / each_ms)
     return tuple(made)
--- a/springspread/simulator/day.py
+++ b/springspread/simulator/day.py
@@ -69,7 +69,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Death:
+class SenderOutage:
     """A sender's process ends, and another one takes up its folder at ``back_at``; or it freezes till then.
 
     In virtual time there is only the kill.
@@ -120,7 +120,7 @@
     partners: tuple[PartnerSpec, ...]
     arrivals: tuple[Arrival, ...]
     changes: tuple[Change, ...] = ()
-    deaths: tuple[Death, ...] = ()
+    deaths: tuple[SenderOutage, ...] = ()
     outages: tuple[Outage, ...] = ()
     retries: int = 2
     retry_ms: float = 500.0
@@ -312,21 +312,23 @@
     return changes
 
 
-def _deaths(seed: int, senders: int, count: int, length_ms: float) -> tuple[Death, ...]:
+def _deaths(seed: int, senders: int, count: int, length_ms: float) -> tuple[SenderOutage, ...]:
     """So many deaths, one after the other, so that a sender is never killed while it is away."""
     rng = Random(f"{seed}/deaths")
     part = 0.7 * length_ms / max(count, 1)
     made = []
     for n in range(count):
         at = 0.1 * length_ms + (n + rng.uniform(0.0, 0.5)) * part
-        made.append(Death(at, rng.randrange(senders), at + min(rng.uniform(500.0, 3_000.0), 0.45 * part)))
+        made.append(
+            SenderOutage(at, rng.randrange(senders), at + min(rng.uniform(500.0, 3_000.0), 0.45 * part))
+        )
     return tuple(made)
 
 
-def _killed(senders: int, part: float, length_ms: float) -> tuple[Death, ...]:
+def _killed(senders: int, part: float, length_ms: float) -> tuple[SenderOutage, ...]:
     """A part of the senders is killed in the same moment and comes back within a second."""
     at = 0.4 * length_ms
-    return tuple(Death(at, n, at + 1_500.0 + 10.0 * n) for n in range(round(senders * part)))
+    return tuple(SenderOutage(at, n, at + 1_500.0 + 10.0 * n) for n in range(round(senders * part)))
 
 
 def _shares(specs: tuple[PartnerSpec, ...]) -> float:
--- a/springspread/simulator/sockets.py
+++ b/springspread/simulator/sockets.py
@@ -27,7 +27,7 @@
 from springspread.http1.server import Request
 from springspread.net.exchange import FAILURES, Connection
 from springspread.simulator.checker import SPAN_MS, Checker
-from springspread.simulator.day import CLASSES, Arrival, Change, Day, Death, Fate, Service
+from springspread.simulator.day import CLASSES, Arrival, Change, Day, Fate, SenderOutage, Service
 from springspread.simulator.fleet import TownFleet
 from springspread.simulator.partner import Answer, End, Partner, Trouble
 from springspread.simulator.polling import LIMITS, AcceptedConnection, PollingServer
@@ -330,7 +330,7 @@
         self._processes[index] = process
         self._addresses[index] = _ready(process, place / "log")
 
-    def _dies(self, death: Death) -> None:
+    def _dies(self, death: SenderOutage) -> None:
         self.checker.sender_away(f"n{death.sender}", death.at, death.back_at + RESTART_MS)
         if self._fleet is not None:
             self._fleet.send(death.sender, SIGNALS[death.fate])
--- a/springspread/simulator/virtual.py
+++ b/springspread/simulator/virtual.py
@@ -54,7 +54,7 @@
 )
 from springspread.fleet.sender_session import POLL_MS, SenderSession
 from springspread.simulator.checker import SPAN_MS, Checker
-from springspread.simulator.day import CLASSES, KINDS, ZONES, Arrival, Change, Day, Death, Service
+from springspread.simulator.day import CLASSES, KINDS, ZONES, Arrival, Change, Day, SenderOutage, Service
 from springspread.simulator.partner import Answer, End, Partner, Trouble
 
 RESULTS = {
@@ -495,7 +495,7 @@
         self._starts += 1
         return Instance(self, index, place, self.day.seed * 1000 + self._starts - 1, self._starts)
 
-    def _dies(self, death: Death) -> None:
+    def _dies(self, death: SenderOutage) -> None:
         old = self.instances[death.sender]
         unheard = [message for message in self._asked.pop(old.name, {}).values() if message.verdict is None]
         old.die()
