--- a/benchmarks/fleet_chaos.py
+++ b/benchmarks/fleet_chaos.py
@@ -19,10 +19,10 @@
 
 from benchmarks.tables import add, tell_long
 from springspread.fleet.limits import LimitMode
-from springspread.simulator.day import Day, Fate, SenderOutage, draw
+from springspread.simulator.day import Day, SenderOutage, StopMode, draw
 from springspread.simulator.sockets import SocketSimulation
 
-LONGEST_MS = {Fate.KILL: 3_000.0, Fate.TERM: 6_000.0, Fate.FREEZE: 10_000.0}
+LONGEST_MS = {StopMode.KILL: 3_000.0, StopMode.TERM: 6_000.0, StopMode.FREEZE: 10_000.0}
 
 
 def fates(seed: int, senders: int, length_ms: float, each_ms: float) -> tuple[SenderOutage, ...]:
@@ -31,8 +31,8 @@
     at = 5_000.0
     while at < length_ms - 15_000.0:
         sender = rng.choice([n for n in range(senders) if free[n] <= at])
-        fate = rng.choice(list(Fate))
-        back_at = at + rng.uniform(4_500.0 if fate is Fate.TERM else 300.0, LONGEST_MS[fate])
+        fate = rng.choice(list(StopMode))
+        back_at = at + rng.uniform(4_500.0 if fate is StopMode.TERM else 300.0, LONGEST_MS[fate])
         made.append(SenderOutage(at, sender, back_at, fate))
         free[sender] = back_at + 4_000.0
         at += rng.expovariate(1.0 / each_ms)
@@ -56,9 +56,9 @@
         "kind": "fleet" if day.shared else "apart",
         "senders": day.senders,
         "seconds": round(day.length_ms / 1000),
-        "kills": sum(death.fate is Fate.KILL for death in day.deaths),
-        "ends": sum(death.fate is Fate.TERM for death in day.deaths),
-        "freezes": sum(death.fate is Fate.FREEZE for death in day.deaths),
+        "kills": sum(death.fate is StopMode.KILL for death in day.deaths),
+        "ends": sum(death.fate is StopMode.TERM for death in day.deaths),
+        "freezes": sum(death.fate is StopMode.FREEZE for death in day.deaths),
         "messages": tally.messages,
         "calls": tally.calls,
         "limit_ratio": round(tally.limit_ratio, 3),
--- a/springspread/simulator/day.py
+++ b/springspread/simulator/day.py
@@ -60,7 +60,7 @@
     end: float
 
 
-class Fate(Enum):
+class StopMode(Enum):
     """What befalls a sender's process."""
 
     KILL = "kill"
@@ -78,7 +78,7 @@
     at: float
     sender: int
     back_at: float
-    fate: Fate = Fate.KILL
+    fate: StopMode = StopMode.KILL
 
 
 @dataclass(frozen=True, slots=True)
--- a/springspread/simulator/sockets.py
+++ b/springspread/simulator/sockets.py
@@ -27,12 +27,12 @@
 from springspread.http1.server import Request
 from springspread.net.exchange import FAILURES, Connection
 from springspread.simulator.checker import SPAN_MS, Checker
-from springspread.simulator.day import CLASSES, Arrival, Change, Day, Fate, SenderOutage, Service
+from springspread.simulator.day import CLASSES, Arrival, Change, Day, SenderOutage, Service, StopMode
 from springspread.simulator.fleet import TownFleet
 from springspread.simulator.partner import Answer, End, Partner, Trouble
 from springspread.simulator.polling import LIMITS, AcceptedConnection, PollingServer
 
-SIGNALS = {Fate.KILL: signal.SIGKILL, Fate.TERM: signal.SIGTERM, Fate.FREEZE: signal.SIGSTOP}
+SIGNALS = {StopMode.KILL: signal.SIGKILL, StopMode.TERM: signal.SIGTERM, StopMode.FREEZE: signal.SIGSTOP}
 CALL_PATHS = ("/events", "/events/bundle")
 STATUS = {End.DONE: 200, End.FAILED: 500, End.FULL: 503}
 NONSENSE = b"HTTP/1.1 2OO fine\r\nContent-Length: -1\r\n\r\n"
@@ -334,11 +334,11 @@
         self.checker.sender_away(f"n{death.sender}", death.at, death.back_at + RESTART_MS)
         if self._fleet is not None:
             self._fleet.send(death.sender, SIGNALS[death.fate])
-            if death.fate is Fate.FREEZE:
+            if death.fate is StopMode.FREEZE:
                 self._at(death.back_at, self._fleet.send, death.sender, signal.SIGCONT)
             return
         process = self._processes[death.sender]
-        if death.fate is Fate.FREEZE:
+        if death.fate is StopMode.FREEZE:
             process.send_signal(signal.SIGSTOP)
             self._at(death.back_at, process.send_signal, signal.SIGCONT)
             return
--- a/tests/simulator/test_sockets.py
+++ b/tests/simulator/test_sockets.py
@@ -10,7 +10,7 @@
 
 import pytest
 
-from springspread.simulator.day import Change, Day, Fate, Outage, SenderOutage, Service, draw
+from springspread.simulator.day import Change, Day, Outage, SenderOutage, Service, StopMode, draw
 from springspread.simulator.partner import Condition, Trouble
 from springspread.simulator.sockets import Live, SocketSimulation
 from tests.peer import WAIT_S
@@ -44,9 +44,9 @@
     """With addresses that pass on, and a directory and a platform that are away for a while."""
     day = draw(3, senders=3, length_ms=7_000.0, drains=8, takeovers=3, shared=True)
     fates = (
-        SenderOutage(1_000.0, 0, 1_800.0, Fate.KILL),
-        SenderOutage(1_500.0, 1, 3_500.0, Fate.FREEZE),
-        SenderOutage(2_500.0, 2, 4_000.0, Fate.TERM),
+        SenderOutage(1_000.0, 0, 1_800.0, StopMode.KILL),
+        SenderOutage(1_500.0, 1, 3_500.0, StopMode.FREEZE),
+        SenderOutage(2_500.0, 2, 4_000.0, StopMode.TERM),
     )
     outages = (Outage(Service.DIRECTORY, 2_000.0, 3_000.0), Outage(Service.PLATFORM, 3_000.0, 5_000.0))
     live = play(tmp_path, replace(day, deaths=fates, outages=outages))
