--- a/benchmarks/fleet_chaos.py
+++ b/benchmarks/fleet_chaos.py
@@ -26,14 +26,14 @@
 
 
 def fates(seed: int, senders: int, length_ms: float, each_ms: float) -> tuple[SenderOutage, ...]:
-    """One sender after the other meets its fate, about every ``each_ms``; none while it is still away."""
+    """Stops one sender after the other, about every ``each_ms``; none while it is still away."""
     rng, made, free = Random(f"{seed}/fates"), [], [0.0] * senders
     at = 5_000.0
     while at < length_ms - 15_000.0:
         sender = rng.choice([n for n in range(senders) if free[n] <= at])
-        fate = rng.choice(list(StopMode))
-        back_at = at + rng.uniform(4_500.0 if fate is StopMode.TERM else 300.0, LONGEST_MS[fate])
-        made.append(SenderOutage(at, sender, back_at, fate))
+        stop_mode = rng.choice(list(StopMode))
+        back_at = at + rng.uniform(4_500.0 if stop_mode is StopMode.TERM else 300.0, LONGEST_MS[stop_mode])
+        made.append(SenderOutage(at, sender, back_at, stop_mode))
         free[sender] = back_at + 4_000.0
         at += rng.expovariate(1.0 / each_ms)
     return tuple(made)
@@ -56,9 +56,9 @@
         "kind": "fleet" if day.shared else "apart",
         "senders": day.senders,
         "seconds": round(day.length_ms / 1000),
-        "kills": sum(death.fate is StopMode.KILL for death in day.deaths),
-        "ends": sum(death.fate is StopMode.TERM for death in day.deaths),
-        "freezes": sum(death.fate is StopMode.FREEZE for death in day.deaths),
+        "kills": sum(death.stop_mode is StopMode.KILL for death in day.deaths),
+        "ends": sum(death.stop_mode is StopMode.TERM for death in day.deaths),
+        "freezes": sum(death.stop_mode is StopMode.FREEZE for death in day.deaths),
         "messages": tally.messages,
         "calls": tally.calls,
         "limit_ratio": round(tally.limit_ratio, 3),
--- a/springspread/simulator/day.py
+++ b/springspread/simulator/day.py
@@ -78,7 +78,7 @@
     at: float
     sender: int
     back_at: float
-    fate: StopMode = StopMode.KILL
+    stop_mode: StopMode = StopMode.KILL
 
 
 @dataclass(frozen=True, slots=True)
--- a/springspread/simulator/sockets.py
+++ b/springspread/simulator/sockets.py
@@ -333,17 +333,17 @@
     def _dies(self, death: SenderOutage) -> None:
         self.checker.sender_away(f"n{death.sender}", death.at, death.back_at + RESTART_MS)
         if self._fleet is not None:
-            self._fleet.send(death.sender, SIGNALS[death.fate])
-            if death.fate is StopMode.FREEZE:
+            self._fleet.send(death.sender, SIGNALS[death.stop_mode])
+            if death.stop_mode is StopMode.FREEZE:
                 self._at(death.back_at, self._fleet.send, death.sender, signal.SIGCONT)
             return
         process = self._processes[death.sender]
-        if death.fate is StopMode.FREEZE:
+        if death.stop_mode is StopMode.FREEZE:
             process.send_signal(signal.SIGSTOP)
             self._at(death.back_at, process.send_signal, signal.SIGCONT)
             return
         del self._addresses[death.sender]
-        process.send_signal(SIGNALS[death.fate])
+        process.send_signal(SIGNALS[death.stop_mode])
         self._at(death.back_at, self._returns, death.sender)
 
     def _returns(self, sender: int) -> None:
