--- a/springspread/simulator/sockets.py
+++ b/springspread/simulator/sockets.py
@@ -136,8 +136,8 @@
             ids = [item["id"] for item in json.loads(request.body)]
         else:
             ids = [request.headers.get("X-Correlation-Id")]
-        if not self.checker.knows(ids):
-            self.checker.unknown(now, name, ids)
+        if not self.checker.knows_all(ids):
+            self.checker.unknown_call(now, name, ids)
             self._server.answer(place, 404, {})
             return
         endpoint = self._partners[group].endpoints[name]
@@ -146,7 +146,7 @@
         self.checker.call(now, sender, name, group, key, ids)
         answer = endpoint.arrive(now, len(ids), sender)
         if endpoint.fallen and not stood:
-            self.checker.pushed_over(now, name, endpoint.cold_callers)
+            self.checker.cold_overload(now, name, endpoint.cold_callers)
         if answer.end is not End.DONE:
             self.checker.failed(now, sender, name)
         if answer.ran:
@@ -210,7 +210,7 @@
             before = endpoint.condition.trouble is Trouble.REFUSING
             endpoint.troubled(self._now(), change.condition)
             if change.condition.trouble is not Trouble.NONE:
-                self.checker.troubled(change.endpoint)
+                self.checker.trouble_began(change.endpoint)
             after = change.condition.trouble is Trouble.REFUSING
             if before != after:
                 self._refuse(change.endpoint, after)
--- a/springspread/simulator/virtual.py
+++ b/springspread/simulator/virtual.py
@@ -312,7 +312,7 @@
         holder = self.town.holder(call.endpoint.port)
         if holder != endpoint:
             text = f"a call for {endpoint} came to {holder}, which has its address now"
-            self.town.checker.astray(now, self.name, text)
+            self.town.checker.misdirected(now, self.name, text)
         answer = self.town.arrive(holder, len(call.attempts), self.name)
         if answer.end is not End.DONE:
             self.town.checker.failed(now, self.name, holder)
@@ -553,7 +553,7 @@
         stood = endpoint.fallen
         answer = endpoint.arrive(self.clock.now(), messages, sender)
         if endpoint.fallen and not stood:
-            self.checker.pushed_over(self.clock.now(), name, endpoint.cold_callers)
+            self.checker.cold_overload(self.clock.now(), name, endpoint.cold_callers)
         return answer
 
     def member(self, name: str) -> Member:
@@ -576,7 +576,7 @@
         if change.condition is not None:
             endpoint.troubled(self.clock.now(), change.condition)
             if change.condition.trouble is not Trouble.NONE:
-                self.checker.troubled(change.endpoint)
+                self.checker.trouble_began(change.endpoint)
         if change.limit is not None:
             self.partners[self._group[change.endpoint]].limit_falls(change.limit)
         if change.state:
--- a/tests/simulator/test_checker.py
+++ b/tests/simulator/test_checker.py
@@ -1,4 +1,4 @@
-"""The checker alone: each promise broken by hand, one at a time, and each kept."""
+"""The checker alone: one scripted violation at a time, and the closest permitted case."""
 
 from __future__ import annotations
 
@@ -27,7 +27,7 @@
     it.done(at, "n0", "g7", ["a"], "delivered", False)
 
 
-def good(it: Checker) -> None:
+def delivered_normally(it: Checker) -> None:
     call(it)
     it.done(400.0, "n0", "g7", ["a"], "maybe", True)
     delivered(it)
@@ -41,28 +41,28 @@
 
 
 def ran_twice(it: Checker) -> None:
-    good(it)
+    delivered_normally(it)
     it.done(600.0, "n0", "g7", ["a"], "maybe", True)
 
 
-def never_ended(it: Checker) -> None:
+def no_final_status(it: Checker) -> None:
     call(it)
 
 
-def told_late(it: Checker) -> None:
+def notified_late(it: Checker) -> None:
     it.notice(28_400.0, "a", "deferred")
 
 
-def told_in_time(it: Checker) -> None:
+def notified_in_time(it: Checker) -> None:
     it.notice(28_300.0, "a", "undeliverable")
 
 
-def two_ends(it: Checker) -> None:
+def two_final_statuses(it: Checker) -> None:
     it.notice(100.0, "a", "deferred")
     it.notice(200.0, "a", "undeliverable")
 
 
-def delivered_after_all(it: Checker) -> None:
+def delivered_after_failure(it: Checker) -> None:
     call(it)
     it.notice(100.0, "a", "undeliverable")
     delivered(it)
@@ -74,22 +74,22 @@
     delivered(it)
 
 
-def sent_after_its_end(it: Checker) -> None:
+def sent_after_notice(it: Checker) -> None:
     it.notice(100.0, "a", "undeliverable")
     call(it, 200.0)
 
 
-def told_as_the_platform_came_back(it: Checker) -> None:
+def notified_as_the_platform_returned(it: Checker) -> None:
     it.platform_away(27_000.0, 33_000.0)
     it.notice(34_000.0, "a", "undeliverable")
 
 
-def told_long_after_the_platform_came_back(it: Checker) -> None:
+def notified_long_after_the_platform_returned(it: Checker) -> None:
     it.platform_away(27_000.0, 33_000.0)
     it.notice(36_000.0, "a", "undeliverable")
 
 
-def told_as_its_sender_came_back(it: Checker) -> None:
+def notified_as_its_sender_returned(it: Checker) -> None:
     it.sender_away("n0", 27_900.0, 29_000.0)
     it.notice(29_300.0, "a", "undeliverable")
 
@@ -99,17 +99,17 @@
     it.notice(29_300.0, "a", "undeliverable")
 
 
-def told_late_of_one_that_nobody_heard_was_taken(it: Checker) -> None:
-    """A sender that was frozen reads a message whose client has long gone elsewhere."""
+def notified_late_of_a_refused_message(it: Checker) -> None:
+    """A frozen sender reads a message after its client has moved on."""
     it.handed_in(0.0, "n0", "b", NOTE, 7, 8_000.0, 0.0)
     it.verdict(400.0, "b", False)
     it.notice(20_000.0, "b", "deferred")
-    good(it)
+    delivered_normally(it)
 
 
-def went_astray(it: Checker) -> None:
-    good(it)
-    it.astray(10.0, "n0", "a call came to an address that had passed on")
+def misdirected_call(it: Checker) -> None:
+    delivered_normally(it)
+    it.misdirected(10.0, "n0", "a call reached a reassigned address")
 
 
 def delivered_at_its_last_moment(it: Checker) -> None:
@@ -117,13 +117,13 @@
     delivered(it, 28_000.0)
 
 
-def told_before_it_was_asked(it: Checker) -> None:
-    """Events of two connections may come in another order than they happened."""
+def delivered_before_its_verdict(it: Checker) -> None:
+    """Events on two connections may be observed out of order."""
     it.handed_in(0.0, "n0", "b", NOTE, 7, 8_000.0, 0.0)
     it.call(5.0, "n0", "s-1", 7, "g7", ["b"])
     it.done(20.0, "n0", "g7", ["b"], "delivered", False)
     it.verdict(25.0, "b", True)
-    good(it)
+    delivered_normally(it)
 
 
 def wrong_group(it: Checker) -> None:
@@ -162,59 +162,59 @@
     delivered(it)
 
 
-def pushed(it: Checker) -> None:
-    good(it)
+def overloaded_by_aware_senders(it: Checker) -> None:
+    delivered_normally(it)
     it.failed(300.0, "n0", "s-1")
-    it.pushed_over(600.0, "s-1", ["n0", "n0", "n1"])
+    it.cold_overload(600.0, "s-1", ["n0", "n0", "n1"])
 
 
-def pushed_unawares(it: Checker) -> None:
-    good(it)
+def overloaded_by_unaware_senders(it: Checker) -> None:
+    delivered_normally(it)
     it.failed(100.0, "n1", "s-1")
-    it.troubled("s-1")
+    it.trouble_began("s-1")
     it.failed(300.0, "n0", "s-1")
-    it.pushed_over(600.0, "s-1", ["n0", "n1", "n1"])
+    it.cold_overload(600.0, "s-1", ["n0", "n1", "n1"])
 
 
 @pytest.mark.parametrize(
     ("history", "expected"),
     [
-        (good, []),
-        (told_in_time, []),
+        (delivered_normally, []),
+        (notified_in_time, []),
         (within_the_grace, []),
         (after_a_wait, []),
         (sent_again, ["twice"]),
         (ran_twice, ["twice"]),
-        (never_ended, ["lost"]),
-        (told_late, ["late"]),
-        (two_ends, ["answers"]),
-        (delivered_after_all, []),
+        (no_final_status, ["lost"]),
+        (notified_late, ["late"]),
+        (two_final_statuses, ["answers"]),
+        (delivered_after_failure, []),
         (delivered_after_deferral, ["answers"]),
-        (sent_after_its_end, ["answers"]),
-        (told_as_the_platform_came_back, []),
-        (told_long_after_the_platform_came_back, ["late"]),
-        (told_as_its_sender_came_back, []),
+        (sent_after_notice, ["answers"]),
+        (notified_as_the_platform_returned, []),
+        (notified_long_after_the_platform_returned, ["late"]),
+        (notified_as_its_sender_returned, []),
         (another_sender_was_away, ["late"]),
-        (told_late_of_one_that_nobody_heard_was_taken, []),
-        (went_astray, ["group"]),
+        (notified_late_of_a_refused_message, []),
+        (misdirected_call, ["group"]),
         (delivered_at_its_last_moment, []),
-        (told_before_it_was_asked, []),
+        (delivered_before_its_verdict, []),
         (wrong_group, ["group"]),
         (after_a_drain, ["drain"]),
         (within_a_wait, ["wait"]),
         (too_many_attempts, ["attempts"]),
-        (pushed, ["cold"]),
-        (pushed_unawares, []),
+        (overloaded_by_aware_senders, ["cold"]),
+        (overloaded_by_unaware_senders, []),
     ],
 )
-def test_each_promise_is_judged_by_itself(history: Callable[[Checker], None], expected: list[str]) -> None:
+def test_each_rule_is_checked_by_itself(history: Callable[[Checker], None], expected: list[str]) -> None:
     it = checker()
     history(it)
     it.close(60_000.0)
     assert [fault.rule for fault in it.faults] == expected
 
 
-def test_worth_falls_by_half_with_each_further_aim_down_to_its_least() -> None:
+def test_worth_halves_with_each_further_aim_down_to_late_worth() -> None:
     for took, worth in ((4000.0, 2.0), (8000.0, 1.0), (20_000.0, 1.0)):
         it = checker()
         delivered(it, took)
@@ -231,7 +231,7 @@
     assert it.tally.over_limit == 1
 
 
-def test_the_grade_weighs_the_worst_ten_seconds_and_class_and_takes_prices_off() -> None:
+def test_the_grade_weighs_the_worst_ten_seconds_and_class_and_subtracts_prices() -> None:
     it = Checker(CLASSES, 500.0, 3, {})
     for second in range(20):
         it.handed_in(1000.0 * second, "n0", f"m{second}", FEE, 7, 28_000.0, 1000.0 * second)
