--- a/springspread/experiments/report.py
+++ b/springspread/experiments/report.py
@@ -16,7 +16,7 @@
 from springspread.experiments.compare import Rows, mean_of
 from springspread.experiments.plan import Knobs
 from springspread.experiments.run import MEASURES, number, points, read_rows, record_path
-from springspread.simulator.checker import LONGEST_MS
+from springspread.simulator.checker import MAX_LATENCY_MS
 
 PERCENTILES = (50.0, 90.0, 99.0, 99.9)
 PAGE = """<!doctype html>
@@ -75,7 +75,7 @@
 
 def latencies(rows: Rows) -> list[int]:
     """Percentiles of all that these days delivered, ms, out of their merged histograms."""
-    merged = HdrHistogram(1, LONGEST_MS, 3)
+    merged = HdrHistogram(1, MAX_LATENCY_MS, 3)
     for row in rows:
         merged.add(HdrHistogram.decode(row["latencies"].encode()))
     return [merged.get_value_at_percentile(percentile) for percentile in PERCENTILES]
--- a/springspread/simulator/checker.py
+++ b/springspread/simulator/checker.py
@@ -21,7 +21,7 @@
 DRAIN_SLACK_MS = 50.0
 WAIT_SLACK_MS = 100.0  # calls in flight as the retry-after was sent are allowed
 SPAN_MS = 2000.0
-LONGEST_MS = 120_000
+MAX_LATENCY_MS = 120_000
 
 
 @dataclass(frozen=True, slots=True)
@@ -113,7 +113,7 @@
         self._recent_calls: dict[str, deque[float]] = defaultdict(deque)
         self._platform_outages: list[tuple[float, float]] = []
         self._sender_outages: dict[str, list[tuple[float, float]]] = defaultdict(list)
-        self.latency = HdrHistogram(1, LONGEST_MS, 3)  # of delivered messages, from first submission
+        self.latency = HdrHistogram(1, MAX_LATENCY_MS, 3)  # of delivered messages, from first submission
         self.faults: list[Fault] = []
         self.tally = Tally()
         self._wire_hash = blake2b(digest_size=16)
