--- a/springspread/simulator/checker.py
+++ b/springspread/simulator/checker.py
@@ -210,7 +210,7 @@
             self.tally.attempts += 1
             if record.notified_at < at:
                 text = (
-                    f"{id} was sent {at - record.notified_at:.0f} ms after its {record.final_status} notice"
+                    f"{id} was sent {at - record.notified_at:.0f} ms after its notice: {record.final_status}"
                 )
                 self._fault(at, "answers", sender, text)
             if record.group != group:
--- a/springspread/simulator/day.py
+++ b/springspread/simulator/day.py
@@ -1,7 +1,7 @@
-"""A day: partners, traffic and troubles, drawn by a seed or given as they are.
+"""A day's scenario: partners, traffic and faults, drawn from a seed or given explicitly.
 
-Each kind of draw has a generator of its own, named by seed and purpose, so that a change in one leaves the
-others as they were. Times are milliseconds, rates are per second.
+Each kind of draw has its own generator, seeded by the seed and a purpose, so that changing one leaves the
+others unchanged. Times are milliseconds, rates are per second.
 """
 
 from __future__ import annotations
@@ -14,7 +14,7 @@
 from typing import Any
 
 from springspread.interface import ClassSpec, Effect
-from springspread.simulator.partner import Condition, Habit, Trouble
+from springspread.simulator.partner import Condition, Profile, Trouble
 
 CLASSES = (
     ClassSpec("status-notice", 1000.0, 8000.0, 1.0, 0.1, Effect.SAFE),
@@ -23,29 +23,29 @@
 KINDS = ("state-portal", "county-office", "dealer")
 ANY = "any"
 FLAPPING, COLD_AGAIN, BUILDING = "flapping", "cold-again", "building"
-SPELLS = (FLAPPING, COLD_AGAIN, BUILDING)
-TROUBLES = (ANY, *(kind.value for kind in Trouble if kind is not Trouble.NONE), *SPELLS)
-"""What may be asked for: any, a kind of ``Trouble``, one that comes and goes every second or two, one whose
-second outage begins while the partner warms up after the first, or all endpoints in one building at once."""
-MUCH = {"failing": (0.31, 0.84), "slow": (1.4, 2.5), "resetting": (0.1, 0.5), "spoilt": (0.1, 0.6)}
-SETTLED_MS = 3_000.0
+PATTERNS = (FLAPPING, COLD_AGAIN, BUILDING)
+TROUBLES = (ANY, *(kind.value for kind in Trouble if kind is not Trouble.NONE), *PATTERNS)
+"""Accepted by ``draw``: any, a kind of ``Trouble``, an intermittent outage, a second outage while
+the partner warms up from the first, or an outage of all endpoints in one building."""
+SEVERITY_RANGES = {"failing": (0.31, 0.84), "slow": (1.4, 2.5), "resetting": (0.1, 0.5), "spoilt": (0.1, 0.6)}
+ADDRESS_REUSE_MS = 3_000.0
 ZONES = ("north-bldg", "south-bldg")
 
 
 @dataclass(frozen=True, slots=True)
 class PartnerSpec:
-    """One partner: its kind, habit and endpoints, and its share of the traffic."""
+    """One partner: its kind, profile and endpoints, and its share of the traffic."""
 
     group: int
     kind: str
-    profile: Habit
+    profile: Profile
     names: tuple[str, ...]
     share: float
-    later: tuple[str, ...] = ()  # endpoints that are listed only once a change says so
+    later: tuple[str, ...] = ()  # endpoints that a change adds to the list
 
 
 class Service(Enum):
-    """What the town has besides partners, clients and senders."""
+    """A simulated service besides partners, clients and senders."""
 
     DIRECTORY = "directory"
     PLATFORM = "platform"
@@ -53,7 +53,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Outage:
-    """The directory (watches and lists) or the platform (notices) is away for a time."""
+    """A period in which the directory (watches and lists) or the platform (notices) is unavailable."""
 
     service: Service
     begin: float
@@ -61,18 +61,18 @@
 
 
 class StopMode(Enum):
-    """What befalls a sender's process."""
+    """How a sender's process is stopped."""
 
     KILL = "kill"
     TERM = "term"
-    FREEZE = "freeze"  # it stands still, and goes on as if nothing had been
+    FREEZE = "freeze"  # suspended, later resumed
 
 
 @dataclass(frozen=True, slots=True)
 class SenderOutage:
-    """A sender's process ends, and another one takes up its folder at ``back_at``; or it freezes till then.
+    """A sender's process ends and is restarted on its folder at ``back_at``, or is frozen until then.
 
-    In virtual time there is only the kill.
+    In virtual time there is only ``KILL``.
     """
 
     at: float
@@ -83,10 +83,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Change:
-    """At a time an endpoint's condition changes, or the list's word on it (ready, draining, gone).
+    """A change of an endpoint's condition or of its state in the list (ready, draining, gone).
 
-    ``takes_over`` names the endpoint whose address it has from then on; ``limit`` is the part of its usual
-    limit that the endpoint's partner takes from then on.
+    ``takes_over`` names the endpoint whose address it gets; ``limit`` is the new limit of the endpoint's
+    partner, as a fraction of the usual one.
     """
 
     at: float
@@ -99,7 +99,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Arrival:
-    """A message that a client hands in."""
+    """A message that a client submits."""
 
     at: float
     sender: int
@@ -110,7 +110,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Day:
-    """Everything that is fixed before a day begins."""
+    """A complete scenario."""
 
     seed: int
     length_ms: float
@@ -124,22 +124,26 @@
     outages: tuple[Outage, ...] = ()
     retries: int = 2
     retry_ms: float = 500.0
-    network_ms: tuple[float, float] = (1.0, 10.0)  # one way, in one building and between the two
+    network_ms: tuple[float, float] = (1.0, 10.0)  # one way: within a building, between buildings
     list_lag_ms: float = 1500.0
     zones: Mapping[str, str] = field(default_factory=dict)
-    shared: bool = False  # the senders are a fleet, and share the partners' limits
-
-    def away(self, service: Service, now: float) -> float:
-        """Until when a service is away; ``now`` itself where it is there."""
-        ends = (cut.end for cut in self.outages if cut.service is service and cut.begin <= now < cut.end)
+    shared: bool = False  # the senders are a fleet and share the partners' limits
+
+    def unavailable_until(self, service: Service, now: float) -> float:
+        """When an outage of a service at ``now`` ends; ``now`` if there is none."""
+        ends = (
+            outage.end
+            for outage in self.outages
+            if outage.service is service and outage.begin <= now < outage.end
+        )
         return max(ends, default=now)
 
     def settings(self, index: int) -> dict[str, Any]:
-        """What a sender is told of its deployment, in the platform's form."""
-        habits = {spec.kind: spec.profile for spec in self.partners}
-        apart = [habits[kind].apart if kind in habits else False for kind in KINDS]
+        """A sender's deployment settings, in the platform's format."""
+        profiles = {spec.kind: spec.profile for spec in self.partners}
+        separate_routes = [profiles[kind].separate_routes if kind in profiles else False for kind in KINDS]
         return {
-            # One of a fleet is told its part of each limit, and need not guess it from the number of senders.
+            # A fleet's sender gets its share of each limit from the allocator.
             "balancers": 1 if self.shared else self.senders,
             "index": 0 if self.shared else index,
             "classes": [
@@ -180,8 +184,8 @@
                 "callsOut": self.slots,
                 "carriage": [0.0, 0.03],
                 "fades": "halving",
-                "perCall": [5 if one else 1 for one in apart],
-                "separateRoutes": apart,
+                "perCall": [5 if one else 1 for one in separate_routes],
+                "separateRoutes": separate_routes,
             },
             "tickMs": 5.0,
             "weightSource": "rough",
@@ -212,38 +216,40 @@
     falls: int = 0,
     killed: float = 0.0,
 ) -> Day:
-    """Draw a day. ``load`` is the share of the partners' limits that the traffic takes up in the mean.
+    """Draw a day. ``load`` is the mean traffic as a fraction of the partners' limits.
 
-    So many partners are in trouble, of the kind named (see ``TROUBLES``); so many have their endpoints
-    replaced, and so many of the new endpoints get an address that another partner's endpoint had.
-    ``clumps`` is the share of the messages that come in clumps for one partner, ``surge`` the factor of the
-    traffic at the month's end: a fifth of the day. So many times a sender is killed, and the directory or the
-    platform is away for some seconds. ``shared``: the senders are a fleet under one allocator.
+    ``troubles`` partners get a fault of kind ``trouble`` (see ``TROUBLES``); ``drains`` partners have their
+    endpoints replaced, and ``takeovers`` of the new endpoints reuse the address of another partner's.
+    ``clumps`` is the share of messages that arrive in bursts for one partner, ``surge`` the traffic's factor
+    for a fifth of the day. ``deaths``, ``directory_outages`` and ``platform_outages`` count the sender kills
+    and the outages. ``shared``: the senders are a fleet under one allocator.
 
-    Of a grown fleet: ``tight`` gives every partner a limit that refused calls use up, and a quick pace;
-    ``skew`` is the spread (lognormal) of the senders' parts of the traffic; so many limits fall to a third
-    for nine seconds; ``killed`` is the share of the senders that are killed at once at 0.4 of the day.
+    For large fleets: ``tight`` gives every partner a limit that rejected calls use up, and short service
+    times; ``skew`` is the lognormal spread of the senders' shares of the traffic; ``falls`` limits drop to a
+    third for nine seconds; ``killed`` is the share of senders that are killed together at 0.4 of the day.
     """
     specs = _partners(seed, partners, per_s / load)
     if tight:
-        specs = tuple(_tight(seed, spec, per_s / load * spec.share / _shares(specs)) for spec in specs)
+        specs = tuple(
+            _with_tight_limit(seed, spec, per_s / load * spec.share / _shares(specs)) for spec in specs
+        )
     specs, moves = _drains(seed, specs, drains, length_ms)
     moves += _takeovers(seed, specs, moves, takeovers)
     zones = _zones(seed, specs)
-    arrivals = _plain("arrivals", seed, specs, senders, per_s * (1.0 - clumps), (0.0, length_ms))
+    arrivals = _poisson("arrivals", seed, specs, senders, per_s * (1.0 - clumps), (0.0, length_ms))
     arrivals += _clumps(seed, specs, senders, per_s * clumps, length_ms)
     window = (0.4 * length_ms, 0.6 * length_ms)
-    arrivals += _plain("surge", seed, specs, senders, per_s * (surge - 1.0), window)
+    arrivals += _poisson("surge", seed, specs, senders, per_s * (surge - 1.0), window)
     arrivals.sort(key=lambda arrival: arrival.at)
     moves += _troubles(seed, specs, troubles, trouble, length_ms, zones)
     outages = _outages(seed, Service.DIRECTORY, directory_outages, length_ms)
     outages += _outages(seed, Service.PLATFORM, platform_outages, length_ms)
-    moves += _falls(seed, specs, falls, length_ms)
+    moves += _limit_drops(seed, specs, falls, length_ms)
     if skew:
-        arrivals = _skewed(seed, arrivals, senders, skew)
-    busy = per_s / load * 0.4  # calls out at full load, at 400 ms each
+        arrivals = _skew_arrivals(seed, arrivals, senders, skew)
+    busy = per_s / load * 0.4  # concurrent calls at full load, at 400 ms each
     if tight:
-        busy *= 0.3  # and at a quick pace
+        busy *= 0.3  # with short service times
     return Day(
         seed,
         length_ms,
@@ -253,14 +259,14 @@
         partners=specs,
         arrivals=tuple(arrivals),
         changes=tuple(sorted(moves, key=_at)),
-        deaths=_deaths(seed, senders, deaths, length_ms) + _killed(senders, killed, length_ms),
+        deaths=_deaths(seed, senders, deaths, length_ms) + _mass_kill(senders, killed, length_ms),
         outages=tuple(outages),
         zones=zones,
         shared=shared,
     )
 
 
-def _plain(
+def _poisson(
     purpose: str,
     seed: int,
     specs: tuple[PartnerSpec, ...],
@@ -268,7 +274,7 @@
     per_s: float,
     window: tuple[float, float],
 ) -> list[Arrival]:
-    """Arrivals at a rate, each for itself."""
+    """Independent arrivals at a rate."""
     rng, (at, end) = Random(f"{seed}/{purpose}"), window
     arrivals: list[Arrival] = []
     weights = [spec.share for spec in specs]
@@ -285,16 +291,16 @@
 def _clumps(
     seed: int, specs: tuple[PartnerSpec, ...], senders: int, per_s: float, length_ms: float
 ) -> list[Arrival]:
-    """Arrivals in clumps: 4 to 20 messages of one class for one partner, handed to one sender at once."""
+    """Bursts of 4 to 20 messages of one class for one partner, submitted to one sender."""
     arrivals = []
-    for n, first in enumerate(_plain("clumps", seed, specs, senders, per_s / 12.0, (0.0, length_ms))):
+    for n, first in enumerate(_poisson("clumps", seed, specs, senders, per_s / 12.0, (0.0, length_ms))):
         count = Random(f"{seed}/clumps/{n}").randint(4, 20)
         arrivals += [replace(first, at=round(first.at + 2.0 * k, 3)) for k in range(count)]
     return arrivals
 
 
 def _takeovers(seed: int, specs: tuple[PartnerSpec, ...], moves: list[Change], count: int) -> list[Change]:
-    """So many new endpoints get the address of another partner's endpoint as soon as that one is gone."""
+    """Give ``count`` new endpoints the address of another partner's endpoint that is gone."""
     rng = Random(f"{seed}/takeovers")
     group = {name: spec.group for spec in specs for name in (*spec.names, *spec.later)}
     gone = {move.endpoint: move.at for move in moves if move.state == "gone"}
@@ -302,31 +308,31 @@
     for move in [move for move in moves if move.state == "ready"]:
         if len(changes) == count:
             break
-        heard = [name for name, at in gone.items() if at + SETTLED_MS < move.at]
-        others = [name for name in heard if group[name] != group[move.endpoint]]
+        expired = [name for name, at in gone.items() if at + ADDRESS_REUSE_MS < move.at]
+        others = [name for name in expired if group[name] != group[move.endpoint]]
         if others:
             old = rng.choice(others)
             del gone[old]
-            # Every sender has heard that the old one is gone before anybody else has its address.
+            # By then every sender has been notified that the old endpoint is gone.
             changes.append(Change(move.at - 0.001, move.endpoint, takes_over=old))
     return changes
 
 
 def _deaths(seed: int, senders: int, count: int, length_ms: float) -> tuple[SenderOutage, ...]:
-    """So many deaths, one after the other, so that a sender is never killed while it is away."""
+    """Kills in disjoint periods, so that a sender is never killed while it is down."""
     rng = Random(f"{seed}/deaths")
     part = 0.7 * length_ms / max(count, 1)
-    made = []
+    result = []
     for n in range(count):
         at = 0.1 * length_ms + (n + rng.uniform(0.0, 0.5)) * part
-        made.append(
+        result.append(
             SenderOutage(at, rng.randrange(senders), at + min(rng.uniform(500.0, 3_000.0), 0.45 * part))
         )
-    return tuple(made)
+    return tuple(result)
 
 
-def _killed(senders: int, part: float, length_ms: float) -> tuple[SenderOutage, ...]:
-    """A part of the senders is killed in the same moment and comes back within a second."""
+def _mass_kill(senders: int, part: float, length_ms: float) -> tuple[SenderOutage, ...]:
+    """Kill a fraction of the senders at once; they restart one after the other."""
     at = 0.4 * length_ms
     return tuple(SenderOutage(at, n, at + 1_500.0 + 10.0 * n) for n in range(round(senders * part)))
 
@@ -335,21 +341,21 @@
     return sum(spec.share for spec in specs)
 
 
-def _tight(seed: int, spec: PartnerSpec, want: float) -> PartnerSpec:
-    """The same partner with a limit that refused calls use up; it can do somewhat more, at a quick pace."""
+def _with_tight_limit(seed: int, spec: PartnerSpec, demand_per_s: float) -> PartnerSpec:
+    """The partner with a limit that rejected calls use up, some spare capacity and short service times."""
     rng = Random(f"{seed}/tight/{spec.group}")
-    pace = rng.uniform(30.0, 100.0)
-    per_s = max(want * rng.uniform(0.9, 1.8), 2.0)
-    ends = len(spec.names) if spec.profile.apart else 1
-    places = max(ceil(per_s * rng.uniform(1.2, 1.6) * pace / 1000 / len(spec.names)), 1)
+    service_ms = rng.uniform(30.0, 100.0)
+    per_s = max(demand_per_s * rng.uniform(0.9, 1.8), 2.0)
+    routes = len(spec.names) if spec.profile.separate_routes else 1
+    workers = max(ceil(per_s * rng.uniform(1.2, 1.6) * service_ms / 1000 / len(spec.names)), 1)
     profile = replace(
-        spec.profile, pace_ms=pace, places=places, limit_per_s=per_s / ends, counts_refused=True
+        spec.profile, service_ms=service_ms, workers=workers, limit_per_s=per_s / routes, counts_refused=True
     )
     return replace(spec, profile=profile)
 
 
-def _falls(seed: int, specs: tuple[PartnerSpec, ...], count: int, length_ms: float) -> list[Change]:
-    """So many partners take a third of their limit for nine seconds."""
+def _limit_drops(seed: int, specs: tuple[PartnerSpec, ...], count: int, length_ms: float) -> list[Change]:
+    """The limits of ``count`` partners drop to a third for nine seconds."""
     rng = Random(f"{seed}/falls")
     changes = []
     for spec in rng.sample(specs, min(count, len(specs))):
@@ -358,44 +364,44 @@
     return changes
 
 
-def _skewed(seed: int, arrivals: list[Arrival], senders: int, spread: float) -> list[Arrival]:
-    """The same arrivals, dealt to the senders by uneven parts."""
+def _skew_arrivals(seed: int, arrivals: list[Arrival], senders: int, spread: float) -> list[Arrival]:
+    """The same arrivals, distributed unevenly over the senders."""
     rng = Random(f"{seed}/skew")
     parts = [rng.lognormvariate(0.0, spread) for _ in range(senders)]
-    dealt = rng.choices(range(senders), parts, k=len(arrivals))
-    return [replace(arrival, sender=sender) for arrival, sender in zip(arrivals, dealt, strict=True)]
+    assigned = rng.choices(range(senders), parts, k=len(arrivals))
+    return [replace(arrival, sender=sender) for arrival, sender in zip(arrivals, assigned, strict=True)]
 
 
 def _outages(seed: int, service: Service, count: int, length_ms: float) -> list[Outage]:
     rng = Random(f"{seed}/{service.value}")
     part = 0.8 * length_ms / max(count, 1)
-    made = []
+    result = []
     for n in range(count):
         begin = 0.1 * length_ms + (n + rng.uniform(0.0, 0.4)) * part
-        made.append(Outage(service, begin, begin + min(rng.uniform(1_000.0, 6_000.0), 0.5 * part)))
-    return made
+        result.append(Outage(service, begin, begin + min(rng.uniform(1_000.0, 6_000.0), 0.5 * part)))
+    return result
 
 
 def _partners(seed: int, count: int, full_per_s: float) -> tuple[PartnerSpec, ...]:
     rng = Random(f"{seed}/partners")
     shares = [1.0 / (n + 1) for n in range(count)]
-    made = []
+    result = []
     for n in range(count):
         kind = rng.choices(KINDS, (0.17, 0.33, 0.5))[0]
-        want = full_per_s * shares[n] / sum(shares)
+        demand_per_s = full_per_s * shares[n] / sum(shares)
         endpoints = rng.choice((1, 2, 2, 3, 3, 4))
-        profile = Habit(pace_ms=rng.uniform(300.0, 510.0), apart=kind == "state-portal")
+        profile = Profile(service_ms=rng.uniform(300.0, 510.0), separate_routes=kind == "state-portal")
         if kind == "state-portal":
-            rate = max(want * rng.uniform(1.4, 2.9), 1.6) / endpoints
+            rate = max(demand_per_s * rng.uniform(1.4, 2.9), 1.6) / endpoints
             profile = replace(profile, limit_per_s=max(rate, 0.5), span_ms=2000.0)
         elif kind == "county-office":
-            profile = replace(profile, limit_per_s=max(want * rng.uniform(0.99, 2.1), 1.7))
+            profile = replace(profile, limit_per_s=max(demand_per_s * rng.uniform(0.99, 2.1), 1.7))
             profile = replace(profile, counts_refused=rng.random() < 0.3)
-        capacity = max(want * rng.uniform(1.2, 2.2), 1.5) * (1.0 if kind == "dealer" else 2.0)
-        places = max(round(capacity * profile.pace_ms / 1000 / endpoints), 1)
+        capacity = max(demand_per_s * rng.uniform(1.2, 2.2), 1.5) * (1.0 if kind == "dealer" else 2.0)
+        workers = max(round(capacity * profile.service_ms / 1000 / endpoints), 1)
         names = tuple(f"p{n}-{chr(97 + e)}" for e in range(endpoints))
-        made.append(PartnerSpec(n, kind, replace(profile, places=places), names, shares[n]))
-    return tuple(made)
+        result.append(PartnerSpec(n, kind, replace(profile, workers=workers), names, shares[n]))
+    return tuple(result)
 
 
 def _zones(seed: int, specs: tuple[PartnerSpec, ...]) -> dict[str, str]:
@@ -412,39 +418,41 @@
     zones: Mapping[str, str],
 ) -> list[Change]:
     rng = Random(f"{seed}/troubles")
-    words = [word for word in TROUBLES if named in (ANY, word) and word not in (ANY, BUILDING)]
+    patterns = [pattern for pattern in TROUBLES if named in (ANY, pattern) and pattern not in (ANY, BUILDING)]
     changes: list[Change] = []
     if named == BUILDING and count:
-        zone, begin, end = rng.choice(ZONES), *_times(rng, length_ms)
+        zone, begin, end = rng.choice(ZONES), *_trouble_window(rng, length_ms)
         for spec in specs:
             names = [name for name in spec.names if zones[name] == zone]
-            changes += _spell(names, Condition(Trouble.REFUSING), begin, end)
+            changes += _condition_changes(names, Condition(Trouble.REFUSING), begin, end)
         return changes
     for spec in rng.sample(specs, min(count, len(specs))):
-        word = rng.choice(words)
-        much = rng.uniform(*MUCH.get(word, (1.0, 1.0)))
-        begin, end = _times(rng, length_ms)
-        if word == FLAPPING:
+        pattern = rng.choice(patterns)
+        severity = rng.uniform(*SEVERITY_RANGES.get(pattern, (1.0, 1.0)))
+        begin, end = _trouble_window(rng, length_ms)
+        if pattern == FLAPPING:
             while begin < end:
-                stays = rng.uniform(500.0, 2_000.0)
-                changes += _spell(spec.names, Condition(Trouble.REFUSING), begin, begin + stays)
-                begin += stays + rng.uniform(500.0, 2_000.0)
-        elif word == COLD_AGAIN:
+                duration_ms = rng.uniform(500.0, 2_000.0)
+                changes += _condition_changes(
+                    spec.names, Condition(Trouble.REFUSING), begin, begin + duration_ms
+                )
+                begin += duration_ms + rng.uniform(500.0, 2_000.0)
+        elif pattern == COLD_AGAIN:
             middle = begin + 0.5 * (end - begin)
             again = middle + rng.uniform(1_000.0, 5_000.0)
-            changes += _spell(spec.names, Condition(Trouble.REFUSING), begin, middle)
-            changes += _spell(spec.names, Condition(Trouble.REFUSING), again, again + 3_000.0)
+            changes += _condition_changes(spec.names, Condition(Trouble.REFUSING), begin, middle)
+            changes += _condition_changes(spec.names, Condition(Trouble.REFUSING), again, again + 3_000.0)
         else:
-            changes += _spell(spec.names, Condition(Trouble(word), much), begin, end)
+            changes += _condition_changes(spec.names, Condition(Trouble(pattern), severity), begin, end)
     return changes
 
 
-def _times(rng: Random, length_ms: float) -> tuple[float, float]:
+def _trouble_window(rng: Random, length_ms: float) -> tuple[float, float]:
     begin = rng.uniform(0.15, 0.5) * length_ms
     return begin, begin + rng.uniform(5_000.0, min(20_000.0, max(0.35 * length_ms, 5_000.0)))
 
 
-def _spell(names: Sequence[str], condition: Condition, begin: float, end: float) -> list[Change]:
+def _condition_changes(names: Sequence[str], condition: Condition, begin: float, end: float) -> list[Change]:
     changes = [Change(begin, name, condition) for name in names]
     return changes + [Change(end, name, Condition()) for name in names]
 
@@ -452,10 +460,10 @@
 def _drains(
     seed: int, specs: tuple[PartnerSpec, ...], count: int, length_ms: float
 ) -> tuple[tuple[PartnerSpec, ...], list[Change]]:
-    """So many partners have each endpoint replaced: a new one is ready, the old one drains and goes."""
+    """Replace each endpoint of ``count`` partners: a new one is ready, the old one drains and goes."""
     rng = Random(f"{seed}/drains")
     chosen = {spec.group for spec in rng.sample(specs, min(count, len(specs)))}
-    made, changes = [], []
+    result, changes = [], []
     for spec in specs:
         if spec.group in chosen:
             later = tuple(f"{name}2" for name in spec.names)
@@ -465,8 +473,8 @@
                 changes.append(Change(at + 500.0, old, state="draining"))
                 changes.append(Change(at + 5_000.0, old, state="gone"))
             spec = replace(spec, later=later)
-        made.append(spec)
-    return tuple(made), changes
+        result.append(spec)
+    return tuple(result), changes
 
 
 def _at(change: Change) -> float:
--- a/springspread/simulator/partner.py
+++ b/springspread/simulator/partner.py
@@ -1,9 +1,8 @@
-"""A partner: its endpoints, its limit, its pace and its troubles, as a model fed times and calls.
+"""A model of a partner: endpoints, limit, service times and faults.
 
-Theory of operation: a call that arrives is judged at once. Whatever keeps it from being served (trouble, the
-limit, a full queue) is looked at in the order in which a real partner would come to it; else it takes the
-place of work that is free first, and the moment of its end is known from there. So a partner needs no events
-of its own, and the same arrivals always meet the same ends. Times are milliseconds; rates are calls a second.
+The outcome of a call is computed as it arrives: faults, the limit and a full queue are checked in the order
+of a real partner, else the call goes to the worker that is free first. A partner thus needs no events of its
+own, and equal arrivals have equal outcomes. Times are milliseconds; rates are calls a second.
 """
 
 from __future__ import annotations
@@ -17,16 +16,16 @@
 
 
 class Trouble(Enum):
-    """What may be wrong with an endpoint."""
+    """A fault of an endpoint."""
 
     NONE = "none"
     REFUSING = "refusing"  # connections are refused
     SILENT = "silent"  # calls are never answered
-    FAILING = "failing"  # calls fail fast, a share of them
-    SHUT = "shut"  # every call is turned away
-    SLOW = "slow"  # calls take so many times as long
+    FAILING = "failing"  # a share of calls fails fast
+    SHUT = "shut"  # every call is rejected
+    SLOW = "slow"  # service times are multiplied
     RESETTING = "resetting"  # a share of calls ends in a reset, and may have run
-    SPOILT = "spoilt"  # a share of calls is served and answered with nonsense
+    MALFORMED = "spoilt"  # a share of calls is served, with a malformed answer
 
 
 class End(Enum):
@@ -36,14 +35,14 @@
     FAILED = "failed"
     FULL = "full"
     REFUSED = "refused"  # no connection
-    SILENT = "silent"  # never: the caller stops waiting
+    SILENT = "silent"  # no answer
     RESET = "reset"
-    SPOILT = "spoilt"  # an answer came that means nothing
+    MALFORMED = "spoilt"  # a malformed answer
 
 
 @dataclass(frozen=True, slots=True)
 class Answer:
-    """When and how a call ends; ``ran`` counts its messages that were applied, by then or earlier."""
+    """When and how a call ends; ``ran``: whether its messages were applied."""
 
     at: float
     end: End
@@ -54,60 +53,60 @@
 
 
 class Limit:
-    """So many calls in each fixed span (``span_ms`` > 0), or a plain rate with room for a short burst."""
+    """A count of calls in each fixed span (``span_ms`` > 0), or a rate with a short burst."""
 
     def __init__(self, per_s: float, span_ms: float = 0.0, burst_ms: float = 500.0) -> None:
         self.span_ms, self._burst_ms = span_ms, burst_ms
-        self.falls_to(per_s)
+        self.set_rate(per_s)
         self._span, self._used = -1, 0
-        self._tokens, self._at = self._depth, 0.0
+        self._tokens, self._at = self._burst_calls, 0.0
 
-    def falls_to(self, per_s: float) -> None:
-        """It is another one from now on, lower or higher."""
+    def set_rate(self, per_s: float) -> None:
+        """Change the rate."""
         self.per_s = per_s
-        self._count = max(int(per_s * self.span_ms / 1000), 1)
-        self._depth = max(per_s * self._burst_ms / 1000, 1.0)
+        self._calls_per_span = max(int(per_s * self.span_ms / 1000), 1)
+        self._burst_calls = max(per_s * self._burst_ms / 1000, 1.0)
 
     def left(self, now: float) -> float:
-        """The share of the limit that is left now."""
+        """The share of the limit that is left."""
         if self.span_ms:
-            return 1.0 - (self._used if int(now / self.span_ms) == self._span else 0) / self._count
-        return min(self._tokens + (now - self._at) * self.per_s / 1000, self._depth) / self._depth
+            return 1.0 - (self._used if int(now / self.span_ms) == self._span else 0) / self._calls_per_span
+        return min(self._tokens + (now - self._at) * self.per_s / 1000, self._burst_calls) / self._burst_calls
 
     def take(self, now: float) -> bool:
-        """A call comes: whether it is within the limit."""
+        """Count a call; whether it is within the limit."""
         if self.span_ms:
             span = int(now / self.span_ms)
             if span != self._span:
                 self._span, self._used = span, 0
-            within = self._used < self._count
+            within = self._used < self._calls_per_span
             self._used += within
             return within
-        self._tokens = min(self._tokens + (now - self._at) * self.per_s / 1000, self._depth)
+        self._tokens = min(self._tokens + (now - self._at) * self.per_s / 1000, self._burst_calls)
         self._at = now
         within = self._tokens >= 1.0
         self._tokens -= within
         return within
 
     def refused(self) -> None:
-        """A call that was refused just now uses the limit up, too."""
+        """Charge a rejected call to the limit."""
         self._tokens = max(self._tokens - 1.0, 0.0)
 
 
 @dataclass(frozen=True, slots=True)
-class Habit:
-    """What a partner is like. ``places`` work at once, ``queue`` calls wait; ``spread`` is lognormal."""
+class Profile:
+    """A partner's behaviour. Up to ``queue`` calls wait for ``workers``; ``spread`` is lognormal."""
 
-    pace_ms: float
+    service_ms: float
     spread: float = 0.35
-    places: int = 4
+    workers: int = 4
     queue: int = 8
-    limit_per_s: float = 0.0  # 0: none but its capacity
+    limit_per_s: float = 0.0  # 0: no limit but the capacity
     span_ms: float = 0.0
     counts_refused: bool = False
-    tells_wait_ms: float = 0.0
-    apart: bool = False
-    reports: bool = True
+    retry_after_ms: float = 0.0
+    separate_routes: bool = False
+    reports_load: bool = True
     cold_share: float = 0.13
     warm_ms: float = 12_000.0
     fall_multiple: float = 2.5
@@ -116,118 +115,122 @@
 
 @dataclass(slots=True)
 class Condition:
-    """An endpoint's trouble from a time on; ``much`` is a share of calls, or a factor (slow)."""
+    """An endpoint's current fault; ``severity`` is a share of calls, or a factor (slow)."""
 
     trouble: Trouble = Trouble.NONE
-    much: float = 1.0
+    severity: float = 1.0
 
 
 @dataclass(slots=True, eq=False)
 class Endpoint:
-    """One endpoint: its places of work, and how warm it is."""
+    """One endpoint: its workers and its warm-up."""
 
     name: str
-    profile: Habit
+    profile: Profile
     rng: Random
     limit: Limit | None
     condition: Condition = field(default_factory=Condition)
-    back_at: float = -inf  # when its last outage ended: it is cold from then on
-    fallen: bool = False
-    _free: list[float] = field(default_factory=list)
-    _cold_calls: deque[tuple[float, str]] = field(default_factory=deque)
+    back_at: float = -inf  # end of the last outage: it warms up from there
+    overloaded: bool = False
+    _free_at: list[float] = field(default_factory=list)
+    _recent_cold_calls: deque[tuple[float, str]] = field(default_factory=deque)
 
     def __post_init__(self) -> None:
-        self._free = [0.0] * self.profile.places
-        heapify(self._free)
+        self._free_at = [0.0] * self.profile.workers
+        heapify(self._free_at)
 
     @property
     def capacity(self) -> float:
-        """Calls a second, warm."""
-        return 1000.0 * self.profile.places / self.profile.pace_ms
+        """Calls a second when warm."""
+        return 1000.0 * self.profile.workers / self.profile.service_ms
 
     def warmth(self, now: float) -> float:
-        """The share of its capacity that it has."""
+        """The available share of its capacity."""
         profile, since = self.profile, now - self.back_at
         if since >= profile.warm_ms:
             return 1.0
         return profile.cold_share + (1.0 - profile.cold_share) * max(since, 0.0) / profile.warm_ms
 
-    def troubled(self, now: float, condition: Condition) -> None:
-        """Its trouble begins or ends. It is cold after one in which it served nobody."""
-        away = (Trouble.REFUSING, Trouble.SILENT, Trouble.SHUT)
-        if self.condition.trouble in away and condition.trouble not in away:
-            self.back_at, self.fallen = now, False
-            self._free = [now] * self.profile.places
-            self._cold_calls.clear()
+    def set_condition(self, now: float, condition: Condition) -> None:
+        """Set the condition. The endpoint is cold after an outage."""
+        out_of_service = (Trouble.REFUSING, Trouble.SILENT, Trouble.SHUT)
+        if self.condition.trouble in out_of_service and condition.trouble not in out_of_service:
+            self.back_at, self.overloaded = now, False
+            self._free_at = [now] * self.profile.workers
+            self._recent_cold_calls.clear()
         self.condition = condition
 
     def arrive(self, now: float, messages: int = 1, sender: str = "") -> Answer:
-        """A call's last byte has come."""
-        if self._pushed(now, sender):
-            self.fallen = True
-        trouble = Trouble.REFUSING if self.fallen else self.condition.trouble
+        """A call has arrived completely."""
+        if self._is_overloaded(now, sender):
+            self.overloaded = True
+        trouble = Trouble.REFUSING if self.overloaded else self.condition.trouble
         if trouble is Trouble.REFUSING:
             return Answer(now, End.REFUSED, False)
         if trouble is Trouble.SILENT:
             return Answer(inf, End.SILENT, self.rng.random() < 0.5)
         if trouble is Trouble.SHUT:
-            return self._full(now)
+            return self._reject(now)
         if self.limit is not None and not self.limit.take(now):
-            return self._full(now)
-        if trouble is Trouble.FAILING and self.rng.random() < self.condition.much:
-            return self._told(now + 5.0, End.FAILED, self.rng.random() < 0.5)
-        if trouble is Trouble.RESETTING and self.rng.random() < self.condition.much:
+            return self._reject(now)
+        if trouble is Trouble.FAILING and self.rng.random() < self.condition.severity:
+            return self._answer(now + 5.0, End.FAILED, self.rng.random() < 0.5)
+        if trouble is Trouble.RESETTING and self.rng.random() < self.condition.severity:
             return Answer(
-                now + self.rng.uniform(0.0, self.profile.pace_ms), End.RESET, self.rng.random() < 0.5
+                now + self.rng.uniform(0.0, self.profile.service_ms), End.RESET, self.rng.random() < 0.5
             )
-        answer = self._serve(now, messages, self.condition.much if trouble is Trouble.SLOW else 1.0)
-        if trouble is Trouble.SPOILT and answer.end is End.DONE and self.rng.random() < self.condition.much:
-            return replace(answer, end=End.SPOILT)
+        answer = self._serve(now, messages, self.condition.severity if trouble is Trouble.SLOW else 1.0)
+        if (
+            trouble is Trouble.MALFORMED
+            and answer.end is End.DONE
+            and self.rng.random() < self.condition.severity
+        ):
+            return replace(answer, end=End.MALFORMED)
         return answer
 
     def _serve(self, now: float, messages: int, factor: float) -> Answer:
-        waiting = sum(at > now for at in self._free)
-        start = max(now, self._free[0])
-        mean = self.profile.pace_ms * factor / self.warmth(now) * (1.0 + 0.25 * (messages - 1))
-        if waiting == len(self._free) and start - now > self.profile.queue * mean / self.profile.places:
-            return self._full(now)
+        waiting = sum(at > now for at in self._free_at)
+        start = max(now, self._free_at[0])
+        mean = self.profile.service_ms * factor / self.warmth(now) * (1.0 + 0.25 * (messages - 1))
+        if waiting == len(self._free_at) and start - now > self.profile.queue * mean / self.profile.workers:
+            return self._reject(now)
         noise = exp(self.rng.gauss(0.0, self.profile.spread) - self.profile.spread**2 / 2)
         end = start + mean * noise
-        heapreplace(self._free, end)
-        return self._told(end, End.DONE, True)
+        heapreplace(self._free_at, end)
+        return self._answer(end, End.DONE, True)
 
-    def _full(self, now: float) -> Answer:
+    def _reject(self, now: float) -> Answer:
         if self.limit is not None and self.profile.counts_refused:
             self.limit.refused()
-        return self._told(now + 1.0, End.FULL, False, self.profile.tells_wait_ms)
+        return self._answer(now + 1.0, End.FULL, False, self.profile.retry_after_ms)
 
-    def _told(self, at: float, end: End, ran: bool, wait_ms: float = 0.0) -> Answer:
-        if self.limit is None or not self.profile.reports:
+    def _answer(self, at: float, end: End, ran: bool, wait_ms: float = 0.0) -> Answer:
+        if self.limit is None or not self.profile.reports_load:
             return Answer(at, end, ran, wait_ms)
         left = round(max(self.limit.left(at), 0.0), 3)
         return Answer(at, end, ran, wait_ms, left, self.limit.per_s)
 
     @property
     def cold_callers(self) -> list[str]:
-        """Who sent what it was sent in its last ``fall_ms`` while cold, a call each."""
-        return [sender for _, sender in self._cold_calls]
+        """The senders of the calls in the last ``fall_ms`` while cold, one entry a call."""
+        return [sender for _, sender in self._recent_cold_calls]
 
-    def _pushed(self, now: float, sender: str) -> bool:
-        # What a cold endpoint is sent, whether it serves it or not, may be so many times what it can do.
+    def _is_overloaded(self, now: float, sender: str) -> bool:
+        # A cold endpoint tolerates ``fall_multiple`` times its capacity, rejected calls included.
         profile = self.profile
         if now - self.back_at >= profile.warm_ms:
             return False
-        self._cold_calls.append((now, sender))
-        while self._cold_calls[0][0] <= now - profile.fall_ms:
-            self._cold_calls.popleft()
+        self._recent_cold_calls.append((now, sender))
+        while self._recent_cold_calls[0][0] <= now - profile.fall_ms:
+            self._recent_cold_calls.popleft()
         budget = profile.fall_multiple * self.warmth(now) * self.capacity * profile.fall_ms / 1000
-        return len(self._cold_calls) > max(budget, 3.0)
+        return len(self._recent_cold_calls) > max(budget, 3.0)
 
 
 class Partner:
-    """One destination: its endpoints share a limit, unless they are routes apart."""
+    """One destination: its endpoints share a limit, unless they are separate routes."""
 
-    def __init__(self, group: int, profile: Habit, names: list[str], seed: str) -> None:
+    def __init__(self, group: int, profile: Profile, names: list[str], seed: str) -> None:
         self.group, self.profile, self._seed = group, profile, seed
         self._shared = self._limit()
         self.endpoints: dict[str, Endpoint] = {}
@@ -239,20 +242,20 @@
         return Limit(profile.limit_per_s, profile.span_ms) if profile.limit_per_s else None
 
     def add(self, name: str) -> Endpoint:
-        """A further endpoint."""
-        limit = self._limit() if self.profile.apart else self._shared
+        """Add an endpoint."""
+        limit = self._limit() if self.profile.separate_routes else self._shared
         made = Endpoint(name, self.profile, Random(f"{self._seed}/pace/{name}"), limit)
         self.endpoints[name] = made
         return made
 
-    def limit_falls(self, part: float) -> None:
-        """It takes this part of its usual limit from now on; 1 is the usual one again."""
+    def scale_limit(self, part: float) -> None:
+        """Set the limit to a fraction of the usual one."""
         for limit in {id(e.limit): e.limit for e in self.endpoints.values() if e.limit}.values():
-            limit.falls_to(self.profile.limit_per_s * part)
+            limit.set_rate(self.profile.limit_per_s * part)
 
     @property
     def rating(self) -> float:
-        """Calls a second that it takes from everybody (a route's, where they are apart)."""
+        """Calls a second in total, or for each route where routes are separate."""
         each = next(iter(self.endpoints.values())).capacity
-        total = each if self.profile.apart else each * len(self.endpoints)
+        total = each if self.profile.separate_routes else each * len(self.endpoints)
         return min(self.profile.limit_per_s or inf, total)
--- a/springspread/simulator/sockets.py
+++ b/springspread/simulator/sockets.py
@@ -117,7 +117,7 @@
 
     def _key(self, endpoint: str) -> str:
         group = self._group[endpoint]
-        return endpoint if self._partners[group].profile.apart else f"g{group}"
+        return endpoint if self._partners[group].profile.separate_routes else f"g{group}"
 
     def _limit_key(self, key: str) -> str:
         """A limit's key as the fleet names it."""
@@ -141,11 +141,11 @@
             self._server.answer(place, 404, {})
             return
         endpoint = self._partners[group].endpoints[name]
-        stood = endpoint.fallen
+        was_overloaded = endpoint.overloaded
         sender, key = self.checker.sender_of(ids[0]), self._key(name)
         self.checker.call(now, sender, name, group, key, ids)
         answer = endpoint.arrive(now, len(ids), sender)
-        if endpoint.fallen and not stood:
+        if endpoint.overloaded and not was_overloaded:
             self.checker.cold_overload(now, name, endpoint.cold_callers)
         if answer.end is not End.DONE:
             self.checker.failed(now, sender, name)
@@ -175,8 +175,8 @@
             body = json.dumps([{"id": id, "state": "done"} for id in ids]).encode() if bundle else b""
         was_open = place.open
         self.checker.tally.rejected += answer.end is End.FULL
-        if answer.end in (End.RESET, End.SPOILT):
-            if was_open and answer.end is End.SPOILT:
+        if answer.end in (End.RESET, End.MALFORMED):
+            if was_open and answer.end is End.MALFORMED:
                 place.sock.send(NONSENSE)
             self._server.end(place, reset=answer.end is End.RESET)
             self.checker.done(now, sender, key, ids, "maybe", False)
@@ -208,14 +208,14 @@
         if change.condition is not None:
             endpoint = self._partners[self._group[change.endpoint]].endpoints[change.endpoint]
             before = endpoint.condition.trouble is Trouble.REFUSING
-            endpoint.troubled(self._now(), change.condition)
+            endpoint.set_condition(self._now(), change.condition)
             if change.condition.trouble is not Trouble.NONE:
                 self.checker.trouble_began(change.endpoint)
             after = change.condition.trouble is Trouble.REFUSING
             if before != after:
                 self._refuse(change.endpoint, after)
         if change.limit is not None:
-            self._partners[self._group[change.endpoint]].limit_falls(change.limit)
+            self._partners[self._group[change.endpoint]].scale_limit(change.limit)
         if change.state:
             self._at(self._now() + self.day.list_lag_ms, self._listed, change)
 
@@ -225,7 +225,7 @@
         self._states[change.endpoint] = EndpointState(change.state)
         self._version += 1
         self._changed[change.endpoint] = self._version
-        if self.day.away(Service.DIRECTORY, self._now()) > self._now():
+        if self.day.unavailable_until(Service.DIRECTORY, self._now()) > self._now():
             return  # the next watch tells it
         watches, self._watches = self._watches, []
         for place, sender, since, _ in watches:
@@ -247,7 +247,7 @@
     def _directory(self, sender: str) -> Callable[[AcceptedConnection, Request], None]:
         def serve(place: AcceptedConnection, request: Request) -> None:
             service = Service.PLATFORM if request.method == "POST" else Service.DIRECTORY
-            if self.day.away(service, self._now()) > self._now():
+            if self.day.unavailable_until(service, self._now()) > self._now():
                 self._server.end(place, reset=True)
                 return
             if request.method == "POST":
@@ -446,11 +446,11 @@
             self._at(arrival.at, self._hand_in, arrival, self.day.retries, arrival.at)
         for change in self.day.changes:
             self._at(change.at, self._change, change)
-        for cut in self.day.outages:
-            if cut.service is Service.PLATFORM:
-                self.checker.platform_away(cut.begin, cut.end)
+        for outage in self.day.outages:
+            if outage.service is Service.PLATFORM:
+                self.checker.platform_away(outage.begin, outage.end)
             else:
-                self._at(cut.begin, self._cut)
+                self._at(outage.begin, self._cut)
         for death in self.day.deaths:
             self._at(death.at, self._dies, death)
         longest = max(spec.deadline_ms for spec in CLASSES)
--- a/springspread/simulator/virtual.py
+++ b/springspread/simulator/virtual.py
@@ -63,7 +63,7 @@
     End.FULL: Result.REJECTED,
     End.REFUSED: Result.NOT_CONNECTED,
     End.RESET: Result.BROKEN,
-    End.SPOILT: Result.MALFORMED,
+    End.MALFORMED: Result.MALFORMED,
 }
 MEDIUM_MS = 0.5  # between an instance and the allocator, one way
 KEPT_MS = 3_500.0  # a connection idle for longer is opened anew
@@ -335,9 +335,9 @@
         self.town.checker.tally.rejected += answer.end is End.FULL
         if answer.end is End.DONE:
             self.town.checker.done(now, self.name, key, ids, "delivered", False)
-        elif answer.end in (End.FAILED, End.RESET, End.SPOILT) and not answer.ran:
+        elif answer.end in (End.FAILED, End.RESET, End.MALFORMED) and not answer.ran:
             self.town.checker.done(now, self.name, key, ids, "maybe", False)
-        if answer.end not in (End.REFUSED, End.RESET, End.SPOILT):
+        if answer.end not in (End.REFUSED, End.RESET, End.MALFORMED):
             self._idle.setdefault(call.endpoint.number, []).append(now)
         for run in call.attempts:
             load = Load(answer.left_share, answer.limit_per_s)
@@ -381,7 +381,7 @@
     def fetch(self) -> None:
         """Ask for the whole list."""
         town, now = self.town, self.town.clock.now()
-        if town.day.away(Service.DIRECTORY, now) > now:
+        if town.day.unavailable_until(Service.DIRECTORY, now) > now:
             town.at(now + town.day.network_ms[0], self.put, ListUpdate(Scope.FAILED))
             return
         town.at(now + 2 * town.day.network_ms[0], self.told, Scope.WHOLE, list(town.states))
@@ -391,7 +391,7 @@
         town, now = self.town, self.town.clock.now()
         if self.dead or (scope is Scope.CHANGES and not self._watching):
             return
-        back_at = town.day.away(Service.DIRECTORY, now)
+        back_at = town.day.unavailable_until(Service.DIRECTORY, now)
         if back_at > now:
             # The watch broke off; the next one, as soon as it is answered, tells all that was missed.
             town.at(back_at + town.day.network_ms[0], self.told, scope, names)
@@ -411,7 +411,9 @@
         """Tell the platform a message's end."""
         town = self.town
         if not town.knobs.drop_notices:
-            sent_at = town.day.away(Service.PLATFORM, town.clock.now())  # it is told until it is taken
+            sent_at = town.day.unavailable_until(
+                Service.PLATFORM, town.clock.now()
+            )  # it is told until it is taken
             town.at(sent_at + town.day.network_ms[0], self._noticed, notice, sent_at > town.clock.now())
 
     def _noticed(self, notice: Notice, waited: bool) -> None:
@@ -477,11 +479,11 @@
         for name, group in self._group.items():
             profile = self.partners[group].profile
             if profile.limit_per_s:
-                key = f"r{group}/{name}" if profile.apart else f"g{group}"
+                key = f"r{group}/{name}" if profile.separate_routes else f"g{group}"
                 self.control.set_limit(0.0, key, Limit.of_rate(profile.limit_per_s, SPAN_MS))
-        for cut in day.outages:
-            if cut.service is Service.PLATFORM:
-                self.checker.platform_away(cut.begin, cut.end)
+        for outage in day.outages:
+            if outage.service is Service.PLATFORM:
+                self.checker.platform_away(outage.begin, outage.end)
         self._errands: dict[str, Errand] = {}
         self._asked: dict[str, dict[str, Message]] = {}  # by sender, what has no verdict yet
         self._handed = 0
@@ -540,7 +542,7 @@
     def key(self, endpoint: str) -> str:
         """What a limit and a told wait bind."""
         group = self._group[endpoint]
-        return endpoint if self.partners[group].profile.apart else f"g{group}"
+        return endpoint if self.partners[group].profile.separate_routes else f"g{group}"
 
     def way(self, sender: int, endpoint: str) -> float:
         """One way between a sender's building (they take turns) and an endpoint's."""
@@ -550,9 +552,9 @@
     def arrive(self, name: str, messages: int, sender: str) -> Answer:
         """A call's last byte has come to an endpoint."""
         endpoint = self.partners[self._group[name]].endpoints[name]
-        stood = endpoint.fallen
+        was_overloaded = endpoint.overloaded
         answer = endpoint.arrive(self.clock.now(), messages, sender)
-        if endpoint.fallen and not stood:
+        if endpoint.overloaded and not was_overloaded:
             self.checker.cold_overload(self.clock.now(), name, endpoint.cold_callers)
         return answer
 
@@ -574,11 +576,11 @@
             self._ports[change.endpoint], self._holders[port] = port, change.endpoint
         endpoint = self.partners[self._group[change.endpoint]].endpoints[change.endpoint]
         if change.condition is not None:
-            endpoint.troubled(self.clock.now(), change.condition)
+            endpoint.set_condition(self.clock.now(), change.condition)
             if change.condition.trouble is not Trouble.NONE:
                 self.checker.trouble_began(change.endpoint)
         if change.limit is not None:
-            self.partners[self._group[change.endpoint]].limit_falls(change.limit)
+            self.partners[self._group[change.endpoint]].scale_limit(change.limit)
         if change.state:
             self.states[change.endpoint] = EndpointState(change.state)
             self.version += 1
--- a/tests/simulator/test_partner.py
+++ b/tests/simulator/test_partner.py
@@ -1,4 +1,4 @@
-"""Partners alone: limits, places of work, troubles and the cold return."""
+"""The partner model alone: limits, workers, faults and warm-up."""
 
 from __future__ import annotations
 
@@ -10,21 +10,21 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from springspread.simulator.partner import Condition, End, Endpoint, Habit, Limit, Partner, Trouble
+from springspread.simulator.partner import Condition, End, Endpoint, Limit, Partner, Profile, Trouble
 
-HABIT = Habit(pace_ms=100.0, spread=0.0, places=2, queue=2)
+PROFILE = Profile(service_ms=100.0, spread=0.0, workers=2, queue=2)
 
 
-def endpoint(profile: Habit = HABIT, limit: Limit | None = None) -> Endpoint:
+def endpoint(profile: Profile = PROFILE, limit: Limit | None = None) -> Endpoint:
     return Endpoint("s-1", profile, Random(1), limit)
 
 
-def test_places_of_work_then_a_queue_then_full() -> None:
+def test_calls_take_workers_then_queue_then_are_rejected() -> None:
     it = endpoint()
     answers = [it.arrive(0.0) for _ in range(7)]
     assert [answer.at for answer in answers[:4]] == [100.0, 100.0, 200.0, 200.0]
     assert answers[-1].end is End.FULL and not answers[-1].ran
-    assert it.arrive(150.0).end is End.DONE  # two places came free
+    assert it.arrive(150.0).end is End.DONE  # two workers are free
 
 
 @settings(derandomize=True, deadline=None, max_examples=60)
@@ -47,34 +47,34 @@
         assert taken <= max(per_s * 0.5, 1.0) + per_s * now / 1000 + 1e-6
 
 
-def test_refused_calls_use_a_limit_up_where_they_count() -> None:
+def test_rejected_calls_use_up_a_limit_that_counts_them() -> None:
     served = {}
     for counts in (False, True):
-        profile = replace(HABIT, places=50, limit_per_s=20.0, counts_refused=counts)
+        profile = replace(PROFILE, workers=50, limit_per_s=20.0, counts_refused=counts)
         partner = Partner(1, profile, ["a"], "seed")
         ends = [partner.endpoints["a"].arrive(25.0 * n).end for n in range(400)]  # 40 a second
         served[counts] = ends.count(End.DONE)
     assert served[False] >= 200 and served[True] <= 50
 
 
-def test_a_limit_falls_and_returns() -> None:
-    partner = Partner(1, replace(HABIT, places=50, limit_per_s=30.0), ["a", "b"], "seed")
+def test_a_limit_drops_and_recovers() -> None:
+    partner = Partner(1, replace(PROFILE, workers=50, limit_per_s=30.0), ["a", "b"], "seed")
     limit = partner.endpoints["b"].limit
-    partner.limit_falls(1 / 3)
+    partner.scale_limit(1 / 3)
     assert limit is not None and limit.per_s == 10.0
-    partner.limit_falls(1.0)
+    partner.scale_limit(1.0)
     assert limit.per_s == 30.0
 
 
-def test_endpoints_share_a_limit_unless_they_are_routes_apart() -> None:
-    profile = replace(HABIT, limit_per_s=1.0, span_ms=2000.0, places=50)
-    for apart, served in ((False, 2), (True, 4)):
-        partner = Partner(1, replace(profile, apart=apart), ["a", "b"], "seed")
+def test_endpoints_share_a_limit_unless_they_are_separate_routes() -> None:
+    profile = replace(PROFILE, limit_per_s=1.0, span_ms=2000.0, workers=50)
+    for separate_routes, served in ((False, 2), (True, 4)):
+        partner = Partner(1, replace(profile, separate_routes=separate_routes), ["a", "b"], "seed")
         ends = [it.arrive(0.0).end for _ in range(5) for it in partner.endpoints.values()]
         assert ends.count(End.DONE) == served
 
 
-def test_each_trouble_ends_calls_in_its_own_way() -> None:
+def test_each_fault_has_its_own_outcome() -> None:
     it = endpoint()
     seen = {}
     for trouble in (Trouble.REFUSING, Trouble.SILENT, Trouble.SHUT, Trouble.FAILING, Trouble.NONE):
@@ -85,13 +85,13 @@
     assert list(seen.values()) == [End.REFUSED, End.SILENT, End.FULL, End.FAILED, End.DONE]
 
 
-def test_it_comes_back_cold_and_falls_over_when_pushed() -> None:
-    for calls, stands in ((3, True), (40, False)):
-        it = endpoint(replace(HABIT, places=4, queue=100))
-        it.troubled(0.0, Condition(Trouble.REFUSING))
-        it.troubled(10_000.0, Condition())
+def test_a_returning_endpoint_is_cold_and_fails_when_overloaded() -> None:
+    for calls, survives in ((3, True), (40, False)):
+        it = endpoint(replace(PROFILE, workers=4, queue=100))
+        it.set_condition(0.0, Condition(Trouble.REFUSING))
+        it.set_condition(10_000.0, Condition())
         assert it.warmth(10_000.0) == it.profile.cold_share
         for n in range(calls):
             it.arrive(10_000.0 + n)
-        assert it.fallen is not stands
+        assert it.overloaded is not survives
         assert it.warmth(30_000.0) == 1.0
--- a/tests/simulator/test_town.py
+++ b/tests/simulator/test_town.py
@@ -117,9 +117,9 @@
 
 
 def test_a_fleet_keeps_every_limit_in_every_span_and_one_without_shares_does_not(tmp_path: Path) -> None:
-    apart = draw(2, senders=20, per_s=60.0, partners=15, load=0.8, length_ms=15_000.0, deaths=3)
-    fleet = play(tmp_path / "fleet", replace(apart, shared=True))
-    alone = play(tmp_path / "apart", apart)
+    unshared = draw(2, senders=20, per_s=60.0, partners=15, load=0.8, length_ms=15_000.0, deaths=3)
+    fleet = play(tmp_path / "fleet", replace(unshared, shared=True))
+    alone = play(tmp_path / "apart", unshared)
     assert fleet.checker.faults == [] and fleet.fleet_messages > 0
     assert fleet.checker.tally.limit_ratio <= 1.0 < alone.checker.tally.limit_ratio
     assert fleet.checker.tally.service >= alone.checker.tally.service - 0.02
