--- a/springspread/faults/hollow/comparison.py
+++ b/springspread/faults/hollow/comparison.py
@@ -130,13 +130,13 @@
         return self._number_of[self._limit_key(self._key(endpoint))]
 
     def _send_answer(
-        self, name: str, place: AcceptedConnection, ids: list[str], answer: Answer, bundle: bool
+        self, name: str, connection: AcceptedConnection, ids: list[str], answer: Answer, bundle: bool
     ) -> None:
         if answer.limit_per_s:
             sender = int(self.checker.sender_of(ids[0])[1:])
             told = (self._now(), sender, self._number(name), answer.limit_per_s)
             self.recorded.partner_rates.append(told)
-        super()._send_answer(name, place, ids, answer, bundle)
+        super()._send_answer(name, connection, ids, answer, bundle)
 
 
 @dataclass(slots=True)
