--- a/springspread/simulator/polling.py
+++ b/springspread/simulator/polling.py
@@ -1,7 +1,7 @@
-"""One polling thread that serves HTTP on many loopback ports, and does other work at given times.
+"""One polling thread that serves HTTP on many loopback ports and runs scheduled callbacks.
 
-Handlers and work run on that thread, under ``lock``; other threads take it before they look at what those
-change. How late each work began is kept, so that whoever plays a day can tell whether the thread kept up.
+Handlers and callbacks run on that thread, under ``lock``; other threads take it to access shared state. The
+lateness of each callback is recorded, so that a driver can tell whether the thread kept up.
 """
 
 from __future__ import annotations
@@ -21,65 +21,65 @@
 from springspread.http1.message import Malformed
 from springspread.http1.server import Request, ServerConnection
 
-RESET = struct.pack("ii", 1, 0)  # of SO_LINGER: the close resets
+RESET = struct.pack("ii", 1, 0)  # SO_LINGER with 0 s: close sends a reset
 LIMITS = replace(Limits(), body_bytes=1 << 20)
-SWITCH_S = 0.0005  # of the interpreter while it runs: other threads give way to it ten times as often
-LONGEST_WAIT_S = 0.5
+SWITCH_INTERVAL_S = 0.0005  # of the interpreter: short, so that the polling thread runs in time
+MAX_POLL_S = 0.5
 READ_BYTES = 1 << 16
 BACKLOG = 256
 
 
 class AcceptedConnection:
-    """One connection. ``at``: the port that it came to."""
+    """An accepted connection. ``port``: the local port."""
 
-    __slots__ = ("sock", "machine", "serve", "open", "at")
+    __slots__ = ("sock", "http", "serve", "open", "port")
 
-    def __init__(self, sock: socket.socket, at: int, serve: Handler) -> None:
-        self.sock, self.at, self.serve = sock, at, serve
-        self.machine = ServerConnection(LIMITS)
+    def __init__(self, sock: socket.socket, port: int, serve: Handler) -> None:
+        self.sock, self.port, self.serve = sock, port, serve
+        self.http = ServerConnection(LIMITS)
         self.open = True
 
 
 Handler = Callable[[AcceptedConnection, Request], None]
-"""Takes a request; it may answer at once, later by ``PollingServer.answer``, or never."""
+"""Handles a request; may call ``PollingServer.answer`` at once, later or never."""
 
 
 class PollingServer:
-    """Serves from the begin until ``close``. ``now`` tells the time (ms) that work is timed by."""
+    """Serves until ``close``. ``now``: the clock (ms) of scheduled callbacks."""
 
     def __init__(self, now: Callable[[], float]) -> None:
         self._now = now
         self.lock = threading.RLock()
-        self.late_ms: list[float] = []  # of each work that was done
-        self._moments: list[tuple[float, int, Callable[..., None], tuple[Any, ...]]] = []
+        self.late_ms: list[float] = []  # of each callback
+        self._timers: list[tuple[float, int, Callable[..., None], tuple[Any, ...]]] = []
         self._count = 0
         self._selector = selectors.DefaultSelector()
-        self._bell, self._ear = socket.socketpair()
-        self._ear.setblocking(False)
-        self._selector.register(self._ear, selectors.EVENT_READ, None)
+        self._wake_writer, self._wake_reader = socket.socketpair()
+        self._wake_reader.setblocking(False)
+        self._selector.register(self._wake_reader, selectors.EVENT_READ, None)
         self._listeners: dict[int, socket.socket] = {}
-        self._open = True
-        self._switch_s = sys.getswitchinterval()
-        sys.setswitchinterval(SWITCH_S)
-        self._thread = threading.Thread(target=self._run, name="town", daemon=True)
+        self._running = True
+        self._old_switch_s = sys.getswitchinterval()
+        sys.setswitchinterval(SWITCH_INTERVAL_S)
+        self._thread = threading.Thread(target=self._run, name="simulator", daemon=True)
         self._thread.start()
 
-    def at(self, when: float, work: Callable[..., None], *values: Any) -> None:
-        """Have work done at a time; one that is over: soon. From any thread."""
+    def schedule(self, when: float, callback: Callable[..., None], *values: Any) -> None:
+        """Run a callback at a time, or soon if that has passed. Thread-safe."""
         with self.lock:
             self._count += 1
-            heappush(self._moments, (when, self._count, work, values))
-            sooner = self._moments[0][1] == self._count
-        if sooner and threading.current_thread() is not self._thread:
-            self._bell.send(b"\0")
+            heappush(self._timers, (when, self._count, callback, values))
+            is_next = self._timers[0][1] == self._count
+        if is_next and threading.current_thread() is not self._thread:
+            self._wake_writer.send(b"\0")
 
-    def awaits(self, work: Callable[..., None]) -> bool:
-        """Whether this work is still to be done at some time."""
+    def is_scheduled(self, callback: Callable[..., None]) -> bool:
+        """Whether a callback is still scheduled."""
         with self.lock:
-            return any(planned == work for _, _, planned, _ in self._moments)
+            return any(scheduled == callback for _, _, scheduled, _ in self._timers)
 
     def listen(self, serve: Handler, port: int = 0) -> int:
-        """Serve on a port; returns its number."""
+        """Listen on a port; returns its number."""
         sock = socket.create_server(("127.0.0.1", port), backlog=BACKLOG)
         sock.setblocking(False)
         self._selector.register(sock, selectors.EVENT_READ, serve)
@@ -88,70 +88,70 @@
         return port
 
     def stop_listening(self, port: int) -> None:
-        """Take no more connections on a port, if it is served."""
+        """Stop listening on a port, if it is open."""
         listener = self._listeners.pop(port, None)
         if listener is not None:
             self._selector.unregister(listener)
             listener.close()
 
     def reset_all_at(self, port: int) -> None:
-        """Reset every connection that came to a port."""
+        """Reset every connection to a port."""
         for key in list(self._selector.get_map().values()):
-            if isinstance(key.data, AcceptedConnection) and key.data.at == port:
+            if isinstance(key.data, AcceptedConnection) and key.data.port == port:
                 self.end(key.data, reset=True)
 
-    def end(self, place: AcceptedConnection, reset: bool = False) -> None:
+    def end(self, connection: AcceptedConnection, reset: bool = False) -> None:
         """Close a connection, or reset it."""
-        if place.open:
-            place.open = False
-            self._selector.unregister(place.sock)
+        if connection.open:
+            connection.open = False
+            self._selector.unregister(connection.sock)
             if reset:
-                place.sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, RESET)
-            place.sock.close()
+                connection.sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, RESET)
+            connection.sock.close()
 
     def answer(
-        self, place: AcceptedConnection, status: int, headers: dict[str, str], body: bytes = b""
+        self, connection: AcceptedConnection, status: int, headers: dict[str, str], body: bytes = b""
     ) -> None:
-        """Answer the request that a connection waits for, if it is still open."""
-        if not place.open:
+        """Answer a connection's pending request, if it is still open."""
+        if not connection.open:
             return
         length = {} if status == 204 else {"Content-Length": str(len(body))}
         try:
-            place.sock.send(place.machine.answer(status, {**length, **headers}) + body)
-            request = place.machine.resume()
+            connection.sock.send(connection.http.answer(status, {**length, **headers}) + body)
+            request = connection.http.resume()
         except (OSError, Malformed):
-            self.end(place)
+            self.end(connection)
             return
         if request is not None:
-            place.serve(place, request)
+            connection.serve(connection, request)
 
     def close(self) -> None:
-        """End the thread and every socket."""
-        self._open = False
-        self._bell.send(b"\0")
+        """Stop the thread and close every socket."""
+        self._running = False
+        self._wake_writer.send(b"\0")
         self._thread.join()
         for key in list(self._selector.get_map().values()):
             assert isinstance(key.fileobj, socket.socket)  # nothing else is registered
             key.fileobj.close()
         self._selector.close()
-        self._bell.close()
-        sys.setswitchinterval(self._switch_s)
+        self._wake_writer.close()
+        sys.setswitchinterval(self._old_switch_s)
 
     def _run(self) -> None:
-        while self._open:
+        while self._running:
             with self.lock:
-                due = self._moments[0][0] if self._moments else inf
-            self._serve_once(min(max(due - self._now(), 0.0) / 1000.0, LONGEST_WAIT_S))
+                due = self._timers[0][0] if self._timers else inf
+            self._serve_once(min(max(due - self._now(), 0.0) / 1000.0, MAX_POLL_S))
             with self.lock:
-                while self._moments and self._moments[0][0] <= self._now():
-                    when, _, work, values = heappop(self._moments)
+                while self._timers and self._timers[0][0] <= self._now():
+                    when, _, callback, values = heappop(self._timers)
                     self.late_ms.append(self._now() - when)
-                    work(*values)
+                    callback(*values)
 
     def _serve_once(self, wait_s: float) -> None:
         for key, _ in self._selector.select(wait_s):
             if key.data is None:
-                self._ear.recv(4096)
+                self._wake_reader.recv(4096)
             elif isinstance(key.data, AcceptedConnection):
                 self._read(key.data)
             else:
@@ -164,17 +164,17 @@
             return
         sock.setblocking(False)
         sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
-        place = AcceptedConnection(sock, listener.getsockname()[1], serve)
-        self._selector.register(sock, selectors.EVENT_READ, place)
+        connection = AcceptedConnection(sock, listener.getsockname()[1], serve)
+        self._selector.register(sock, selectors.EVENT_READ, connection)
 
-    def _read(self, place: AcceptedConnection) -> None:
+    def _read(self, connection: AcceptedConnection) -> None:
         try:
-            data = place.sock.recv(READ_BYTES)
-            request = place.machine.feed(data) if data else None
+            data = connection.sock.recv(READ_BYTES)
+            request = connection.http.feed(data) if data else None
         except (OSError, Malformed):
             data, request = b"", None
         if not data:
-            self.end(place)
+            self.end(connection)
         elif request is not None:
             with self.lock:
-                place.serve(place, request)
+                connection.serve(connection, request)
--- a/springspread/simulator/sockets.py
+++ b/springspread/simulator/sockets.py
@@ -106,7 +106,7 @@
         return (time.monotonic() - self._started_at) * 1000.0
 
     def _schedule(self, when: float, work: Callable[..., None], *values: Any) -> None:
-        self._server.at(when, work, *values)
+        self._server.schedule(when, work, *values)
 
     def _set_refusing(self, name: str, refusing: bool) -> None:
         """Refuse connections to an endpoint and reset the open ones, or accept connections again."""
@@ -496,7 +496,7 @@
 
     def _all_finished(self) -> bool:
         with self._server.lock:
-            return not self.checker.open and not self._server.awaits(self._submit)
+            return not self.checker.open and not self._server.is_scheduled(self._submit)
 
     def close(self) -> None:
         """Stop the senders and close every socket."""
