--- a/springspread/simulator/__init__.py
+++ b/springspread/simulator/__init__.py
@@ -1,5 +1,5 @@
-"""A model of the outside world: partners, clients, directory, platform, and a checker of every promise.
+"""A model of the outside world: partners, clients, directory and platform, and a checker of the sender.
 
-Open `partner.py` first. Nothing here reads a clock or a socket. The sender imports
-nothing of it.
+Start with `partner.py`. Only `sockets.py`, `polling.py` and `fleet.py` use real time and sockets.
+The sender imports nothing from here.
 """
--- a/springspread/simulator/fleet.py
+++ b/springspread/simulator/fleet.py
@@ -1,4 +1,4 @@
-"""The town's senders as a fleet: the real daemon, started as an operator does, and what it knows of them."""
+"""Runs the simulated senders as a fleet under the real daemon, started as an operator does."""
 
 from __future__ import annotations
 
@@ -19,18 +19,18 @@
 
 READY_S = 30.0
 STOP_S = 15.0
-LOOK_S = 0.5  # an answer about the fleet takes no longer
+STATUS_TIMEOUT_S = 0.5
 
 
-class TownFleet:
-    """Runs until ``close``. Raises ``RuntimeError`` where the fleet does not come up."""
+class FleetProcess:
+    """A daemon and its instances. ``start`` raises ``RuntimeError`` if the fleet does not start."""
 
     def __init__(
-        self, place: Path, senders: int, limits: Mapping[str, Limit], mode: LimitMode = LimitMode.EXACT
+        self, root: Path, senders: int, limits: Mapping[str, Limit], mode: LimitMode = LimitMode.EXACT
     ) -> None:
-        """``place``: an empty folder. ``mode``: of destinations that have no limit here."""
-        self._place, self._senders = place, senders
-        self._file, self._folder = place / "fleet.toml", place / "fleet"
+        """``root``: an empty folder. ``mode``: the default for destinations without a limit here."""
+        self._root, self._senders = root, senders
+        self._plan_file, self._folder = root / "fleet.toml", root / "fleet"
         self._folder.mkdir(parents=True, exist_ok=True)
         lines = ['folder = "fleet"', 'config = "sender.json"', f"instances = {senders}"]
         lines.append(f'default_mode = "{mode.value}"')
@@ -41,50 +41,50 @@
                 f"span_ms = {float(limit.span_ms)}",
                 f'mode = "{limit.mode.value}"',
             ]
-        self._file.write_text("\n".join(lines) + "\n")
+        self._plan_file.write_text("\n".join(lines) + "\n")
         self._pids: dict[int, int] = {}
-        self._found: dict[int, tuple[str, int]] = {}
-        self._gone: set[int] = set()  # processes that were ended, and may still be told of
+        self._last_addresses: dict[int, tuple[str, int]] = {}
+        self._stopped_pids: set[int] = set()  # stopped, but perhaps still in the daemon's status
 
     def start(self, config: Mapping[str, Any], directories: Mapping[int, int]) -> dict[int, tuple[str, int]]:
-        """Start the daemon and wait for all; their addresses. ``directories``: the port that each asks."""
-        (self._place / "sender.json").write_text(json.dumps(config))
+        """Start the daemon; the addresses when all serve. ``directories``: the instances' discovery ports."""
+        (self._root / "sender.json").write_text(json.dumps(config))
         own = {instance_name(n): {"discovery": f"127.0.0.1:{port}"} for n, port in directories.items()}
         given_path(self._folder).write_text(json.dumps(own))
-        line = [sys.executable, "-m", "springspread.faults.daemon", str(self._file)]
-        with (self._place / "daemon.log").open("wb") as log:
-            self._daemon = subprocess.Popen(line, stderr=log, start_new_session=True)
+        command = [sys.executable, "-m", "springspread.faults.daemon", str(self._plan_file)]
+        with (self._root / "daemon.log").open("wb") as log:
+            self._daemon = subprocess.Popen(command, stderr=log, start_new_session=True)
         end = time.monotonic() + READY_S
         while len(found := self.addresses()) < self._senders:
             if self._daemon.poll() is not None or time.monotonic() > end:
-                raise RuntimeError(f"no fleet: {(self._place / 'daemon.log').read_text()[-500:]}")
+                raise RuntimeError(f"fleet did not start: {(self._root / 'daemon.log').read_text()[-500:]}")
             time.sleep(0.05)
         return found
 
     def addresses(self) -> dict[int, tuple[str, int]]:
-        """Of the instances that serve now; what was known where the daemon does not answer."""
+        """Addresses of the serving instances; the last known ones if the daemon does not answer."""
         with suppress(OSError, ValueError):
-            rows = send_order(self._folder / "control", {"do": "status"}, LOOK_S)["instances"]
+            rows = send_order(self._folder / "control", {"do": "status"}, STATUS_TIMEOUT_S)["instances"]
             found = {}
             for row in rows:
                 number = int(row["name"][1:])
                 self._pids[number] = row["pid"]
-                if row["listen"] and row["in_fleet"] and row["pid"] not in self._gone:
+                if row["listen"] and row["in_fleet"] and row["pid"] not in self._stopped_pids:
                     host, _, port = row["listen"].rpartition(":")
                     found[number] = (host, int(port))
-            self._found = found
-        return self._found
+            self._last_addresses = found
+        return self._last_addresses
 
-    def send(self, number: int, what: signal.Signals) -> None:
-        """A signal to an instance's process; one that is ended by it is started again by the daemon."""
+    def send(self, number: int, signum: signal.Signals) -> None:
+        """Send a signal to an instance's process; the daemon restarts a stopped one."""
         pid = self._pids[number]
-        if what in (signal.SIGKILL, signal.SIGTERM):
-            self._gone.add(pid)
+        if signum in (signal.SIGKILL, signal.SIGTERM):
+            self._stopped_pids.add(pid)
         with suppress(ProcessLookupError):
-            os.kill(pid, what)
+            os.kill(pid, signum)
 
     def close(self) -> None:
-        """End every process."""
+        """Stop the daemon and its instances."""
         for number in self._pids:
             self.send(number, signal.SIGCONT)
         self._daemon.terminate()
--- a/springspread/simulator/sockets.py
+++ b/springspread/simulator/sockets.py
@@ -28,7 +28,7 @@
 from springspread.net.exchange import FAILURES, Connection
 from springspread.simulator.checker import SPAN_MS, Checker
 from springspread.simulator.day import CLASSES, Arrival, Change, Day, SenderOutage, Service, StopMode
-from springspread.simulator.fleet import TownFleet
+from springspread.simulator.fleet import FleetProcess
 from springspread.simulator.partner import Answer, End, Partner, Trouble
 from springspread.simulator.polling import LIMITS, AcceptedConnection, PollingServer
 
@@ -93,11 +93,11 @@
         self._addresses: dict[int, tuple[str, int]] = {}  # of the running senders
         self._directories: dict[int, int] = {}  # ports
         self._open = True
-        self._fleet: TownFleet | None = None
+        self._fleet: FleetProcess | None = None
         if day.shared:
             rates = {self._limit_key(key): per_s for key, per_s in limits.items() if per_s < inf}
             shared = {key: Limit.of_rate(per_s, SPAN_MS, mode) for key, per_s in rates.items()}
-            self._fleet = TownFleet(folder, day.senders, shared, mode)
+            self._fleet = FleetProcess(folder, day.senders, shared, mode)
         self._clients = ThreadPoolExecutor(64, "client")
 
     # Time and scheduling
@@ -311,12 +311,12 @@
             "settings": self.day.settings(index),
         }
 
-    def _start_fleet(self, fleet: TownFleet) -> None:
+    def _start_fleet(self, fleet: FleetProcess) -> None:
         directories = {index: self._directory_port(index) for index in range(self.day.senders)}
         self._addresses = fleet.start(self._config(0), directories)
         threading.Thread(target=self._poll_fleet, args=(fleet,), name="fleet", daemon=True).start()
 
-    def _poll_fleet(self, fleet: TownFleet) -> None:
+    def _poll_fleet(self, fleet: FleetProcess) -> None:
         """Keep the addresses up to date: the daemon restarts instances."""
         while self._open:
             self._addresses = fleet.addresses()
