--- a/springspread/simulator/checker.py
+++ b/springspread/simulator/checker.py
@@ -149,7 +149,7 @@
     def _fault(self, at: float, rule: str, sender: str, text: str) -> None:
         self.faults.append(Fault(at, rule, sender, text))
 
-    def handed_in(
+    def submitted(
         self,
         at: float,
         sender: str,
@@ -282,11 +282,11 @@
         """A call reached an address that now belongs to another endpoint."""
         self._fault(at, "group", sender, text)
 
-    def platform_away(self, begin: float, end: float) -> None:
+    def platform_down(self, begin: float, end: float) -> None:
         """The platform was unavailable: notices due meanwhile are due after its end."""
         self._platform_outages.append((begin, end))
 
-    def sender_away(self, sender: str, begin: float, end: float) -> None:
+    def sender_down(self, sender: str, begin: float, end: float) -> None:
         """A sender's process was down: notices due meanwhile are due after its return."""
         self._sender_outages[sender].append((begin, end))
 
--- a/springspread/simulator/day.py
+++ b/springspread/simulator/day.py
@@ -321,20 +321,20 @@
 def _deaths(seed: int, senders: int, count: int, length_ms: float) -> tuple[SenderOutage, ...]:
     """Kills in disjoint periods, so that a sender is never killed while it is down."""
     rng = Random(f"{seed}/deaths")
-    part = 0.7 * length_ms / max(count, 1)
+    period_ms = 0.7 * length_ms / max(count, 1)
     result = []
     for n in range(count):
-        at = 0.1 * length_ms + (n + rng.uniform(0.0, 0.5)) * part
+        at = 0.1 * length_ms + (n + rng.uniform(0.0, 0.5)) * period_ms
         result.append(
-            SenderOutage(at, rng.randrange(senders), at + min(rng.uniform(500.0, 3_000.0), 0.45 * part))
+            SenderOutage(at, rng.randrange(senders), at + min(rng.uniform(500.0, 3_000.0), 0.45 * period_ms))
         )
     return tuple(result)
 
 
-def _mass_kill(senders: int, part: float, length_ms: float) -> tuple[SenderOutage, ...]:
+def _mass_kill(senders: int, fraction: float, length_ms: float) -> tuple[SenderOutage, ...]:
     """Kill a fraction of the senders at once; they restart one after the other."""
     at = 0.4 * length_ms
-    return tuple(SenderOutage(at, n, at + 1_500.0 + 10.0 * n) for n in range(round(senders * part)))
+    return tuple(SenderOutage(at, n, at + 1_500.0 + 10.0 * n) for n in range(round(senders * fraction)))
 
 
 def _shares(specs: tuple[PartnerSpec, ...]) -> float:
@@ -367,18 +367,18 @@
 def _skew_arrivals(seed: int, arrivals: list[Arrival], senders: int, spread: float) -> list[Arrival]:
     """The same arrivals, distributed unevenly over the senders."""
     rng = Random(f"{seed}/skew")
-    parts = [rng.lognormvariate(0.0, spread) for _ in range(senders)]
-    assigned = rng.choices(range(senders), parts, k=len(arrivals))
+    weights = [rng.lognormvariate(0.0, spread) for _ in range(senders)]
+    assigned = rng.choices(range(senders), weights, k=len(arrivals))
     return [replace(arrival, sender=sender) for arrival, sender in zip(arrivals, assigned, strict=True)]
 
 
 def _outages(seed: int, service: Service, count: int, length_ms: float) -> list[Outage]:
     rng = Random(f"{seed}/{service.value}")
-    part = 0.8 * length_ms / max(count, 1)
+    period_ms = 0.8 * length_ms / max(count, 1)
     result = []
     for n in range(count):
-        begin = 0.1 * length_ms + (n + rng.uniform(0.0, 0.4)) * part
-        result.append(Outage(service, begin, begin + min(rng.uniform(1_000.0, 6_000.0), 0.5 * part)))
+        begin = 0.1 * length_ms + (n + rng.uniform(0.0, 0.4)) * period_ms
+        result.append(Outage(service, begin, begin + min(rng.uniform(1_000.0, 6_000.0), 0.5 * period_ms)))
     return result
 
 
--- a/springspread/simulator/partner.py
+++ b/springspread/simulator/partner.py
@@ -244,14 +244,14 @@
     def add(self, name: str) -> Endpoint:
         """Add an endpoint."""
         limit = self._limit() if self.profile.separate_routes else self._shared
-        made = Endpoint(name, self.profile, Random(f"{self._seed}/pace/{name}"), limit)
-        self.endpoints[name] = made
-        return made
+        endpoint = Endpoint(name, self.profile, Random(f"{self._seed}/pace/{name}"), limit)
+        self.endpoints[name] = endpoint
+        return endpoint
 
-    def scale_limit(self, part: float) -> None:
+    def scale_limit(self, fraction: float) -> None:
         """Set the limit to a fraction of the usual one."""
         for limit in {id(e.limit): e.limit for e in self.endpoints.values() if e.limit}.values():
-            limit.set_rate(self.profile.limit_per_s * part)
+            limit.set_rate(self.profile.limit_per_s * fraction)
 
     @property
     def rating(self) -> float:
--- a/springspread/simulator/sockets.py
+++ b/springspread/simulator/sockets.py
@@ -105,8 +105,8 @@
     def _now(self) -> float:
         return (time.monotonic() - self._started_at) * 1000.0
 
-    def _schedule(self, when: float, work: Callable[..., None], *values: Any) -> None:
-        self._server.schedule(when, work, *values)
+    def _schedule(self, when: float, callback: Callable[..., None], *values: Any) -> None:
+        self._server.schedule(when, callback, *values)
 
     def _set_refusing(self, name: str, refusing: bool) -> None:
         """Refuse connections to an endpoint and reset the open ones, or accept connections again."""
@@ -262,13 +262,13 @@
                         self._retry(item["id"], item.get("again_ms", 0.0))
                 self._server.answer(connection, 204, {})
                 return
-            asked = parse_qs(urlsplit(request.path).query)
-            since = int(asked["since"][0]) if "since" in asked else None
+            query = parse_qs(urlsplit(request.path).query)
+            since = int(query["since"][0]) if "since" in query else None
             if since is None or since != self._version:
                 self._send_list(connection, sender, since or 0, since is None)
                 return
             self._watches.append((connection, sender, since, False))
-            wait = float(asked.get("timeout_ms", ["0"])[0])
+            wait = float(query.get("timeout_ms", ["0"])[0])
             self._schedule(self._now() + wait, self._watch_expired, connection, sender, since)
 
         return serve
@@ -280,13 +280,13 @@
                 self._send_list(connection, sender, since, False)
                 return
 
-    def _send_list(self, connection: AcceptedConnection, sender: str, since: int, whole: bool) -> None:
-        names = [name for name in self._group if whole or self._changed[name] > since]
-        if whole:
+    def _send_list(self, connection: AcceptedConnection, sender: str, since: int, snapshot: bool) -> None:
+        names = [name for name in self._group if snapshot or self._changed[name] > since]
+        if snapshot:
             names = [name for name in names if self._states[name] is not EndpointState.GONE]
         update = {
             "index": self._version,
-            "snapshot": whole,
+            "snapshot": snapshot,
             "endpoints": [self._list_entry(n) for n in names],
         }
         for name in names:
@@ -338,21 +338,23 @@
         self._processes[index] = process
         self._addresses[index] = _wait_until_ready(process, folder / "log")
 
-    def _stop_sender(self, death: SenderOutage) -> None:
-        self.checker.sender_away(f"n{death.sender}", death.at, death.back_at + RESTART_MS)
+    def _stop_sender(self, sender_outage: SenderOutage) -> None:
+        self.checker.sender_down(
+            f"n{sender_outage.sender}", sender_outage.at, sender_outage.back_at + RESTART_MS
+        )
         if self._fleet is not None:
-            self._fleet.send(death.sender, SIGNALS[death.stop_mode])
-            if death.stop_mode is StopMode.FREEZE:
-                self._schedule(death.back_at, self._fleet.send, death.sender, signal.SIGCONT)
+            self._fleet.send(sender_outage.sender, SIGNALS[sender_outage.stop_mode])
+            if sender_outage.stop_mode is StopMode.FREEZE:
+                self._schedule(sender_outage.back_at, self._fleet.send, sender_outage.sender, signal.SIGCONT)
             return
-        process = self._processes[death.sender]
-        if death.stop_mode is StopMode.FREEZE:
+        process = self._processes[sender_outage.sender]
+        if sender_outage.stop_mode is StopMode.FREEZE:
             process.send_signal(signal.SIGSTOP)
-            self._schedule(death.back_at, process.send_signal, signal.SIGCONT)
+            self._schedule(sender_outage.back_at, process.send_signal, signal.SIGCONT)
             return
-        del self._addresses[death.sender]
-        process.send_signal(SIGNALS[death.stop_mode])
-        self._schedule(death.back_at, self._restart_in_background, death.sender)
+        del self._addresses[sender_outage.sender]
+        process.send_signal(SIGNALS[sender_outage.stop_mode])
+        self._schedule(sender_outage.back_at, self._restart_in_background, sender_outage.sender)
 
     def _restart_in_background(self, sender: int) -> None:
         # A start would block the polling thread for too long.
@@ -395,7 +397,7 @@
         self._submissions[id] = (arrival, retries_left, first_at)
         repeat = "again" if unconfirmed else "1" if retries_left < self.day.retries else ""
         now, group = self._now(), arrival.group
-        self.checker.handed_in(now, f"n{sender}", id, spec.name, group, time_left_ms, first_at, not first)
+        self.checker.submitted(now, f"n{sender}", id, spec.name, group, time_left_ms, first_at, not first)
         self._clients.submit(self._send_message, id, arrival, time_left_ms, addresses[sender], repeat)
 
     def _send_message(
@@ -476,11 +478,11 @@
             self._schedule(change.at, self._change, change)
         for outage in self.day.outages:
             if outage.service is Service.PLATFORM:
-                self.checker.platform_away(outage.begin, outage.end)
+                self.checker.platform_down(outage.begin, outage.end)
             else:
                 self._schedule(outage.begin, self._break_watches)
-        for death in self.day.deaths:
-            self._schedule(death.at, self._stop_sender, death)
+        for sender_outage in self.day.deaths:
+            self._schedule(sender_outage.at, self._stop_sender, sender_outage)
         longest = max(spec.deadline_ms for spec in CLASSES)
         end, reported_at = self.day.length_ms + min(longest + 1000.0, tail_ms), 0.0
         while self._now() < end and not (self._now() > self.day.length_ms and self._all_finished()):
--- a/springspread/simulator/virtual.py
+++ b/springspread/simulator/virtual.py
@@ -413,9 +413,7 @@
         """Send a message's final status to the platform."""
         sim = self.sim
         if not sim.injected.drop_notices:
-            sent_at = sim.day.unavailable_until(
-                Service.PLATFORM, sim.clock.now()
-            )  # retried until it is accepted
+            sent_at = sim.day.unavailable_until(Service.PLATFORM, sim.clock.now())  # retried until then
             sim.schedule(
                 sent_at + sim.day.network_ms[0], self._notice_arrived, notice, sent_at > sim.clock.now()
             )
@@ -487,7 +485,7 @@
                 self.control.set_limit(0.0, key, Limit.of_rate(profile.limit_per_s, SPAN_MS))
         for outage in day.outages:
             if outage.service is Service.PLATFORM:
-                self.checker.platform_away(outage.begin, outage.end)
+                self.checker.platform_down(outage.begin, outage.end)
         self._submissions: dict[str, Submission] = {}
         self._awaiting_verdict: dict[str, dict[str, Message]] = {}  # by sender
         self._submitted_count = 0
@@ -501,16 +499,16 @@
         self._start_count += 1
         return Instance(self, index, folder, self.day.seed * 1000 + self._start_count - 1, self._start_count)
 
-    def _kill_sender(self, death: SenderOutage) -> None:
-        old = self.instances[death.sender]
+    def _kill_sender(self, sender_outage: SenderOutage) -> None:
+        old = self.instances[sender_outage.sender]
         unanswered = [
             message
             for message in self._awaiting_verdict.pop(old.name, {}).values()
             if message.verdict is None
         ]
         old.kill()
-        self.checker.sender_away(old.name, death.at, death.back_at)
-        self.schedule(death.back_at, self._restart_sender, death.sender)
+        self.checker.sender_down(old.name, sender_outage.at, sender_outage.back_at)
+        self.schedule(sender_outage.back_at, self._restart_sender, sender_outage.sender)
         for message in unanswered:
             # Acceptance is unknown: the message is submitted again under another id, marked as such.
             self.checker.verdict(self.clock.now(), message.id, False)
@@ -622,7 +620,7 @@
             submission.retries_left < self.day.retries,
         )
         self._submissions[id] = submission
-        self.checker.handed_in(
+        self.checker.submitted(
             now,
             instance.name,
             id,
@@ -664,8 +662,8 @@
             self.schedule(arrival.at, self._submit, Submission(arrival, self.day.retries, arrival.at))
         for change in self.day.changes:
             self.schedule(change.at, self._change, change)
-        for death in self.day.deaths:
-            self.schedule(death.at, self._kill_sender, death)
+        for sender_outage in self.day.deaths:
+            self.schedule(sender_outage.at, self._kill_sender, sender_outage)
         end = self.day.length_ms + max(spec.deadline_ms for spec in CLASSES) + 1000.0
         while self._timers and self._timers[0][0] <= end:
             when, _, callback, values = heappop(self._timers)
--- a/tests/simulator/test_checker.py
+++ b/tests/simulator/test_checker.py
@@ -13,10 +13,10 @@
 
 
 def checker() -> Checker:
-    made = Checker(CLASSES, 500.0, 3, {"g7": 1.0})
-    made.handed_in(0.0, "n0", "a", FEE, 7, 28_000.0, 0.0)
-    made.verdict(1.0, "a", True)
-    return made
+    it = Checker(CLASSES, 500.0, 3, {"g7": 1.0})
+    it.submitted(0.0, "n0", "a", FEE, 7, 28_000.0, 0.0)
+    it.verdict(1.0, "a", True)
+    return it
 
 
 def call(it: Checker, at: float = 10.0, group: int = 7) -> None:
@@ -80,28 +80,28 @@
 
 
 def notified_as_the_platform_returned(it: Checker) -> None:
-    it.platform_away(27_000.0, 33_000.0)
+    it.platform_down(27_000.0, 33_000.0)
     it.notice(34_000.0, "a", "undeliverable")
 
 
 def notified_long_after_the_platform_returned(it: Checker) -> None:
-    it.platform_away(27_000.0, 33_000.0)
+    it.platform_down(27_000.0, 33_000.0)
     it.notice(36_000.0, "a", "undeliverable")
 
 
 def notified_as_its_sender_returned(it: Checker) -> None:
-    it.sender_away("n0", 27_900.0, 29_000.0)
+    it.sender_down("n0", 27_900.0, 29_000.0)
     it.notice(29_300.0, "a", "undeliverable")
 
 
 def another_sender_was_away(it: Checker) -> None:
-    it.sender_away("n1", 27_900.0, 29_000.0)
+    it.sender_down("n1", 27_900.0, 29_000.0)
     it.notice(29_300.0, "a", "undeliverable")
 
 
 def notified_late_of_a_refused_message(it: Checker) -> None:
     """A frozen sender reads a message after its client has moved on."""
-    it.handed_in(0.0, "n0", "b", NOTE, 7, 8_000.0, 0.0)
+    it.submitted(0.0, "n0", "b", NOTE, 7, 8_000.0, 0.0)
     it.verdict(400.0, "b", False)
     it.notice(20_000.0, "b", "deferred")
     delivered_normally(it)
@@ -119,7 +119,7 @@
 
 def delivered_before_its_verdict(it: Checker) -> None:
     """Events on two connections may be observed out of order."""
-    it.handed_in(0.0, "n0", "b", NOTE, 7, 8_000.0, 0.0)
+    it.submitted(0.0, "n0", "b", NOTE, 7, 8_000.0, 0.0)
     it.call(5.0, "n0", "s-1", 7, "g7", ["b"])
     it.done(20.0, "n0", "g7", ["b"], "delivered", False)
     it.verdict(25.0, "b", True)
@@ -234,7 +234,7 @@
 def test_the_grade_weighs_the_worst_ten_seconds_and_class_and_subtracts_prices() -> None:
     it = Checker(CLASSES, 500.0, 3, {})
     for second in range(20):
-        it.handed_in(1000.0 * second, "n0", f"m{second}", FEE, 7, 28_000.0, 1000.0 * second)
+        it.submitted(1000.0 * second, "n0", f"m{second}", FEE, 7, 28_000.0, 1000.0 * second)
         it.verdict(1000.0 * second + 1.0, f"m{second}", True)
         it.call(1000.0 * second + 2.0, "n0", "s-1", 7, "g7", [f"m{second}"])
         if second < 10:
