--- a/springspread/simulator/virtual.py
+++ b/springspread/simulator/virtual.py
@@ -500,14 +500,14 @@
         return Instance(self, index, folder, self.day.seed * 1000 + self._start_count - 1, self._start_count)
 
     def _kill_sender(self, sender_outage: SenderOutage) -> None:
-        old = self.instances[sender_outage.sender]
+        instance = self.instances[sender_outage.sender]
         unanswered = [
             message
-            for message in self._awaiting_verdict.pop(old.name, {}).values()
+            for message in self._awaiting_verdict.pop(instance.name, {}).values()
             if message.verdict is None
         ]
-        old.kill()
-        self.checker.sender_down(old.name, sender_outage.at, sender_outage.back_at)
+        instance.kill()
+        self.checker.sender_down(instance.name, sender_outage.at, sender_outage.back_at)
         self.schedule(sender_outage.back_at, self._restart_sender, sender_outage.sender)
         for message in unanswered:
             # Acceptance is unknown: the message is submitted again under another id, marked as such.
@@ -642,11 +642,11 @@
         return self.instances[number % len(self.instances)]
 
     def _verdict_received(self, message: Message) -> None:
-        taken = message.verdict in (Verdict.ACCEPTED, Verdict.DELIVERED)
-        self.checker.verdict(self.clock.now(), message.id, taken)
+        accepted = message.verdict in (Verdict.ACCEPTED, Verdict.DELIVERED)
+        self.checker.verdict(self.clock.now(), message.id, accepted)
         for waiting in self._awaiting_verdict.values():
             waiting.pop(message.id, None)
-        if not taken:
+        if not accepted:
             self.retry(message.id, 0.0)
 
     def retry(self, id: str, after_ms: float) -> None:
