--- a/benchmarks/cold_town.py
+++ b/benchmarks/cold_town.py
@@ -19,10 +19,10 @@
 from benchmarks.tables import print_peaks, write_table
 from springspread.simulator.day import Change, draw
 from springspread.simulator.partner import Answer
-from springspread.simulator.virtual import Town
+from springspread.simulator.virtual import VirtualSimulation
 
 
-class ObservedTown(Town):
+class ObservedTown(VirtualSimulation):
     """A simulation that records the peak load of each return."""
 
     returns: dict[tuple[str, float], list[float]]  # by endpoint and time: calls, aware, all
@@ -37,13 +37,15 @@
         """Record the load of the window that ends with this call."""
         endpoint = self.partners[self._group[name]].endpoints[name]
         answer = super().arrive(name, messages, sender)
-        now, habit = self.clock.now(), endpoint.habit
+        now, profile = self.clock.now(), endpoint.profile
         found = self.returns.get((name, endpoint.back_at))
-        if found is not None and now - endpoint.back_at < habit.warm_ms:
-            n = habit.fall_multiple * endpoint.warmth(now) * endpoint.capacity * habit.fall_ms / 1000.0
-            ratio = len(endpoint.pushers) / (n + 2.0 * sqrt(n) + 2.0)
-            aware_calls = sum(sender_name in self.checker._saw_fail[name] for sender_name in endpoint.pushers)
-            aware = ratio if 3 * aware_calls >= 2 * len(endpoint.pushers) else 0.0
+        if found is not None and now - endpoint.back_at < profile.warm_ms:
+            n = profile.fall_multiple * endpoint.warmth(now) * endpoint.capacity * profile.fall_ms / 1000.0
+            ratio = len(endpoint.cold_callers) / (n + 2.0 * sqrt(n) + 2.0)
+            aware_calls = sum(
+                sender_name in self.checker._failure_witnesses[name] for sender_name in endpoint.cold_callers
+            )
+            aware = ratio if 3 * aware_calls >= 2 * len(endpoint.cold_callers) else 0.0
             found[:] = found[0] + 1.0, max(found[1], aware), max(found[2], ratio)
         return answer
 
--- a/benchmarks/drivers.py
+++ b/benchmarks/drivers.py
@@ -14,8 +14,8 @@
 from pathlib import Path
 
 from springspread.simulator.day import Day, draw
-from springspread.simulator.sockets import SocketTown
-from springspread.simulator.virtual import Town
+from springspread.simulator.sockets import SocketSimulation
+from springspread.simulator.virtual import VirtualSimulation
 
 COLUMNS = (
     "scenario",
@@ -48,9 +48,9 @@
     """Run one day with both drivers."""
     with tempfile.TemporaryDirectory(prefix="springspread-drivers-") as folder:
         start = time.perf_counter()
-        virtual = Town(day, Path(folder) / "virtual").play().checker
+        virtual = VirtualSimulation(day, Path(folder) / "virtual").play().checker
         took = time.perf_counter() - start
-        town = SocketTown(day, Path(folder) / "sockets")
+        town = SocketSimulation(day, Path(folder) / "sockets")
         try:
             sockets = town.play()
         finally:
--- a/benchmarks/fleet_chaos.py
+++ b/benchmarks/fleet_chaos.py
@@ -19,21 +19,21 @@
 
 from benchmarks.tables import append_row, print_columns
 from springspread.fleet.limits import LimitMode
-from springspread.simulator.day import Day, Death, Fate, draw
-from springspread.simulator.sockets import SocketTown
+from springspread.simulator.day import Day, SenderOutage, StopMode, draw
+from springspread.simulator.sockets import SocketSimulation
 
-MAX_AWAY_MS = {Fate.KILL: 3_000.0, Fate.TERM: 6_000.0, Fate.FREEZE: 10_000.0}
+MAX_AWAY_MS = {StopMode.KILL: 3_000.0, StopMode.TERM: 6_000.0, StopMode.FREEZE: 10_000.0}
 
 
-def draw_deaths(seed: int, senders: int, length_ms: float, each_ms: float) -> tuple[Death, ...]:
+def draw_deaths(seed: int, senders: int, length_ms: float, each_ms: float) -> tuple[SenderOutage, ...]:
     """Draw deaths of random senders, about one per ``each_ms``; no sender dies while it is away."""
     rng, drawn, available_at = Random(f"{seed}/fates"), [], [0.0] * senders
     at = 5_000.0
     while at < length_ms - 15_000.0:
         sender = rng.choice([n for n in range(senders) if available_at[n] <= at])
-        fate = rng.choice(list(Fate))
-        back_at = at + rng.uniform(4_500.0 if fate is Fate.TERM else 300.0, MAX_AWAY_MS[fate])
-        drawn.append(Death(at, sender, back_at, fate))
+        stop_mode = rng.choice(list(StopMode))
+        back_at = at + rng.uniform(4_500.0 if stop_mode is StopMode.TERM else 300.0, MAX_AWAY_MS[stop_mode])
+        drawn.append(SenderOutage(at, sender, back_at, stop_mode))
         available_at[sender] = back_at + 4_000.0
         at += rng.expovariate(1.0 / each_ms)
     return tuple(drawn)
@@ -43,7 +43,7 @@
     """Run a day and return its row; CPU is that of the fleet's processes, per call."""
     cpu_before_s = _children_cpu_s()
     with tempfile.TemporaryDirectory(prefix="springspread-chaos-") as folder:
-        town = SocketTown(day, Path(folder), mode)
+        town = SocketSimulation(day, Path(folder), mode)
         try:
             outcome = town.play()
         finally:
@@ -56,9 +56,9 @@
         "kind": "fleet" if day.shared else "apart",
         "senders": day.senders,
         "seconds": round(day.length_ms / 1000),
-        "kills": sum(death.fate is Fate.KILL for death in day.deaths),
-        "ends": sum(death.fate is Fate.TERM for death in day.deaths),
-        "freezes": sum(death.fate is Fate.FREEZE for death in day.deaths),
+        "kills": sum(death.stop_mode is StopMode.KILL for death in day.deaths),
+        "ends": sum(death.stop_mode is StopMode.TERM for death in day.deaths),
+        "freezes": sum(death.stop_mode is StopMode.FREEZE for death in day.deaths),
         "messages": tally.messages,
         "calls": tally.calls,
         "limit_ratio": round(tally.limit_ratio, 3),
--- a/benchmarks/profile_town.py
+++ b/benchmarks/profile_town.py
@@ -16,7 +16,7 @@
 from pathlib import Path
 
 from springspread.simulator.day import Day, draw
-from springspread.simulator.virtual import Town
+from springspread.simulator.virtual import VirtualSimulation
 
 TOP = 10
 
@@ -24,7 +24,7 @@
 def run_day(day: Day) -> float:
     """Simulate a day and return the seconds taken."""
     with tempfile.TemporaryDirectory(prefix="springspread-profile-") as folder:
-        town = Town(day, Path(folder))
+        town = VirtualSimulation(day, Path(folder))
         start = time.perf_counter()
         town.play()
         return time.perf_counter() - start
--- a/springspread/experiments/run.py
+++ b/springspread/experiments/run.py
@@ -24,7 +24,7 @@
 from springspread import policy
 from springspread.experiments.plan import Knobs, Plan, Run
 from springspread.simulator.day import CLASSES
-from springspread.simulator.virtual import Town
+from springspread.simulator.virtual import VirtualSimulation
 
 MEASURES = ("grade", "service", *(f"service_{spec.name}" for spec in CLASSES))
 COLUMNS = (
@@ -62,7 +62,7 @@
     """Simulate one day; returns its row and the seconds it took (not in the row, which is reproducible)."""
     start = time.perf_counter()
     with tempfile.TemporaryDirectory(prefix="springspread-lab-") as folder, _override_constants(run.module):
-        outcome = Town(run.knobs.day(run.seed), Path(folder)).play()
+        outcome = VirtualSimulation(run.knobs.day(run.seed), Path(folder)).play()
     checker = outcome.checker
     tally = checker.tally
     row = _input_columns(run) | {
--- a/springspread/faults/hollow/comparison.py
+++ b/springspread/faults/hollow/comparison.py
@@ -36,10 +36,10 @@
 from springspread.rollout.document import Policy
 from springspread.simulator.checker import SPAN_MS
 from springspread.simulator.day import Day
-from springspread.simulator.fleet import name_of
+from springspread.simulator.fleet import instance_name
 from springspread.simulator.partner import Answer
-from springspread.simulator.polling import Place
-from springspread.simulator.sockets import SocketTown
+from springspread.simulator.polling import AcceptedConnection
+from springspread.simulator.sockets import SocketSimulation
 
 WARM_MS = 10_000.0
 HOLLOW_START_MS = 1_000.0  # hollow calls begin so much after the recorded ones' zero
@@ -80,7 +80,7 @@
         """Nothing is down for good in what was recorded."""
 
 
-class RecordedTown(SocketTown):
+class RecordedTown(SocketSimulation):
     """A day on sockets that is written down."""
 
     def __init__(self, day: Day, folder: Path, mode: LimitMode) -> None:
@@ -92,7 +92,7 @@
         self._record_calls()
 
     def _limit(self, group: int, mode: LimitMode) -> Limit:
-        per_s = self._partners[group].habit.limit_per_s
+        per_s = self._partners[group].profile.limit_per_s
         if not per_s:
             raise ValueError(f"partner {group} has no limit")
         return Limit.of_rate(per_s, SPAN_MS, mode)
@@ -121,7 +121,7 @@
         found = [
             (max(at - LEASE_WAIT_MS, 0.0), number, self._number(endpoint))
             for number in range(self.day.senders)
-            for at, endpoint in given_up(self._folder / "fleet" / name_of(number) / "log", wall_s)
+            for at, endpoint in given_up(self._folder / "fleet" / instance_name(number) / "log", wall_s)
         ]
         self.recorded.calls += found
         return len(found)
@@ -129,12 +129,14 @@
     def _number(self, endpoint: str) -> int:
         return self._number_of[self._limit_key(self._key(endpoint))]
 
-    def _told(self, name: str, place: Place, ids: list[str], answer: Answer, bundle: bool) -> None:
+    def _send_answer(
+        self, name: str, connection: AcceptedConnection, ids: list[str], answer: Answer, bundle: bool
+    ) -> None:
         if answer.limit_per_s:
             sender = int(self.checker.sender_of(ids[0])[1:])
             told = (self._now(), sender, self._number(name), answer.limit_per_s)
             self.recorded.partner_rates.append(told)
-        super()._told(name, place, ids, answer, bundle)
+        super()._send_answer(name, connection, ids, answer, bundle)
 
 
 @dataclass(slots=True)
@@ -195,8 +197,8 @@
     """The day with a limit for each partner: one without any gets one that it never meets."""
     specs = []
     for spec in day.partners:
-        if not spec.habit.limit_per_s:
-            spec = replace(spec, habit=replace(spec.habit, limit_per_s=AMPLE_PER_S))
+        if not spec.profile.limit_per_s:
+            spec = replace(spec, profile=replace(spec.profile, limit_per_s=AMPLE_PER_S))
         specs.append(spec)
     return replace(day, partners=tuple(specs))
 
@@ -208,7 +210,7 @@
     relays, counts = [], []
     for number in range(day.senders):
         place = folder / "fleet"
-        relay, count = Relay(relay_path(place, name_of(number)), place / "allot"), LineCounts()
+        relay, count = Relay(relay_path(place, instance_name(number)), place / "allot"), LineCounts()
         relay.seen = count.seen
         relays.append(relay)
         counts.append(count)
