--- a/benchmarks/hollow_fleet.py
+++ b/benchmarks/hollow_fleet.py
@@ -33,7 +33,7 @@
 from springspread.faults.hollow.play import Plan, play
 from springspread.faults.hollow.report import Row, digest
 from springspread.faults.hollow.sockets import SocketPlan, play_sockets
-from springspread.faults.hollow.traffic import TrafficLaw
+from springspread.faults.hollow.traffic import TrafficModel
 from springspread.fleet.limits import LimitMode
 from springspread.rollout.document import Policy
 from springspread.simulator.day import draw
@@ -84,9 +84,9 @@
     parser.add_argument("--seed", type=int, default=1)
     parser.add_argument("--faults", default="calm", help=", ".join(SCHEDULES))
     parser.add_argument("--calm", action="store_true", help="the same as --faults calm")
-    parser.add_argument("--headroom", type=float, default=TrafficLaw(1, 1.0).headroom)
+    parser.add_argument("--headroom", type=float, default=TrafficModel(1, 1.0).headroom)
     parser.add_argument("--tight", type=float, default=0.0, help="part of the limits with little headroom")
-    parser.add_argument("--down", type=float, default=TrafficLaw(1, 1.0).down_part)
+    parser.add_argument("--down", type=float, default=TrafficModel(1, 1.0).down_part)
     parser.add_argument("--changes", type=int, default=0, help="changes of policy while measured")
     parser.add_argument("--config", type=Path, default=Path("deploy/sender.json"))
     parser.add_argument("--csv", type=Path)
@@ -124,7 +124,7 @@
     """Play and tell."""
     args = arguments()
     policy = Policy(json.loads(args.config.read_text())["settings"], {})
-    law = TrafficLaw(
+    law = TrafficModel(
         args.destinations,
         args.per_s,
         down_part=args.down,
@@ -147,8 +147,8 @@
     faults = "calm" if args.calm else args.faults
     fleet, rows = play(size, Plan(args.seconds, args.warm_s, faults, args.changes), policy)
     told = "" if not args.tight else f" tight={args.tight:g}"
-    told += "" if args.down == TrafficLaw(1, 1.0).down_part else f" down={args.down:g}"
-    told += "" if args.headroom == TrafficLaw(1, 1.0).headroom else f" headroom={args.headroom:g}"
+    told += "" if args.down == TrafficModel(1, 1.0).down_part else f" down={args.down:g}"
+    told += "" if args.headroom == TrafficModel(1, 1.0).headroom else f" headroom={args.headroom:g}"
     told += "" if law.mode is LimitMode.ADAPTIVE else f" {args.mode}"
     run = f"virtual {faults}{told} {shape}"
     tell(run, rows, args.csv)
--- a/springspread/faults/hollow/comparison.py
+++ b/springspread/faults/hollow/comparison.py
@@ -27,7 +27,7 @@
 from springspread.faults.hollow.given_up import given_up
 from springspread.faults.hollow.meter import Volume
 from springspread.faults.hollow.report import Row
-from springspread.faults.hollow.traffic import Calls, TrafficLaw
+from springspread.faults.hollow.traffic import Calls, TrafficModel
 from springspread.faults.relay import Relay, Way
 from springspread.fleet.client import LEASE_WAIT_MS
 from springspread.fleet.limits import Limit, LimitMode
@@ -243,7 +243,7 @@
 ) -> list[LineCounts]:
     """The same calls by hollow senders; what each said of limits and of policies from begin to end."""
     recorded.calls.sort()
-    law = TrafficLaw(len(recorded.keys), 0.0, mode=mode)
+    law = TrafficModel(len(recorded.keys), 0.0, mode=mode)
     size, booted_ms = FleetSize(senders, 1, law), SYSTEM.now()
     fleet = HollowFleet(size, policy, traffic=recorded, one_host=True, booted_ms=booted_ms)
     for when, sender, destination in recorded.failures:
--- a/springspread/faults/hollow/fleet.py
+++ b/springspread/faults/hollow/fleet.py
@@ -23,7 +23,7 @@
 from springspread.faults.hollow.network import Network, zone_of
 from springspread.faults.hollow.policy import PolicyProcess, PolicySession
 from springspread.faults.hollow.sender import HollowSender, WaitingCall
-from springspread.faults.hollow.traffic import CallSource, Traffic, TrafficLaw
+from springspread.faults.hollow.traffic import CallSource, Traffic, TrafficModel
 from springspread.faults.hollow.waiting import FAILURES, WaitingCalls
 from springspread.fleet.allocator_control import LEARNING_MS
 from springspread.fleet.limits import Limit
@@ -41,7 +41,7 @@
 
     senders: int
     allocators: int
-    law: TrafficLaw
+    law: TrafficModel
     seed: int = 1
 
 
--- a/springspread/faults/hollow/sockets.py
+++ b/springspread/faults/hollow/sockets.py
@@ -26,7 +26,7 @@
 from springspread.faults.hollow.history import History
 from springspread.faults.hollow.report import Row, spread
 from springspread.faults.hollow.spans import SpanClass, find_spans
-from springspread.faults.hollow.traffic import Traffic, TrafficLaw, key_of
+from springspread.faults.hollow.traffic import Traffic, TrafficModel, key_of
 from springspread.faults.relay import Relay, Way
 from springspread.fleet.allocator_server import AllocatorServer
 from springspread.fleet.client import FleetShares
@@ -45,7 +45,7 @@
 
     senders: int
     processes: int
-    law: TrafficLaw
+    law: TrafficModel
     seconds: float
     warm_s: float = 3.0
     seed: int = 1
--- a/springspread/faults/hollow/traffic.py
+++ b/springspread/faults/hollow/traffic.py
@@ -20,7 +20,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class TrafficLaw:
+class TrafficModel:
     """Numbers of the law; see the module's head."""
 
     destinations: int
@@ -68,7 +68,7 @@
 class Traffic:
     """Draws calls, one stretch after the other. ``down`` says which destinations are down."""
 
-    def __init__(self, law: TrafficLaw, senders: int, seed: int) -> None:
+    def __init__(self, law: TrafficModel, senders: int, seed: int) -> None:
         self.law, self._senders = law, senders
         self.keys = [key_of(number) for number in range(law.destinations)]
         self._rng = np.random.default_rng([seed, 1])
--- a/tests/faults/test_hollow.py
+++ b/tests/faults/test_hollow.py
@@ -16,7 +16,7 @@
 from springspread.faults.hollow.play import Plan, play
 from springspread.faults.hollow.report import digest
 from springspread.faults.hollow.spans import SpanClass, Spans, find_spans
-from springspread.faults.hollow.traffic import Traffic, TrafficLaw
+from springspread.faults.hollow.traffic import Traffic, TrafficModel
 from springspread.fleet.binding import Binding
 from springspread.fleet.key_health import OPENING_FAILURES, KeyHealth
 from springspread.fleet.lease_cache import FRESH_MS, REPORT_MS
@@ -27,9 +27,9 @@
 from springspread.rollout.document import Policy
 
 POLICY = Policy(json.loads(Path("deploy/sender.json").read_text())["settings"], {})
-LAW = TrafficLaw(destinations=200, per_s=2_000.0, hottest_share=0.05)
+LAW = TrafficModel(destinations=200, per_s=2_000.0, hottest_share=0.05)
 SIZE = FleetSize(senders=42, allocators=3, law=LAW)
-EXACT_LAW = TrafficLaw(60, 400.0, hottest_share=0.05, headroom=0.9, mode=LimitMode.EXACT)
+EXACT_LAW = TrafficModel(60, 400.0, hottest_share=0.05, headroom=0.9, mode=LimitMode.EXACT)
 EXACT = FleetSize(senders=28, allocators=3, law=EXACT_LAW)
 REPORT = LeaseReport("g1", 1, 1, 5.0)
 BUSY = 0  # the destination with the most demand, of which ``JUMP`` is a hundredfold
@@ -106,7 +106,7 @@
 
 
 def test_a_jump_to_a_hundredfold_at_1_100_senders_stays_within_the_derived_bound() -> None:
-    law = TrafficLaw(20, 200.0, hottest_share=0.2, down_part=0.0)
+    law = TrafficModel(20, 200.0, hottest_share=0.2, down_part=0.0)
     size = FleetSize(1_100, 2, law)
     target, longest_way_ms = 10, 1.1 * max(map(max, BETWEEN_REGIONS_MS))
     jump = Fault(FaultKind.JUMP, AT, AT + 60_000.0, (target,), 100.0)
@@ -150,7 +150,7 @@
     assert spans.fullest(SpanClass.FREE, begin=AT).ratio_tolerated <= 1.0
 
 
-RETURNS = FleetSize(42, 3, TrafficLaw(2_000, 4_000.0, hottest_share=0.02))
+RETURNS = FleetSize(42, 3, TrafficModel(2_000, 4_000.0, hottest_share=0.02))
 
 
 def play_returns() -> tuple[HollowFleet, Spans]:
