--- a/benchmarks/hollow_fleet.py
+++ b/benchmarks/hollow_fleet.py
@@ -86,7 +86,7 @@
     parser.add_argument("--calm", action="store_true", help="the same as --faults calm")
     parser.add_argument("--headroom", type=float, default=TrafficModel(1, 1.0).headroom)
     parser.add_argument("--tight", type=float, default=0.0, help="part of the limits with little headroom")
-    parser.add_argument("--down", type=float, default=TrafficModel(1, 1.0).down_part)
+    parser.add_argument("--down", type=float, default=TrafficModel(1, 1.0).down_fraction)
     parser.add_argument("--changes", type=int, default=0, help="changes of policy while measured")
     parser.add_argument("--config", type=Path, default=Path("deploy/sender.json"))
     parser.add_argument("--csv", type=Path)
@@ -127,7 +127,7 @@
     law = TrafficModel(
         args.destinations,
         args.per_s,
-        down_part=args.down,
+        down_fraction=args.down,
         headroom=args.headroom,
         tight_part=args.tight,
         mode=LimitMode(args.mode),
@@ -147,7 +147,7 @@
     faults = "calm" if args.calm else args.faults
     fleet, rows = play(size, Plan(args.seconds, args.warm_s, faults, args.changes), policy)
     told = "" if not args.tight else f" tight={args.tight:g}"
-    told += "" if args.down == TrafficModel(1, 1.0).down_part else f" down={args.down:g}"
+    told += "" if args.down == TrafficModel(1, 1.0).down_fraction else f" down={args.down:g}"
     told += "" if args.headroom == TrafficModel(1, 1.0).headroom else f" headroom={args.headroom:g}"
     told += "" if law.mode is LimitMode.ADAPTIVE else f" {args.mode}"
     run = f"virtual {faults}{told} {shape}"
--- a/springspread/faults/hollow/traffic.py
+++ b/springspread/faults/hollow/traffic.py
@@ -25,7 +25,7 @@
 
     destinations: int
     per_s: float
-    down_part: float = 0.028
+    down_fraction: float = 0.028
     down_attempts: float = 0.5
     exponent: float = 0.9
     hottest_share: float = 0.005
@@ -77,7 +77,7 @@
         share = _capped(ranks**-law.exponent, law.hottest_share)
         self.rates: NDArray[np.float64] = law.per_s * share  # calls a second by destination
         self.down = np.zeros(law.destinations, dtype=bool)
-        count = round(law.down_part * law.destinations)
+        count = round(law.down_fraction * law.destinations)
         self.down[fixed.choice(law.destinations, count, replace=False)] = True
         self._tight = fixed.random(law.destinations) < law.tight_part
         self._factors: dict[int, float] = {}
--- a/tests/faults/test_hollow.py
+++ b/tests/faults/test_hollow.py
@@ -79,7 +79,7 @@
 
 
 def test_calls_that_a_sender_reports_are_those_that_it_made() -> None:
-    law = replace(LAW, down_part=0.0, headroom=50.0, least_calls=1_000)
+    law = replace(LAW, down_fraction=0.0, headroom=50.0, least_calls=1_000)
     fleet, _ = run(replace(SIZE, law=law), (), 5_000.0)
     assert not fleet.history.statuses
     assert not [one for one in fleet.history.held_up if one.since >= JOIN_MS + 250.0]
@@ -106,7 +106,7 @@
 
 
 def test_a_jump_to_a_hundredfold_at_1_100_senders_stays_within_the_derived_bound() -> None:
-    law = TrafficModel(20, 200.0, hottest_share=0.2, down_part=0.0)
+    law = TrafficModel(20, 200.0, hottest_share=0.2, down_fraction=0.0)
     size = FleetSize(1_100, 2, law)
     target, longest_way_ms = 10, 1.1 * max(map(max, BETWEEN_REGIONS_MS))
     jump = Fault(FaultKind.JUMP, AT, AT + 60_000.0, (target,), 100.0)
