--- a/benchmarks/hollow_fleet.py
+++ b/benchmarks/hollow_fleet.py
@@ -129,7 +129,7 @@
         args.per_s,
         down_fraction=args.down,
         headroom=args.headroom,
-        tight_part=args.tight,
+        tight_fraction=args.tight,
         mode=LimitMode(args.mode),
     )
     shape = f"{args.senders}/{args.destinations}/{args.per_s:g} seed {args.seed}"
--- a/springspread/faults/hollow/traffic.py
+++ b/springspread/faults/hollow/traffic.py
@@ -3,7 +3,7 @@
 Calls are a Poisson process of a stated rate. Destinations are drawn by a Zipf law: the one of rank k has a
 weight of k to the power of -``exponent``, and no destination has more than ``hottest_share`` of all calls.
 Each call's sender is drawn uniformly. A limit is ``headroom`` times the mean demand of its destination, in
-calls in ``span_ms``, and at least ``least_calls``; a ``tight_part`` of the destinations has
+calls in ``span_ms``, and at least ``least_calls``; a ``tight_fraction`` of the destinations has
 ``tight_headroom`` instead. Destinations that are down are drawn uniformly over all ranks; senders begin
 ``down_attempts`` of the calls to them, and each fails.
 """
@@ -30,7 +30,7 @@
     exponent: float = 0.9
     hottest_share: float = 0.005
     headroom: float = 2.0
-    tight_part: float = 0.0
+    tight_fraction: float = 0.0
     tight_headroom: float = 1.2
     least_calls: int = 10
     span_ms: float = 2_000.0
@@ -79,7 +79,7 @@
         self.down = np.zeros(law.destinations, dtype=bool)
         count = round(law.down_fraction * law.destinations)
         self.down[fixed.choice(law.destinations, count, replace=False)] = True
-        self._tight = fixed.random(law.destinations) < law.tight_part
+        self._tight = fixed.random(law.destinations) < law.tight_fraction
         self._factors: dict[int, float] = {}
         self._law_changed()
 
