--- a/benchmarks/hollow_fleet.py
+++ b/benchmarks/hollow_fleet.py
@@ -32,7 +32,7 @@
 from springspread.faults.hollow.fleet import FleetSize
 from springspread.faults.hollow.play import Plan, play
 from springspread.faults.hollow.report import Row, digest
-from springspread.faults.hollow.sockets import SocketPlan, play_sockets
+from springspread.faults.hollow.sockets import SocketPlan, run_on_sockets
 from springspread.faults.hollow.traffic import TrafficModel
 from springspread.fleet.limits import LimitMode
 from springspread.rollout.document import Policy
@@ -141,7 +141,7 @@
             args.senders, args.processes, law, args.seconds, seed=args.seed, control=not args.no_control
         )
         mode = args.mode if plan.control else "driver alone"
-        tell(f"sockets {mode} {shape}", play_sockets(plan), args.csv)
+        tell(f"sockets {mode} {shape}", run_on_sockets(plan), args.csv)
         return
     size = FleetSize(args.senders, args.allocators, law, args.seed)
     faults = "calm" if args.calm else args.faults
--- a/springspread/faults/hollow/sockets.py
+++ b/springspread/faults/hollow/sockets.py
@@ -160,7 +160,7 @@
             self.bytes[way] += len(line)
 
 
-def play_sockets(plan: SocketPlan) -> list[Row]:
+def run_on_sockets(plan: SocketPlan) -> list[Row]:
     """Play it, and tell the figures."""
     context = multiprocessing.get_context("spawn")
     with tempfile.TemporaryDirectory(prefix="springspread-hollow-") as name:
