--- a/benchmarks/hollow_fleet.py
+++ b/benchmarks/hollow_fleet.py
@@ -30,7 +30,7 @@
 from springspread.faults.hollow.comparison import compare
 from springspread.faults.hollow.faults import SCHEDULES
 from springspread.faults.hollow.fleet import FleetSize
-from springspread.faults.hollow.play import Plan, play
+from springspread.faults.hollow.play import Plan, run_fleet
 from springspread.faults.hollow.report import Row, digest
 from springspread.faults.hollow.sockets import SocketPlan, run_on_sockets
 from springspread.faults.hollow.traffic import TrafficModel
@@ -145,7 +145,7 @@
         return
     size = FleetSize(args.senders, args.allocators, law, args.seed)
     faults = "calm" if args.calm else args.faults
-    fleet, rows = play(size, Plan(args.seconds, args.warm_s, faults, args.changes), policy)
+    fleet, rows = run_fleet(size, Plan(args.seconds, args.warm_s, faults, args.changes), policy)
     told = "" if not args.tight else f" tight={args.tight:g}"
     told += "" if args.down == TrafficModel(1, 1.0).down_fraction else f" down={args.down:g}"
     told += "" if args.headroom == TrafficModel(1, 1.0).headroom else f" headroom={args.headroom:g}"
--- a/springspread/faults/hollow/play.py
+++ b/springspread/faults/hollow/play.py
@@ -23,7 +23,7 @@
     changes: int = 0
 
 
-def play(size: FleetSize, plan: Plan, policy: Policy) -> tuple[HollowFleet, list[Row]]:
+def run_fleet(size: FleetSize, plan: Plan, policy: Policy) -> tuple[HollowFleet, list[Row]]:
     """Play it; raises ``ValueError`` for an unknown schedule.
 
     The cyclic garbage collector rests meanwhile: in a process as large as the simulator's it would take
--- a/tests/faults/test_hollow.py
+++ b/tests/faults/test_hollow.py
@@ -13,7 +13,7 @@
 from springspread.faults.hollow.faults import Fault, FaultKind, Stage, schedule
 from springspread.faults.hollow.fleet import JOIN_MS, FleetSize, HollowFleet
 from springspread.faults.hollow.network import BETWEEN_REGIONS_MS, ZONES, zone_of
-from springspread.faults.hollow.play import Plan, play
+from springspread.faults.hollow.play import Plan, run_fleet
 from springspread.faults.hollow.report import digest
 from springspread.faults.hollow.spans import SpanClass, Spans, find_spans
 from springspread.faults.hollow.traffic import Traffic, TrafficModel
@@ -62,13 +62,13 @@
 
 def test_one_seed_has_one_history() -> None:
     plan = Plan(seconds=2.0, warm_s=1.0, faults="restarts+zone+allocator")
-    first, second = (digest(play(SIZE, plan, POLICY)[0]) for _ in range(2))
-    other = digest(play(replace(SIZE, seed=2), plan, POLICY)[0])
+    first, second = (digest(run_fleet(SIZE, plan, POLICY)[0]) for _ in range(2))
+    other = digest(run_fleet(replace(SIZE, seed=2), plan, POLICY)[0])
     assert first == second != other
 
 
 def test_the_report_tells_each_role_and_a_calm_day_keeps_its_limits() -> None:
-    _, rows = play(SIZE, Plan(seconds=4.0, warm_s=4.0), POLICY)
+    _, rows = run_fleet(SIZE, Plan(seconds=4.0, warm_s=4.0), POLICY)
     found = {(row.role, row.what, row.statistic): row.value for row in rows}
     for role in ("sender", "allocator", "policy"):
         assert found[role, "bytes both ways with headers", "p99"] > 0.0
