--- a/benchmarks/hollow_fleet.py
+++ b/benchmarks/hollow_fleet.py
@@ -30,8 +30,8 @@
 from springspread.faults.hollow.comparison import compare
 from springspread.faults.hollow.faults import SCHEDULES
 from springspread.faults.hollow.fleet import FleetSize
-from springspread.faults.hollow.play import Plan, run_fleet
 from springspread.faults.hollow.report import Row, digest
+from springspread.faults.hollow.runner import Plan, run_fleet
 from springspread.faults.hollow.sockets import SocketPlan, run_on_sockets
 from springspread.faults.hollow.traffic import TrafficModel
 from springspread.fleet.limits import LimitMode
--- a/tests/faults/test_hollow.py
+++ b/tests/faults/test_hollow.py
@@ -13,8 +13,8 @@
 from springspread.faults.hollow.faults import Fault, FaultKind, Stage, schedule
 from springspread.faults.hollow.fleet import JOIN_MS, FleetSize, HollowFleet
 from springspread.faults.hollow.network import BETWEEN_REGIONS_MS, ZONES, zone_of
-from springspread.faults.hollow.play import Plan, run_fleet
 from springspread.faults.hollow.report import digest
+from springspread.faults.hollow.runner import Plan, run_fleet
 from springspread.faults.hollow.spans import SpanClass, Spans, find_spans
 from springspread.faults.hollow.traffic import Traffic, TrafficModel
 from springspread.fleet.binding import Binding
