--- a/springspread/faults/hollow/allocator.py
+++ b/springspread/faults/hollow/allocator.py
@@ -90,7 +90,7 @@
     def accept(self, connection: Connection) -> None:
         """A connection is open; nothing is known of it until it registers."""
 
-    def arrived(self, connection: Connection, data: bytes) -> None:
+    def data_received(self, connection: Connection, data: bytes) -> None:
         """Bytes of a sender have come in."""
         clock = self._queue.clock
         begun = perf_counter_ns()
--- a/springspread/faults/hollow/comparison.py
+++ b/springspread/faults/hollow/comparison.py
@@ -73,10 +73,10 @@
         """The limit of a destination."""
         return self.limits[destination]
 
-    def multiply(self, destination: int, factor: float) -> None:
+    def scale_demand(self, destination: int, factor: float) -> None:
         """Nothing multiplies what was recorded."""
 
-    def serves_again(self, destination: int) -> None:
+    def recover(self, destination: int) -> None:
         """Nothing is down for good in what was recorded."""
 
 
@@ -180,7 +180,7 @@
         self.limits, self.policies = Counts(), Counts()
         self.kinds = {kind: Volume() for kind in KINDS}
 
-    def seen(self, way: Way, line: bytes) -> None:
+    def count_line(self, way: Way, line: bytes) -> None:
         """A line passes."""
         if not self.counting:
             return
@@ -209,7 +209,7 @@
     for number in range(day.senders):
         place = folder / "fleet"
         relay, count = Relay(relay_path(place, name_of(number)), place / "allot"), LineCounts()
-        relay.seen = count.seen
+        relay.seen = count.count_line
         relays.append(relay)
         counts.append(count)
     window: list[tuple[float, float]] = []  # the day's time and the clock's, at the begin and the end
@@ -244,18 +244,18 @@
     """The same calls by hollow senders; what each said of limits and of policies from begin to end."""
     recorded.calls.sort()
     law = TrafficModel(len(recorded.keys), 0.0, mode=mode)
-    size, booted_ms = FleetSize(senders, 1, law), SYSTEM.now()
-    fleet = HollowFleet(size, policy, traffic=recorded, one_host=True, booted_ms=booted_ms)
+    size, uptime_ms = FleetSize(senders, 1, law), SYSTEM.now()
+    fleet = HollowFleet(size, policy, traffic=recorded, one_host=True, uptime_ms=uptime_ms)
     for when, sender, destination in recorded.failures:
         fleet.queue.at(when + HOLLOW_START_MS, fleet.call_failed, sender, destination)
     for when, sender, destination in recorded.successes:
         fleet.queue.at(when + HOLLOW_START_MS, fleet.call_served, sender, destination)
     for when, sender, destination, per_s in recorded.partner_rates:
-        fleet.queue.at(when + HOLLOW_START_MS, fleet.partner_told, sender, destination, per_s)
+        fleet.queue.at(when + HOLLOW_START_MS, fleet.partner_rate_received, sender, destination, per_s)
     counts = [LineCounts() for _ in range(senders)]
     for hollow, count in zip(fleet.senders, counts, strict=True):
         assert hollow is not None  # all have begun, and none is killed
-        hollow.line_listener = count.seen
+        hollow.line_listener = count.count_line
     fleet.run_until(HOLLOW_START_MS + begin)
     policies = [meter.copy() for meter in fleet.policy_meters]
     for count in counts:
--- a/springspread/faults/hollow/connection.py
+++ b/springspread/faults/hollow/connection.py
@@ -21,7 +21,7 @@
     def accept(self, connection: Connection) -> None:
         """A connection is open."""
 
-    def arrived(self, connection: Connection, data: bytes) -> None:
+    def data_received(self, connection: Connection, data: bytes) -> None:
         """Bytes of a sender have come in."""
 
     def closed(self, connection: Connection) -> None:
@@ -36,7 +36,7 @@
     def opened(self, connection: Connection) -> None:
         """The connection that was asked for is open."""
 
-    def arrived(self, connection: Connection, data: bytes) -> None:
+    def data_received(self, connection: Connection, data: bytes) -> None:
         """Bytes of the control process have come in."""
 
     def lost(self) -> None:
@@ -51,7 +51,7 @@
         "_arrives_up",
         "_network",
         "_queue",
-        "_way_ms",
+        "_latency_ms",
         "acceptor",
         "connector",
         "down_lines",
@@ -65,10 +65,10 @@
         self.connector, self.acceptor = connector, acceptor
         self.owner: Owner | None = None  # as the control process knows the sender
         self.up_lines, self.down_lines = Lines(), Lines()
-        self._way_ms = network.way_ms(connector.zone, acceptor.zone)
+        self._latency_ms = network.latency_ms(connector.zone, acceptor.zone)
         self._arrives_up = self._arrives_down = 0.0
         self.open = False
-        queue.at(queue.now + 2.0 * self._way_ms * network.jitter(), self._open)
+        queue.at(queue.now + 2.0 * self._latency_ms * network.jitter(), self._open)
 
     def _open(self) -> None:
         reachable = self._network.reachable(self.connector.zone, self.acceptor.zone)
@@ -83,15 +83,15 @@
     def send_up(self, data: bytes) -> None:
         """The sender writes."""
         self._arrives_up = self._arrival(self._arrives_up)
-        self._queue.at(self._arrives_up, self._deliver, self.acceptor.arrived, data)
+        self._queue.at(self._arrives_up, self._deliver, self.acceptor.data_received, data)
 
     def send_down(self, data: bytes) -> None:
         """The control process writes."""
         self._arrives_down = self._arrival(self._arrives_down)
-        self._queue.at(self._arrives_down, self._deliver, self.connector.arrived, data)
+        self._queue.at(self._arrives_down, self._deliver, self.connector.data_received, data)
 
     def _arrival(self, earlier: float) -> float:
-        return max(self._queue.now + self._way_ms * self._network.jitter(), earlier)
+        return max(self._queue.now + self._latency_ms * self._network.jitter(), earlier)
 
     def _deliver(self, take: Callable[[Connection, bytes], None], data: bytes) -> None:
         if self.open:
--- a/springspread/faults/hollow/events.py
+++ b/springspread/faults/hollow/events.py
@@ -7,7 +7,7 @@
 from math import inf
 from typing import Any
 
-BOOTED_MS = 2_592_000_000.123456  # what machines' clocks show at time zero: up for thirty days
+UPTIME_MS = 2_592_000_000.123456  # what machines' clocks show at time zero: up for thirty days
 
 
 class EventQueue:
@@ -16,10 +16,10 @@
     Control code is told ``clock`` instead, as the length of what it writes goes with the digits of its times.
     """
 
-    def __init__(self, booted_ms: float = BOOTED_MS) -> None:
-        """``booted_ms``: what the clock shows at time zero."""
+    def __init__(self, uptime_ms: float = UPTIME_MS) -> None:
+        """``uptime_ms``: what the clock shows at time zero."""
         self.now = 0.0
-        self._booted_ms = booted_ms
+        self._uptime_ms = uptime_ms
         self._count = 0
         self._heap: list[tuple[float, int, Callable[..., None], tuple[Any, ...]]] = []
 
@@ -31,7 +31,7 @@
     @property
     def clock(self) -> float:
         """What the machines' clocks show now (ms)."""
-        return self._booted_ms + self.now
+        return self._uptime_ms + self.now
 
     @property
     def next_at(self) -> float:
--- a/springspread/faults/hollow/faults.py
+++ b/springspread/faults/hollow/faults.py
@@ -46,7 +46,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Stage:
+class ScheduleSpec:
     """What a schedule is drawn for: numbers of senders and allocators, and the span of time (ms)."""
 
     senders: int
@@ -61,12 +61,12 @@
         return self.begin + (self.end - self.begin) / 3.0
 
 
-def calm(stage: Stage) -> tuple[Fault, ...]:
+def calm(stage: ScheduleSpec) -> tuple[Fault, ...]:
     """Nothing."""
     return ()
 
 
-def restarts(stage: Stage) -> tuple[Fault, ...]:
+def restarts(stage: ScheduleSpec) -> tuple[Fault, ...]:
     """Restarts at the rate of 250 a day of 1,100 senders, at least one."""
     rng = Random(f"{stage.seed}/restarts")
     seconds = (stage.end - stage.begin) / 1000.0
@@ -78,13 +78,13 @@
     return tuple(sorted(made, key=lambda fault: fault.begin))
 
 
-def machine(stage: Stage) -> tuple[Fault, ...]:
+def machine(stage: ScheduleSpec) -> tuple[Fault, ...]:
     """A machine with some senders fails."""
     ones = tuple(range(min(MACHINE_SENDERS, stage.senders)))
     return (Fault(FaultKind.RESTART, stage.middle, stage.middle + RESTART_MS, ones),)
 
 
-def most_restart(stage: Stage) -> tuple[Fault, ...]:
+def most_restart(stage: ScheduleSpec) -> tuple[Fault, ...]:
     """Two thirds of the senders restart within a second."""
     rng = Random(f"{stage.seed}/most_restart")
     made = []
@@ -94,38 +94,38 @@
     return tuple(sorted(made, key=lambda fault: fault.begin))
 
 
-def zone(stage: Stage) -> tuple[Fault, ...]:
+def zone(stage: ScheduleSpec) -> tuple[Fault, ...]:
     """The last zone is cut off for four seconds."""
     return (Fault(FaultKind.CUT, stage.middle, stage.middle + 4_000.0, (len(ZONES) - 1,)),)
 
 
-def region(stage: Stage) -> tuple[Fault, ...]:
+def region(stage: ScheduleSpec) -> tuple[Fault, ...]:
     """The last region is cut off from the others for four seconds."""
     last = tuple(one.number for one in ZONES if one.region == ZONES[-1].region)
     return (Fault(FaultKind.CUT, stage.middle, stage.middle + 4_000.0, last),)
 
 
-def allocator(stage: Stage) -> tuple[Fault, ...]:
+def allocator(stage: ScheduleSpec) -> tuple[Fault, ...]:
     """An allocator is killed."""
     return (Fault(FaultKind.ALLOCATOR, stage.middle, stage.middle + TAKEOVER_MS, (0,)),)
 
 
-def allocator_without_record(stage: Stage) -> tuple[Fault, ...]:
+def allocator_without_record(stage: ScheduleSpec) -> tuple[Fault, ...]:
     """An allocator is killed, and its record is lost."""
     return (Fault(FaultKind.ALLOCATOR_AMNESIA, stage.middle, stage.middle + TAKEOVER_MS, (0,)),)
 
 
-def jump(stage: Stage) -> tuple[Fault, ...]:
+def jump(stage: ScheduleSpec) -> tuple[Fault, ...]:
     """The demand of a middling destination is a hundredfold from one moment on."""
     return (Fault(FaultKind.JUMP, stage.middle, stage.end, (JUMP_RANK,), JUMP_FACTOR),)
 
 
-def fall(stage: Stage) -> tuple[Fault, ...]:
+def fall(stage: ScheduleSpec) -> tuple[Fault, ...]:
     """The limit of a busy destination falls to a tenth."""
     return (Fault(FaultKind.LIMIT, stage.middle, stage.end, (FALL_RANK,), 0.1),)
 
 
-def returns(stage: Stage) -> tuple[Fault, ...]:
+def returns(stage: ScheduleSpec) -> tuple[Fault, ...]:
     """Destinations that were down serve again, one after the other."""
     step_ms = (stage.end - stage.begin) / 2.0 / len(RETURN_RANKS)
     return tuple(
@@ -139,7 +139,7 @@
 JUMP_RANK = 1_000  # some 20 calls a second at the full size
 FALL_RANK = 100
 
-SCHEDULES: dict[str, Callable[[Stage], tuple[Fault, ...]]] = {
+SCHEDULES: dict[str, Callable[[ScheduleSpec], tuple[Fault, ...]]] = {
     made.__name__.replace("_", "-"): made
     for made in (
         calm,
@@ -157,7 +157,7 @@
 }
 
 
-def schedule(name: str, stage: Stage) -> tuple[Fault, ...]:
+def schedule(name: str, stage: ScheduleSpec) -> tuple[Fault, ...]:
     """A schedule by name, or several joined with ``+``; raises ``ValueError`` for an unknown name."""
     made: list[Fault] = []
     for part in name.split("+"):
--- a/springspread/faults/hollow/fleet.py
+++ b/springspread/faults/hollow/fleet.py
@@ -16,7 +16,7 @@
 
 from springspread.faults.hollow.allocator import AllocatorProcess
 from springspread.faults.hollow.connection import Acceptor
-from springspread.faults.hollow.events import BOOTED_MS, EventQueue
+from springspread.faults.hollow.events import UPTIME_MS, EventQueue
 from springspread.faults.hollow.faults import Fault, FaultKind
 from springspread.faults.hollow.history import HeldUp, History
 from springspread.faults.hollow.meter import Meter
@@ -55,14 +55,14 @@
         faults: Sequence[Fault] = (),
         traffic: CallSource | None = None,
         one_host: bool = False,
-        booted_ms: float = BOOTED_MS,
+        uptime_ms: float = UPTIME_MS,
     ) -> None:
         """``traffic``: in place of what the law of ``size`` draws. ``one_host``: all ways are as short.
 
-        ``booted_ms``: what clocks show at time zero.
+        ``uptime_ms``: what clocks show at time zero.
         """
         self.size, self.policy = size, policy
-        self.queue, self.network = EventQueue(booted_ms), Network(size.seed, one_host)
+        self.queue, self.network = EventQueue(uptime_ms), Network(size.seed, one_host)
         self.traffic = traffic or Traffic(size.law, size.senders, size.seed)
         self.keys = self.traffic.keys
         fingerprints = {fingerprint(key): number for number, key in enumerate(self.keys)}
@@ -88,7 +88,7 @@
         for fault in faults:
             self.queue.at(fault.begin, self._begin, fault)
             self.queue.at(fault.end, self._end, fault)
-        self.offered = self.unserved = 0  # calls that were drawn, and those whose sender was not there
+        self.offered = self.without_sender = 0  # calls that were drawn, and those whose sender was not there
         self.queue.run_until(JOIN_MS)
 
     def _allocator(self, number: int, name: str) -> AllocatorProcess:
@@ -97,7 +97,7 @@
             for key, limit, shard in zip(self.keys, self.limits, self.shard_of, strict=True)
             if shard == number
         }
-        listener, mode = self.history.status_told, self.size.law.mode
+        listener, mode = self.history.record_statuses, self.size.law.mode
         return AllocatorProcess(self.queue, name, zone_of(number), limits, mode, listener)
 
     # Senders
@@ -152,7 +152,7 @@
         sender = self.senders[number]
         self.offered += 1
         if sender is None:
-            self.unserved += 1
+            self.without_sender += 1
         elif sender.sessions[self.shard_of[destination]].call(destination, self.keys[destination]):
             self._began(self.queue.now, destination, number)
 
@@ -160,11 +160,11 @@
         """What each sender has written, read and computed until now, of all kinds."""
         return [one.plus(other) for one, other in zip(self.meters, self.policy_meters, strict=True)]
 
-    def partner_told(self, number: int, destination: int, per_s: float) -> None:
+    def partner_rate_received(self, number: int, destination: int, per_s: float) -> None:
         """A sender hears a limit (calls a second) from a partner."""
         sender = self.senders[number]
         if sender is not None:
-            sender.sessions[self.shard_of[destination]].partner_told(self.keys[destination], per_s)
+            sender.sessions[self.shard_of[destination]].partner_rate_received(self.keys[destination], per_s)
 
     def call_failed(self, number: int, destination: int) -> None:
         """A call that a sender began has failed."""
@@ -187,10 +187,10 @@
                 self.allocators[fault.targets[0]].kill()
                 self.history.takeovers.append((fault.targets[0], now, fault.end + LEARNING_MS))
             case FaultKind.JUMP:
-                self.traffic.multiply(fault.targets[0], fault.factor)
+                self.traffic.scale_demand(fault.targets[0], fault.factor)
                 self.history.jumps.setdefault(fault.targets[0], []).append(now)
             case FaultKind.LIMIT:
-                self._multiply_limit(fault.targets[0], fault.factor)
+                self._scale_limit(fault.targets[0], fault.factor)
             case FaultKind.RETURN:
                 self._return(self._down(fault.targets[0]), round(fault.factor))
 
@@ -201,7 +201,7 @@
         return int(self._down_by_rank[rank])
 
     def _return(self, destination: int, waiting: int) -> None:
-        self.traffic.serves_again(destination)
+        self.traffic.recover(destination)
         self._returned.add(destination)
         self.history.returns[destination] = self.queue.now
         for number in range(self.size.senders):
@@ -218,9 +218,9 @@
                 with_record = fault.kind is FaultKind.ALLOCATOR
                 self.allocators[fault.targets[0]].start(successor=True, with_record=with_record)
             case FaultKind.JUMP:
-                self.traffic.multiply(fault.targets[0], 1.0)
+                self.traffic.scale_demand(fault.targets[0], 1.0)
             case FaultKind.LIMIT:
-                self._multiply_limit(fault.targets[0], 1.0)
+                self._scale_limit(fault.targets[0], 1.0)
 
     def _break_connections(self) -> None:
         processes: list[Acceptor] = [*self.allocators, self.coordinator]
@@ -229,7 +229,7 @@
                 if not self.network.reachable(connection.connector.zone, process.zone):
                     connection.close()
 
-    def _multiply_limit(self, destination: int, factor: float) -> None:
+    def _scale_limit(self, destination: int, factor: float) -> None:
         calls = max(round(self.limits[destination].calls * factor), 1)
         limit = Limit(calls, self.size.law.span_ms, self.size.law.mode)
         self.history.limits.setdefault(destination, []).append((self.queue.now, limit))
@@ -253,7 +253,7 @@
             queue.now = now
             sender = senders[number]
             if sender is None:
-                self.unserved += 1
+                self.without_sender += 1
             elif sender.sessions[shard_of[destination]].call(destination, keys[destination]):
                 self._began(now, destination, number)
             next_at = queue.next_at
--- a/springspread/faults/hollow/history.py
+++ b/springspread/faults/hollow/history.py
@@ -42,7 +42,7 @@
         self.destinations.append(destination)
         self.senders.append(sender)
 
-    def status_told(self, now: float, message: KeyStatuses) -> None:
+    def record_statuses(self, now: float, message: KeyStatuses) -> None:
         """An allocator tells everybody a change of status."""
         for one in message.bound:
             self._set(now, one, True)
--- a/springspread/faults/hollow/meter.py
+++ b/springspread/faults/hollow/meter.py
@@ -30,7 +30,7 @@
         return Volume(self.writes + other.writes, self.messages + other.messages, self.bytes + other.bytes)
 
     @property
-    def on_the_wire(self) -> int:
+    def wire_bytes(self) -> int:
         """Bytes with the headers of each write."""
         return self.bytes + HEADER_BYTES * self.writes
 
--- a/springspread/faults/hollow/network.py
+++ b/springspread/faults/hollow/network.py
@@ -58,7 +58,7 @@
         """Whether messages pass between two zones now."""
         return all((one.number in zones) is (other.number in zones) for zones in self._isolated)
 
-    def way_ms(self, one: Zone, other: Zone) -> float:
+    def latency_ms(self, one: Zone, other: Zone) -> float:
         """The time of a message from one zone to another, or back, without jitter."""
         if self._one_host:
             return WITHIN_HOST_MS
--- a/springspread/faults/hollow/policy.py
+++ b/springspread/faults/hollow/policy.py
@@ -28,7 +28,7 @@
 from springspread.rollout.protocol import Acting, Decided, Grant, Prepare, Proposed, Vote, Write
 
 SYNC_MS = 4.0  # for the record to reach the disk
-WAY_MS = 50.0  # the longest way between two processes, and as much again as a reserve
+LEAD_MS = 50.0  # the longest way between two processes, and as much again as a reserve
 
 
 class PolicyProcess:
@@ -42,7 +42,7 @@
         self._by_owner: dict[Owner, Connection] = {}
         self._documents: dict[Owner, set[int]] = {}  # numbers whose texts an owner has been sent
         history = History().with_entry(Proposed(1, policy.digest)).with_entry(Decided(1, queue.clock))
-        times = Timings(lead_ms=WAY_MS)
+        times = Timings(lead_ms=LEAD_MS)
         self._state: Coordinator
         self._carry_out(coordinator.begin(times, history, queue.clock, []))
         self._tick()
@@ -59,7 +59,7 @@
     def accept(self, connection: Connection) -> None:
         """A connection is open; nothing is known of it until it registers."""
 
-    def arrived(self, connection: Connection, data: bytes) -> None:
+    def data_received(self, connection: Connection, data: bytes) -> None:
         """Bytes of a sender have come in."""
         begun = perf_counter_ns()
         messages = connection.up_lines.feed(data)
@@ -162,7 +162,7 @@
         self._connection = None
         self._sender.queue.at(self._sender.queue.now + RECONNECT_MS, self._connect)
 
-    def arrived(self, connection: Connection, data: bytes) -> None:
+    def data_received(self, connection: Connection, data: bytes) -> None:
         """Bytes of the coordinator have come in."""
         clock, meter = self._sender.queue.clock, self._meter
         begun = perf_counter_ns()
--- a/springspread/faults/hollow/report.py
+++ b/springspread/faults/hollow/report.py
@@ -12,7 +12,7 @@
 from springspread.faults.hollow.history import HeldUp
 from springspread.faults.hollow.memory import reachable_bytes
 from springspread.faults.hollow.meter import Meter, Volume
-from springspread.faults.hollow.spans import Fullest, SpanClass, find_spans
+from springspread.faults.hollow.spans import SpanClass, SpanStats, find_spans
 
 SAMPLED = 12  # senders whose memory is measured
 NOTICED_MS = 50.0  # a wait that is told apart from shorter ones
@@ -38,7 +38,7 @@
         self._senders = fleet.sender_meters()
         self._allocators = [allocator.meter.copy() for allocator in fleet.allocators]
         self._coordinator = fleet.coordinator.meter.copy()
-        self._offered, self._unserved = fleet.offered, fleet.unserved
+        self._offered, self._without_sender = fleet.offered, fleet.without_sender
         self._causes = bindings_by_cause(fleet)
 
     def rows(self) -> list[Row]:
@@ -68,15 +68,17 @@
             states.append(reachable_bytes(sessions) / 1e6)
         controls = [reachable_bytes([allocator.control]) / 1e6 for allocator in fleet.allocators]
         return [
-            *spread("sender", "memory of control state", states, "MB"),
-            *spread("allocator", "memory of control state", controls, "MB"),
+            *distribution_rows("sender", "memory of control state", states, "MB"),
+            *distribution_rows("allocator", "memory of control state", controls, "MB"),
         ]
 
     def _call_rows(self, seconds: float) -> list[Row]:
         fleet = self._fleet
         rows = [
             Row("fleet", "calls offered", "per second", (fleet.offered - self._offered) / seconds, "1/s"),
-            Row("fleet", "calls without a sender", "sum", fleet.unserved - self._unserved, "calls"),
+            Row(
+                "fleet", "calls without a sender", "sum", fleet.without_sender - self._without_sender, "calls"
+            ),
             Row("fleet", "limits bound", "at the end", bound_now(fleet), "limits"),
         ]
         for cause, count in bindings_by_cause(fleet).items():
@@ -100,21 +102,21 @@
             Row("fleet", "calls given up, destination up", "part of all", given_up(up) / calls, "1"),
             Row("fleet", "calls held up, at a return", "part of all", at_a_return / calls, "1"),
         ]
-        return rows + (spread("fleet", "wait of calls held up", waits, "ms") if waits else [])
+        return rows + (distribution_rows("fleet", "wait of calls held up", waits, "ms") if waits else [])
 
     def _span_rows(self) -> list[Row]:
         fleet = self._fleet
         spans = find_spans(fleet.history, fleet.limits, fleet.shard_of, fleet.size.law.span_ms)
         rows = []
         for one in SpanClass:
-            rows += span_rows(f"spans {one.name.lower()}", spans.fullest(one, self._begin))
+            rows += span_rows(f"spans {one.name.lower()}", spans.stats(one, self._begin))
         if fleet.history.returns:
-            rows += span_rows("spans after a return", spans.fullest_after(fleet.history.returns))
+            rows += span_rows("spans after a return", spans.stats_after(fleet.history.returns))
         return rows
 
 
-def span_rows(name: str, found: Fullest) -> list[Row]:
-    """The fullest spans of one kind."""
+def span_rows(name: str, found: SpanStats) -> list[Row]:
+    """The statistics of one kind of span."""
     return [
         Row("limit", name, "count", found.spans, "spans"),
         Row("limit", name, "most calls by N", found.ratio, "1"),
@@ -136,23 +138,25 @@
         if role != "sender":
             direction = "sent" if direction == "up" else "received"
         rows += volume_rows(role, direction, volumes, seconds)
-    both = [(m.sent.on_the_wire + m.received.on_the_wire) / seconds for m in meters]
-    rows += spread(role, "bytes both ways with headers", both, "B/s")
-    rows += spread(role, "processor", [m.cpu_ns / 1e7 / seconds for m in meters], "% of a core")
+    both = [(m.sent.wire_bytes + m.received.wire_bytes) / seconds for m in meters]
+    rows += distribution_rows(role, "bytes both ways with headers", both, "B/s")
+    rows += distribution_rows(role, "processor", [m.cpu_ns / 1e7 / seconds for m in meters], "% of a core")
     return rows
 
 
 def volume_rows(role: str, direction: str, volumes: Sequence[Volume], seconds: float) -> list[Row]:
     """One direction."""
     return [
-        *spread(role, f"messages {direction}", [v.messages / seconds for v in volumes], "1/s"),
-        *spread(role, f"writes {direction}", [v.writes / seconds for v in volumes], "1/s"),
-        *spread(role, f"payload {direction}", [v.bytes / seconds for v in volumes], "B/s"),
-        *spread(role, f"bytes {direction} with headers", [v.on_the_wire / seconds for v in volumes], "B/s"),
+        *distribution_rows(role, f"messages {direction}", [v.messages / seconds for v in volumes], "1/s"),
+        *distribution_rows(role, f"writes {direction}", [v.writes / seconds for v in volumes], "1/s"),
+        *distribution_rows(role, f"payload {direction}", [v.bytes / seconds for v in volumes], "B/s"),
+        *distribution_rows(
+            role, f"bytes {direction} with headers", [v.wire_bytes / seconds for v in volumes], "B/s"
+        ),
     ]
 
 
-def spread(role: str, what: str, values: Sequence[float], unit: str) -> list[Row]:
+def distribution_rows(role: str, what: str, values: Sequence[float], unit: str) -> list[Row]:
     """Median, 99th percentile and most."""
     return [
         Row(role, what, "median", float(np.percentile(values, 50)), unit),
--- a/springspread/faults/hollow/runner.py
+++ b/springspread/faults/hollow/runner.py
@@ -7,7 +7,7 @@
 from dataclasses import dataclass
 from resource import RUSAGE_SELF, getrusage
 
-from springspread.faults.hollow.faults import Stage, schedule
+from springspread.faults.hollow.faults import ScheduleSpec, schedule
 from springspread.faults.hollow.fleet import JOIN_MS, FleetSize, HollowFleet
 from springspread.faults.hollow.report import Measurement, Row
 from springspread.rollout.document import Policy
@@ -18,7 +18,7 @@
     """Seconds before the measurement and in it, the schedule's name, and how many policy changes it has."""
 
     seconds: float
-    warm_s: float
+    warmup_s: float
     faults: str = "calm"
     changes: int = 0
 
@@ -29,9 +29,9 @@
     The cyclic garbage collector rests meanwhile: in a process as large as the simulator's it would take
     time that a sender's own would not.
     """
-    begin = JOIN_MS + 1_000.0 * plan.warm_s
+    begin = JOIN_MS + 1_000.0 * plan.warmup_s
     end = begin + 1_000.0 * plan.seconds
-    faults = schedule(plan.faults, Stage(size.senders, size.allocators, begin, end, size.seed))
+    faults = schedule(plan.faults, ScheduleSpec(size.senders, size.allocators, begin, end, size.seed))
     begun = time.monotonic()
     gc.disable()
     try:
--- a/springspread/faults/hollow/sender.py
+++ b/springspread/faults/hollow/sender.py
@@ -115,7 +115,7 @@
             connection.send_up(data)
         self._wake(sender.queue.now + max(wait_ms, 0.1))
 
-    def arrived(self, connection: Connection, data: bytes) -> None:
+    def data_received(self, connection: Connection, data: bytes) -> None:
         """Bytes of the allocator have come in."""
         sender = self.sender
         clock, meter = sender.queue.clock, sender.meter
@@ -130,7 +130,7 @@
         for call in list(self.waiting):
             self._try(call)
 
-    def partner_told(self, key: str, per_s: float) -> None:
+    def partner_rate_received(self, key: str, per_s: float) -> None:
         """A partner tells its limit (calls a second)."""
         if self.session.set_partner_rate(key, per_s):
             self._wake(self.sender.queue.now)
--- a/springspread/faults/hollow/sockets.py
+++ b/springspread/faults/hollow/sockets.py
@@ -24,7 +24,7 @@
 from springspread.core.clock import SYSTEM
 from springspread.core.types import Endpoint
 from springspread.faults.hollow.history import History
-from springspread.faults.hollow.report import Row, spread
+from springspread.faults.hollow.report import Row, distribution_rows
 from springspread.faults.hollow.spans import SpanClass, find_spans
 from springspread.faults.hollow.traffic import Traffic, TrafficModel, key_of
 from springspread.faults.relay import Relay, Way
@@ -41,13 +41,13 @@
 
 @dataclass(frozen=True, slots=True)
 class SocketPlan:
-    """What to play: ``seconds`` are measured, after ``warm_s``."""
+    """What to play: ``seconds`` are measured, after ``warmup_s``."""
 
     senders: int
     processes: int
     law: TrafficModel
     seconds: float
-    warm_s: float = 3.0
+    warmup_s: float = 3.0
     seed: int = 1
     control: bool = True
 
@@ -84,11 +84,11 @@
     def play(self) -> Played:
         """Make the calls of these senders at their times."""
         plan, played = self._plan, self.played
-        measured_from = self._begin + 1000.0 * plan.warm_s
+        measured_from = self._begin + 1000.0 * plan.warmup_s
         used = None
         with ThreadPoolExecutor(THREADS) as pool:
             at = 0.0
-            while at < 1000.0 * (plan.warm_s + plan.seconds):
+            while at < 1000.0 * (plan.warmup_s + plan.seconds):
                 if used is None and self._begin + at >= measured_from:
                     used = _cpu_s()
                 calls = self._traffic.draw(at, STRETCH_MS)
@@ -153,7 +153,7 @@
         self.lines = dict.fromkeys(Way, 0)
         self.bytes = dict.fromkeys(Way, 0)
 
-    def seen(self, way: Way, line: bytes) -> None:
+    def count_line(self, way: Way, line: bytes) -> None:
         """A line passes."""
         if self._begin <= SYSTEM.now() < self._end:
             self.lines[way] += 1
@@ -171,7 +171,7 @@
         allocator.start()
         here.recv()
         begin = SYSTEM.now() + 4_000.0
-        measured = (begin + 1000.0 * plan.warm_s, begin + 1000.0 * (plan.warm_s + plan.seconds))
+        measured = (begin + 1000.0 * plan.warmup_s, begin + 1000.0 * (plan.warmup_s + plan.seconds))
         paths, counts, relays = _paths(plan, folder, daemon, measured)
         pipes, processes = _start(plan, paths, begin)
         _sleep_until(measured[0])
@@ -194,7 +194,7 @@
     for sender in range(min(RELAYED, plan.senders) if plan.control else 0):
         paths[sender] = folder / f"r{sender}"
         relay, count = Relay(paths[sender], daemon), LineCounts(*measured)
-        relay.seen = count.seen
+        relay.seen = count.count_line
         relays.append(relay)
         counts.append(count)
     return paths, counts, relays
@@ -223,19 +223,23 @@
     waits = [wait for one in played for wait in one.waits]
     calls = max(len(waits), 1)
     rows = [
-        Row("fleet", "calls", "per second", calls / (seconds + plan.warm_s), "1/s"),
+        Row("fleet", "calls", "per second", calls / (seconds + plan.warmup_s), "1/s"),
         Row("fleet", "driver late", "most", max(one.late_ms for one in played), "ms"),
         Row("fleet", "calls held up", "part of all", sum(x > HELD_UP_MS for x in waits) / calls, "1"),
         Row("fleet", "calls given up", "part of all", sum(one.given_up for one in played) / calls, "1"),
-        *spread("fleet", "wait for a right", waits, "ms"),
+        *distribution_rows("fleet", "wait for a right", waits, "ms"),
         Row("sender", "processor with threads and driver", "mean", _percent(plan, played), "% of a core"),
         Row("sender", "memory of a process by its senders", "mean", _memory(played) / senders, "MB"),
         Row("allocator", "processor", "mean", 100.0 * used[0] / seconds, "% of a core"),
         Row("allocator", "memory", "most", used[1], "MB"),
     ]
     for way, name in ((Way.UP, "up"), (Way.DOWN, "down")) if counts else ():
-        rows += spread("sender", f"lines {name}", [one.lines[way] / seconds for one in counts], "1/s")
-        rows += spread("sender", f"payload {name}", [one.bytes[way] / seconds for one in counts], "B/s")
+        rows += distribution_rows(
+            "sender", f"lines {name}", [one.lines[way] / seconds for one in counts], "1/s"
+        )
+        rows += distribution_rows(
+            "sender", f"payload {name}", [one.bytes[way] / seconds for one in counts], "B/s"
+        )
     return rows + _span_rows(plan, played, begin)
 
 
@@ -256,7 +260,7 @@
     traffic = Traffic(plan.law, plan.senders, plan.seed)
     limits = [traffic.limit(number) for number in range(plan.law.destinations)]
     spans = find_spans(history, limits, [0] * len(limits), plan.law.span_ms)
-    found = spans.fullest(SpanClass.FREE)
+    found = spans.stats(SpanClass.FREE)
     return [
         Row("limit", "spans", "count", found.spans, "spans"),
         Row("limit", "spans", "most calls by N", found.ratio, "1"),
--- a/springspread/faults/hollow/spans.py
+++ b/springspread/faults/hollow/spans.py
@@ -37,7 +37,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Fullest:
+class SpanStats:
     """Of the spans of one class: how many, the most calls by N and by ``Limit.tolerated``, how many above."""
 
     spans: int
@@ -57,27 +57,27 @@
     limits: NDArray[np.float64]
     classes: NDArray[np.int8]
 
-    def fullest(self, one: SpanClass, begin: float = 0.0, destination: int | None = None) -> Fullest:
+    def stats(self, one: SpanClass, begin: float = 0.0, destination: int | None = None) -> SpanStats:
         """Of a class, of spans that begin from a time on, and of one destination where it is given."""
         chosen = (self.classes == one) & (self.begins >= begin)
         if destination is not None:
             chosen &= self.destinations == destination
-        return self._fullest(chosen)
+        return self._stats(chosen)
 
-    def fullest_after(self, moments: Mapping[int, float]) -> Fullest:
+    def stats_after(self, moments: Mapping[int, float]) -> SpanStats:
         """Of the spans of some destinations that begin at a moment of each or later."""
         chosen = np.zeros(len(self.begins), dtype=np.bool_)
         for destination, moment in moments.items():
             chosen |= (self.destinations == destination) & (self.begins >= moment)
-        return self._fullest(chosen)
+        return self._stats(chosen)
 
-    def _fullest(self, chosen: NDArray[np.bool_]) -> Fullest:
+    def _stats(self, chosen: NDArray[np.bool_]) -> SpanStats:
         calls, limits = self.calls[chosen].astype(float), self.limits[chosen]
         if not len(calls):
-            return Fullest(0, 0.0, 0.0, 0, 0)
+            return SpanStats(0, 0.0, 0.0, 0, 0)
         tolerated = limits + 2.0 * np.sqrt(limits) + 2.0
         ratio, ratio_tolerated = calls / limits, calls / tolerated
-        return Fullest(
+        return SpanStats(
             len(calls),
             float(ratio.max()),
             float(ratio_tolerated.max()),
--- a/springspread/faults/hollow/traffic.py
+++ b/springspread/faults/hollow/traffic.py
@@ -3,7 +3,7 @@
 Calls are a Poisson process of a stated rate. Destinations are drawn by a Zipf law: the one of rank k has a
 weight of k to the power of -``exponent``, and no destination has more than ``hottest_share`` of all calls.
 Each call's sender is drawn uniformly. A limit is ``headroom`` times the mean demand of its destination, in
-calls in ``span_ms``, and at least ``least_calls``; a ``tight_fraction`` of the destinations has
+calls in ``span_ms``, and at least ``min_calls``; a ``tight_fraction`` of the destinations has
 ``tight_headroom`` instead. Destinations that are down are drawn uniformly over all ranks; senders begin
 ``down_attempts`` of the calls to them, and each fails.
 """
@@ -32,7 +32,7 @@
     headroom: float = 2.0
     tight_fraction: float = 0.0
     tight_headroom: float = 1.2
-    least_calls: int = 10
+    min_calls: int = 10
     span_ms: float = 2_000.0
     mode: LimitMode = LimitMode.ADAPTIVE
 
@@ -58,10 +58,10 @@
     def limit(self, destination: int) -> Limit:
         """The limit of a destination."""
 
-    def multiply(self, destination: int, factor: float) -> None:
+    def scale_demand(self, destination: int, factor: float) -> None:
         """The demand of one destination is so many times its mean from the next stretch on."""
 
-    def serves_again(self, destination: int) -> None:
+    def recover(self, destination: int) -> None:
         """A destination that was down is not any more, from the next stretch on."""
 
 
@@ -83,12 +83,12 @@
         self._factors: dict[int, float] = {}
         self._law_changed()
 
-    def multiply(self, destination: int, factor: float) -> None:
+    def scale_demand(self, destination: int, factor: float) -> None:
         """The demand of one destination is so many times its mean from the next stretch on."""
         self._factors[destination] = factor
         self._law_changed()
 
-    def serves_again(self, destination: int) -> None:
+    def recover(self, destination: int) -> None:
         """A destination that was down is not any more, from the next stretch on."""
         self.down[destination] = False
         self._law_changed()
@@ -116,7 +116,7 @@
         law = self.law
         headroom = law.tight_headroom if self._tight[destination] else law.headroom
         calls = headroom * float(self.rates[destination]) * law.span_ms / 1000.0
-        return Limit(max(law.least_calls, round(calls)), law.span_ms, law.mode)
+        return Limit(max(law.min_calls, round(calls)), law.span_ms, law.mode)
 
 
 def key_of(destination: int) -> str:
--- a/tests/faults/test_hollow.py
+++ b/tests/faults/test_hollow.py
@@ -10,7 +10,7 @@
 import pytest
 
 from springspread.faults.hollow.comparison import kind_of
-from springspread.faults.hollow.faults import Fault, FaultKind, Stage, schedule
+from springspread.faults.hollow.faults import Fault, FaultKind, ScheduleSpec, schedule
 from springspread.faults.hollow.fleet import JOIN_MS, FleetSize, HollowFleet
 from springspread.faults.hollow.network import BETWEEN_REGIONS_MS, ZONES, zone_of
 from springspread.faults.hollow.report import digest
@@ -61,14 +61,14 @@
 
 
 def test_one_seed_has_one_history() -> None:
-    plan = Plan(seconds=2.0, warm_s=1.0, faults="restarts+zone+allocator")
+    plan = Plan(seconds=2.0, warmup_s=1.0, faults="restarts+zone+allocator")
     first, second = (digest(run_fleet(SIZE, plan, POLICY)[0]) for _ in range(2))
     other = digest(run_fleet(replace(SIZE, seed=2), plan, POLICY)[0])
     assert first == second != other
 
 
 def test_the_report_tells_each_role_and_a_calm_day_keeps_its_limits() -> None:
-    _, rows = run_fleet(SIZE, Plan(seconds=4.0, warm_s=4.0), POLICY)
+    _, rows = run_fleet(SIZE, Plan(seconds=4.0, warmup_s=4.0), POLICY)
     found = {(row.role, row.what, row.statistic): row.value for row in rows}
     for role in ("sender", "allocator", "policy"):
         assert found[role, "bytes both ways with headers", "p99"] > 0.0
@@ -79,11 +79,11 @@
 
 
 def test_calls_that_a_sender_reports_are_those_that_it_made() -> None:
-    law = replace(LAW, down_fraction=0.0, headroom=50.0, least_calls=1_000)
+    law = replace(LAW, down_fraction=0.0, headroom=50.0, min_calls=1_000)
     fleet, _ = run(replace(SIZE, law=law), (), 5_000.0)
     assert not fleet.history.statuses
     assert not [one for one in fleet.history.held_up if one.since >= JOIN_MS + 250.0]
-    assert fleet.unserved == 0
+    assert fleet.without_sender == 0
     assert fleet.offered == len(fleet.history.times) + sum(
         len(session.waiting) for sender in fleet.senders if sender is not None for session in sender.sessions
     ) + sum(not one.began for one in fleet.history.held_up)
@@ -97,12 +97,12 @@
     bindings = [when for when, bound in fleet.history.statuses[target] if bound]
     assert AT < bindings[-1] < AT + FRESH_MS
     after = [
-        spans.fullest(one, begin=AT + FRESH_MS, destination=target)
+        spans.stats(one, begin=AT + FRESH_MS, destination=target)
         for one in (SpanClass.BOUND, SpanClass.EXPOSED, SpanClass.FREE)
     ]
     assert sum(one.spans for one in after) > 0
     assert max(one.ratio for one in after) <= 1.0
-    assert spans.fullest(SpanClass.EXPOSED, destination=target).ratio > 1.0  # the jump was a real one
+    assert spans.stats(SpanClass.EXPOSED, destination=target).ratio > 1.0  # the jump was a real one
 
 
 def test_a_jump_to_a_hundredfold_at_1_100_senders_stays_within_the_derived_bound() -> None:
@@ -114,12 +114,12 @@
     limit = fleet.limits[target]
     per_ms = 100.0 * float(Traffic(law, size.senders, size.seed).rates[target]) / 1_000.0
     exposure_ms = REPORT_MS + BROADCAST_INTERVAL_MS + 2.0 * longest_way_ms
-    exposed = spans.fullest(SpanClass.EXPOSED, destination=target)
+    exposed = spans.stats(SpanClass.EXPOSED, destination=target)
     assert exposed.ratio > 3.0  # the jump was a real one
     assert exposed.ratio * limit.calls <= limit.tolerated + per_ms * exposure_ms
     bindings = [when for when, bound in fleet.history.statuses[target] if bound]
     assert AT < bindings[-1] < AT + exposure_ms
-    later = [spans.fullest(one, begin=AT + FRESH_MS, destination=target) for one in SpanClass]
+    later = [spans.stats(one, begin=AT + FRESH_MS, destination=target) for one in SpanClass]
     assert max(one.ratio for one in later) <= 1.0 and sum(one.spans for one in later) > limit.calls
 
 
@@ -132,7 +132,7 @@
     fleet, spans = run(SIZE, faults, AT + 7_000.0)
     was_bound = any(bound and when < AT for when, bound in fleet.history.statuses[target])
     assert was_bound is bound_before
-    found = spans.fullest(SpanClass.BOUND, begin=AT + FRESH_MS, destination=target)
+    found = spans.stats(SpanClass.BOUND, begin=AT + FRESH_MS, destination=target)
     assert found.spans > 0
     assert found.ratio <= 1.0
 
@@ -146,21 +146,21 @@
     assert not [sender for sender in during if zone_of(sender).number == last]
     back = calls_between(fleet, AT + 4_500.0, AT + 7_000.0)
     assert [sender for sender in back if zone_of(sender).number == last]
-    assert spans.fullest(SpanClass.BOUND, begin=AT).ratio <= 1.0
-    assert spans.fullest(SpanClass.FREE, begin=AT).ratio_tolerated <= 1.0
+    assert spans.stats(SpanClass.BOUND, begin=AT).ratio <= 1.0
+    assert spans.stats(SpanClass.FREE, begin=AT).ratio_tolerated <= 1.0
 
 
 RETURNS = FleetSize(42, 3, TrafficModel(2_000, 4_000.0, hottest_share=0.02))
 
 
 def play_returns() -> tuple[HollowFleet, Spans]:
-    stage = Stage(RETURNS.senders, RETURNS.allocators, AT, AT + 6_000.0, RETURNS.seed)
+    stage = ScheduleSpec(RETURNS.senders, RETURNS.allocators, AT, AT + 6_000.0, RETURNS.seed)
     return run(RETURNS, schedule("returns", stage), AT + 9_000.0)
 
 
 def test_what_waits_for_destinations_that_return_goes_out_within_their_limits() -> None:
     fleet, spans = play_returns()
-    found = spans.fullest_after(fleet.history.returns)
+    found = spans.stats_after(fleet.history.returns)
     assert len(fleet.history.returns) == 20 and found.spans > 1_000
     assert found.ratio >= 0.9 and found.ratio_tolerated <= 1.0
 
@@ -180,12 +180,12 @@
     """Planted faults: the word of a return binds nothing; senders don't hold back."""
     monkeypatch.setattr(owner, name, lambda *_: None)
     fleet, spans = play_returns()
-    assert spans.fullest_after(fleet.history.returns).ratio_tolerated > 1.1
+    assert spans.stats_after(fleet.history.returns).ratio_tolerated > 1.1
 
 
 def test_a_return_of_more_destinations_than_are_down_is_refused_by_their_number() -> None:
     with pytest.raises(ValueError, match="7 destinations have to be down; there are 6"):
-        run(SIZE, schedule("returns", Stage(42, 3, AT, AT + 6_000.0, 1)), AT)
+        run(SIZE, schedule("returns", ScheduleSpec(42, 3, AT, AT + 6_000.0, 1)), AT)
 
 
 TROUBLE = ("zone", "region", "most-restart", "allocator", "allocator-without-record")
@@ -195,25 +195,25 @@
 def test_a_successor_that_comes_at_once_exceeds_no_exact_limit(kind: FaultKind) -> None:
     faults = [Fault(kind, 4_000.0, 4_100.0, (number,)) for number in range(EXACT.allocators)]
     _, spans = run(EXACT, faults, 7_000.0)
-    assert 0.9 <= max(spans.fullest(one).ratio for one in SpanClass) <= 1.0
+    assert 0.9 <= max(spans.stats(one).ratio for one in SpanClass) <= 1.0
 
 
 @pytest.mark.parametrize("name", TROUBLE)
 def test_an_exact_limit_is_never_exceeded(name: str) -> None:
-    stage = Stage(EXACT.senders, EXACT.allocators, 2_000.0, 6_500.0, EXACT.seed)
+    stage = ScheduleSpec(EXACT.senders, EXACT.allocators, 2_000.0, 6_500.0, EXACT.seed)
     fleet, spans = run(EXACT, schedule(name, stage), 9_000.0)
     assert len(fleet.history.times) > 1_000
-    assert 0.9 <= max(spans.fullest(one).ratio for one in SpanClass) <= 1.0
+    assert 0.9 <= max(spans.stats(one).ratio for one in SpanClass) <= 1.0
 
 
 @pytest.mark.parametrize("name", TROUBLE)
 def test_a_bound_limit_is_not_exceeded_once_its_exposure_is_over(name: str) -> None:
     target = up_destination(HollowFleet(SIZE, POLICY), BUSY)
     jump = Fault(FaultKind.JUMP, JOIN_MS, 60_000.0, (target,), 5.0)
-    stage = Stage(SIZE.senders, SIZE.allocators, 3_000.0, 7_500.0, SIZE.seed)
+    stage = ScheduleSpec(SIZE.senders, SIZE.allocators, 3_000.0, 7_500.0, SIZE.seed)
     _, spans = run(SIZE, [jump, *schedule(name, stage)], 9_000.0)
-    assert spans.fullest(SpanClass.BOUND, destination=target).spans > 0
-    assert spans.fullest(SpanClass.BOUND).ratio <= 1.0
+    assert spans.stats(SpanClass.BOUND, destination=target).spans > 0
+    assert spans.stats(SpanClass.BOUND).ratio <= 1.0
 
 
 def test_the_loss_of_a_shard_moves_its_keys_alone() -> None:
