--- a/springspread/faults/hollow/__init__.py
+++ b/springspread/faults/hollow/__init__.py
@@ -1,6 +1,6 @@
 """A fleet of hollow senders: the real control code without a data plane, in virtual time.
 
-It tells what control costs each sender and each allocator at sizes that no machine here could run as
-processes, and whether limits hold there. Nothing outside ``faults``, ``benchmarks`` and ``tests`` imports it.
-Begin with ``fleet``, which puts the other modules together.
+Measures the cost of control for each sender and allocator, and whether limits hold, at fleet sizes that do
+not fit on one machine as processes. Only ``faults``, ``benchmarks`` and ``tests`` import it. ``fleet`` is the
+entry point that combines the other modules.
 """
--- a/springspread/faults/hollow/allocator.py
+++ b/springspread/faults/hollow/allocator.py
@@ -1,8 +1,8 @@
-"""One allocator process of the fleet: the real ``AllocatorControl`` and coding, with modelled sockets.
+"""An allocator process of the fleet: the real ``AllocatorControl`` and encoding, with modelled sockets.
 
-It ticks when ``fleet.allocator_server`` would: at once at news while nobody waits for a lease, else every
-``TICK_MS``. Its processor time is that of decoding, deciding and encoding, without the kernel's part and
-without the write of the record, which the form on real sockets has.
+It ticks like ``fleet.allocator_server``: on new input while no sender waits for a lease, otherwise every
+``TICK_MS``. Its CPU time covers decoding, decisions and encoding, without the kernel and without writing the
+record, which only the variant on real sockets includes.
 """
 
 from __future__ import annotations
@@ -30,13 +30,13 @@
 from springspread.fleet.wire import encode
 
 FLEET = "hollow"
-OBSERVER = Register(PROTOCOL_VERSION, FLEET, "observer", 0)  # is told of statuses, at no modelled cost
+OBSERVER = Register(PROTOCOL_VERSION, FLEET, "observer", 0)  # receives statuses at no modelled cost
 
 StatusListener = Callable[[float, KeyStatuses], None]
 
 
 class AllocatorProcess:
-    """The allocator of one shard, and its successors."""
+    """The allocator of one shard, across restarts."""
 
     def __init__(
         self,
@@ -47,7 +47,7 @@
         default_mode: LimitMode,
         listener: StatusListener,
     ) -> None:
-        """``listener`` is told of each status that every sender is told of."""
+        """``listener`` gets every broadcast of statuses."""
         self._queue, self.name, self.zone = queue, name, zone
         self.limits, self._default_mode = dict(limits), default_mode
         self._listener = listener
@@ -57,12 +57,12 @@
         self._record: list[Lease] = []
         self.alive = False
         self._tick_at = inf
-        self._ticking = False  # whether somebody waited at the last tick
+        self._busy = False  # whether a sender was waiting at the last tick
         self.leases = self.leased_calls = 0
         self.start()
 
     def start(self, successor: bool = False, with_record: bool = True) -> None:
-        """A process begins. ``successor``: there was one before, whose leases it knows ``with_record``."""
+        """Start a process. A ``successor`` knows its predecessor's leases if started ``with_record``."""
         clock = self._queue.clock
         allocator = Allocator(slack_ms=SLACK_MS)
         if successor and with_record:
@@ -72,26 +72,26 @@
         self.control = AllocatorControl(FLEET, self._default_mode, self.limits, allocator, clock, successor)
         self._observer = self.control.register(clock, OBSERVER)
         self.alive = True
-        self._tick_at, self._ticking = inf, False
+        self._tick_at, self._busy = inf, False
         self._schedule(self._queue.now)
 
     def kill(self) -> None:
-        """The process ends without a word."""
+        """End the process without notice."""
         self.alive = False
         for connection in list(self.connections):
             connection.close()
 
     def change_limit(self, key: str, limit: Limit) -> None:
-        """The operators change one limit at once."""
+        """Change one limit immediately, as operators do."""
         self.limits[key] = limit
         self.control.set_limit(self._queue.clock, key, limit)
-        self._news()
+        self._request_tick()
 
     def accept(self, connection: Connection) -> None:
-        """A connection is open; nothing is known of it until it registers."""
+        """A connection is open; its sender is unknown until it registers."""
 
     def data_received(self, connection: Connection, data: bytes) -> None:
-        """Bytes of a sender have come in."""
+        """Handle bytes from a sender."""
         clock = self._queue.clock
         begun = perf_counter_ns()
         messages = connection.up_lines.feed(data)
@@ -104,7 +104,7 @@
                 self.control.received(clock, connection.owner, message)
         self.meter.cpu_ns += perf_counter_ns() - begun
         self.meter.received.add(len(messages), len(data))
-        self._news()
+        self._request_tick()
 
     def closed(self, connection: Connection) -> None:
         """A connection has ended."""
@@ -113,8 +113,8 @@
             del self._by_owner[owner]
             self.control.unregister(owner)
 
-    def _news(self) -> None:
-        if not self._ticking:  # otherwise it sleeps until its next tick
+    def _request_tick(self) -> None:
+        if not self._busy:  # otherwise a tick is scheduled anyway
             self._schedule(self._queue.now)
 
     def _schedule(self, at: float) -> None:
@@ -124,7 +124,7 @@
 
     def _tick(self, planned: float) -> None:
         if planned != self._tick_at or not self.alive:
-            return  # another tick came before
+            return  # superseded by an earlier tick
         self._tick_at = inf
         now, clock = self._queue.now, self._queue.clock
         begun = perf_counter_ns()
@@ -132,24 +132,24 @@
         self.control.grant(clock, leases)
         outgoing = self.control.take_messages()
         observed = outgoing.pop(self._observer, [])
-        written = [(owner, b"".join(map(encode, messages))) for owner, messages in outgoing.items()]
+        encoded = [(owner, b"".join(map(encode, messages))) for owner, messages in outgoing.items()]
         self.meter.cpu_ns += perf_counter_ns() - begun
-        for owner, data in written:
+        for owner, data in encoded:
             if (connection := self._by_owner.get(owner)) is not None:
                 self.meter.sent.add(len(outgoing[owner]), len(data))
                 connection.send_down(data)
         self._observe(now, observed)
-        self._put_on_record(clock, leases)
-        self._ticking = self.control.busy
+        self._record_leases(clock, leases)
+        self._busy = self.control.busy
         wait_ms = max(self.control.next_at - clock, TICK_MS)
-        self._schedule(now + (TICK_MS if self._ticking else min(wait_ms, IDLE_MS)))
+        self._schedule(now + (TICK_MS if self._busy else min(wait_ms, IDLE_MS)))
 
     def _observe(self, now: float, messages: list[LimitMessage]) -> None:
         for message in messages:
             if isinstance(message, KeyStatuses):
                 self._listener(now, message)
 
-    def _put_on_record(self, now: float, leases: list[Lease]) -> None:
+    def _record_leases(self, now: float, leases: list[Lease]) -> None:
         self.leases += len(leases)
         self.leased_calls += sum(lease.calls for lease in leases)
         self._record += leases
--- a/springspread/faults/hollow/comparison.py
+++ b/springspread/faults/hollow/comparison.py
@@ -41,13 +41,13 @@
 from springspread.simulator.polling import Place
 from springspread.simulator.sockets import SocketTown
 
-WARM_MS = 10_000.0
+WARMUP_MS = 10_000.0
 HOLLOW_START_MS = 1_000.0  # hollow calls begin so much after the recorded ones' zero
-AMPLE_PER_S = 1_000.0
+AMPLE_LIMIT_PER_S = 1_000.0
 
 
 @dataclass(slots=True)
-class Recorded:
+class RecordedTraffic:
     """A day's calls as a source for hollow senders, and what else happened; ms of the day."""
 
     keys: list[str]
@@ -87,7 +87,7 @@
         super().__init__(day, folder, mode)
         groups = {self._limit_key(self._key(name)): group for name, group in self._group.items()}
         limits = {key: self._limit(group, mode) for key, group in groups.items()}
-        self.recorded = Recorded(list(limits), list(limits.values()))
+        self.recorded = RecordedTraffic(list(limits), list(limits.values()))
         self._number_of = {key: number for number, key in enumerate(limits)}
         self._record_calls()
 
@@ -116,7 +116,7 @@
         vars(self.checker).update(call=recorded_call, failed=recorded_failure, done=recorded_end)
 
     def record_given_up(self) -> int:
-        """Add the calls that were given up to those that were made; how many there are."""
+        """Add the calls that were given up to those that were calls_made; how many there are."""
         wall_s = time.time() - self._now() / 1000.0
         found = [
             (max(at - LEASE_WAIT_MS, 0.0), number, self._number(endpoint))
@@ -138,7 +138,7 @@
 
 
 @dataclass(slots=True)
-class Counts:
+class DirectionVolumes:
     """Lines of one kind, by direction."""
 
     up: Volume = field(default_factory=Volume)
@@ -177,7 +177,7 @@
 
     def __init__(self) -> None:
         self.counting = False
-        self.limits, self.policies = Counts(), Counts()
+        self.limits, self.policies = DirectionVolumes(), DirectionVolumes()
         self.kinds = {kind: Volume() for kind in KINDS}
 
     def count_line(self, way: Way, line: bytes) -> None:
@@ -196,7 +196,7 @@
     specs = []
     for spec in day.partners:
         if not spec.habit.limit_per_s:
-            spec = replace(spec, habit=replace(spec.habit, limit_per_s=AMPLE_PER_S))
+            spec = replace(spec, habit=replace(spec.habit, limit_per_s=AMPLE_LIMIT_PER_S))
         specs.append(spec)
     return replace(day, partners=tuple(specs))
 
@@ -215,7 +215,7 @@
     window: list[tuple[float, float]] = []  # the day's time and the clock's, at the begin and the end
 
     def each_s(at: float, *_: object) -> None:
-        counting = WARM_MS <= at < day.length_ms
+        counting = WARMUP_MS <= at < day.length_ms
         if counting is not counts[0].counting:
             window.append((at, SYSTEM.now()))
         for count in counts:
@@ -228,23 +228,23 @@
         for relay in relays:
             relay.close()
     begin, end = window[0][0], window[1][0]
-    made, gave_up = len(town.recorded.calls), town.record_given_up()
+    calls_made, calls_given_up = len(town.recorded.calls), town.record_given_up()
     policy = Policy(json.loads((folder / "sender.json").read_text())["settings"], {})
-    hollow = play_hollow(day.senders, town.recorded, policy, mode, begin, end)
+    hollow = run_hollow(day.senders, town.recorded, policy, mode, begin, end)
     seconds = (end - begin) / 1000.0
     rows = [Row("real", "town late", "p99", live.late_ms[0], "ms")]
-    rows.append(Row("real", "calls", "per second", made / day.length_ms * 1000.0, "1/s"))
-    rows.append(Row("real", "calls given up", "per second", gave_up / day.length_ms * 1000.0, "1/s"))
+    rows.append(Row("real", "calls", "per second", calls_made / day.length_ms * 1000.0, "1/s"))
+    rows.append(Row("real", "calls given up", "per second", calls_given_up / day.length_ms * 1000.0, "1/s"))
     return rows + _rows(counts, hollow, seconds) + _kind_rows(counts, hollow, seconds)
 
 
-def play_hollow(
-    senders: int, recorded: Recorded, policy: Policy, mode: LimitMode, begin: float, end: float
+def run_hollow(
+    senders: int, recorded: RecordedTraffic, policy: Policy, mode: LimitMode, begin: float, end: float
 ) -> list[LineCounts]:
-    """The same calls by hollow senders; what each said of limits and of policies from begin to end."""
+    """The same calls by hollow senders; what each written of limits and of policies from begin to end."""
     recorded.calls.sort()
-    law = TrafficModel(len(recorded.keys), 0.0, mode=mode)
-    size, uptime_ms = FleetSize(senders, 1, law), SYSTEM.now()
+    model = TrafficModel(len(recorded.keys), 0.0, mode=mode)
+    size, uptime_ms = FleetSize(senders, 1, model), SYSTEM.now()
     fleet = HollowFleet(size, policy, traffic=recorded, one_host=True, uptime_ms=uptime_ms)
     for when, sender, destination in recorded.failures:
         fleet.queue.at(when + HOLLOW_START_MS, fleet.call_failed, sender, destination)
@@ -262,8 +262,8 @@
         count.counting = True
     fleet.run_until(HOLLOW_START_MS + end)
     for count, now, then in zip(counts, fleet.policy_meters, policies, strict=True):
-        said = now.since(then)
-        count.policies = Counts(said.sent, said.received)
+        written = now.since(then)
+        count.policies = DirectionVolumes(written.sent, written.received)
     return counts
 
 
--- a/springspread/faults/hollow/connection.py
+++ b/springspread/faults/hollow/connection.py
@@ -1,4 +1,4 @@
-"""A modelled TCP connection between a sender and a control process: bytes, in order, after a time."""
+"""A modelled TCP connection between a sender and a control process: ordered bytes with latency."""
 
 from __future__ import annotations
 
@@ -22,29 +22,29 @@
         """A connection is open."""
 
     def data_received(self, connection: Connection, data: bytes) -> None:
-        """Bytes of a sender have come in."""
+        """Handle bytes from a sender."""
 
     def closed(self, connection: Connection) -> None:
         """A connection has ended."""
 
 
 class Connector(Protocol):
-    """A sender's end of connections to one control process."""
+    """A sender's end of its connections to one control process."""
 
     zone: Zone
 
     def opened(self, connection: Connection) -> None:
-        """The connection that was asked for is open."""
+        """The requested connection is open."""
 
     def data_received(self, connection: Connection, data: bytes) -> None:
-        """Bytes of the control process have come in."""
+        """Handle bytes from the control process."""
 
     def lost(self) -> None:
-        """There is no connection: none could be made, or it ended."""
+        """The connection could not be made, or has ended."""
 
 
 class Connection:
-    """Both ends and what is on the way. Bytes that are on the way as it ends are lost."""
+    """Both ends and the bytes in flight, which are lost when the connection ends."""
 
     __slots__ = (
         "_arrives_down",
@@ -81,24 +81,24 @@
         self.connector.opened(self)
 
     def send_up(self, data: bytes) -> None:
-        """The sender writes."""
+        """Write from the sender."""
         self._arrives_up = self._arrival(self._arrives_up)
         self._queue.at(self._arrives_up, self._deliver, self.acceptor.data_received, data)
 
     def send_down(self, data: bytes) -> None:
-        """The control process writes."""
+        """Write from the control process."""
         self._arrives_down = self._arrival(self._arrives_down)
         self._queue.at(self._arrives_down, self._deliver, self.connector.data_received, data)
 
     def _arrival(self, earlier: float) -> float:
         return max(self._queue.now + self._latency_ms * self._network.jitter(), earlier)
 
-    def _deliver(self, take: Callable[[Connection, bytes], None], data: bytes) -> None:
+    def _deliver(self, handler: Callable[[Connection, bytes], None], data: bytes) -> None:
         if self.open:
-            take(self, data)
+            handler(self, data)
 
     def close(self) -> None:
-        """It breaks; both ends notice at once."""
+        """Break the connection; both ends notice immediately."""
         if self.open:
             self.open = False
             del self.acceptor.connections[self]
--- a/springspread/faults/hollow/faults.py
+++ b/springspread/faults/hollow/faults.py
@@ -1,4 +1,4 @@
-"""What happens to a hollow fleet, and when: a schedule that is drawn first and played after."""
+"""Fault schedules for a hollow fleet, drawn before the run."""
 
 from __future__ import annotations
 
@@ -9,17 +9,17 @@
 
 from springspread.faults.hollow.network import ZONES
 
-RESTART_MS = 1_500.0  # until a restarted sender's next process talks
-TAKEOVER_MS = 1_000.0  # until an allocator's successor serves
-SECONDS_A_DAY = 86_400.0
-RESTARTS_A_DAY = 250
-FULL_SENDERS = 1_100
-MACHINE_SENDERS = 8  # that share a machine
+RESTART_MS = 1_500.0  # downtime of a restarted sender
+TAKEOVER_MS = 1_000.0  # downtime of an allocator
+SECONDS_PER_DAY = 86_400.0
+RESTARTS_PER_DAY = 250
+FULL_SIZE_SENDERS = 1_100
+SENDERS_PER_MACHINE = 8
 JUMP_FACTOR = 100.0
 
 
 class FaultKind(Enum):
-    """What is done."""
+    """Kinds of faults."""
 
     RESTART = "senders are killed; their next processes begin at the end"
     CUT = "zones are cut off from all others until the end"
@@ -32,10 +32,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Fault:
-    """One event. ``targets`` are numbers of senders, zones, an allocator or a destination; ms.
+    """One fault. ``targets`` are numbers of senders, zones, an allocator or a destination; times in ms.
 
-    Limits and demand are multiplied by ``factor``. The target of a return counts the destinations that are
-    down at the begin, the busiest first; ``factor`` is how many calls wait at each sender.
+    Limits and demand are multiplied by ``factor``. For a return, the target is a rank among the destinations
+    that are down at the start, the busiest first, and ``factor`` the number of calls waiting at each sender.
     """
 
     kind: FaultKind
@@ -47,7 +47,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ScheduleSpec:
-    """What a schedule is drawn for: numbers of senders and allocators, and the span of time (ms)."""
+    """Input of a schedule: numbers of senders and allocators, the measured time (ms) and the seed."""
 
     senders: int
     allocators: int
@@ -56,92 +56,92 @@
     seed: int
 
     @property
-    def middle(self) -> float:
-        """A third into the span, so that what follows a fault is seen."""
+    def fault_at(self) -> float:
+        """A third into the measured time, which leaves time to observe the recovery."""
         return self.begin + (self.end - self.begin) / 3.0
 
 
-def calm(stage: ScheduleSpec) -> tuple[Fault, ...]:
-    """Nothing."""
+def calm(spec: ScheduleSpec) -> tuple[Fault, ...]:
+    """No faults."""
     return ()
 
 
-def restarts(stage: ScheduleSpec) -> tuple[Fault, ...]:
-    """Restarts at the rate of 250 a day of 1,100 senders, at least one."""
-    rng = Random(f"{stage.seed}/restarts")
-    seconds = (stage.end - stage.begin) / 1000.0
-    mean = RESTARTS_A_DAY / SECONDS_A_DAY * seconds * stage.senders / FULL_SENDERS
-    made = []
-    for sender in rng.sample(range(stage.senders), max(round(mean), 1)):
-        at = rng.uniform(stage.begin, stage.middle)
-        made.append(Fault(FaultKind.RESTART, at, at + RESTART_MS, (sender,)))
-    return tuple(sorted(made, key=lambda fault: fault.begin))
+def restarts(spec: ScheduleSpec) -> tuple[Fault, ...]:
+    """Restarts at a rate of ``RESTARTS_PER_DAY`` for ``FULL_SIZE_SENDERS``, at least one."""
+    rng = Random(f"{spec.seed}/restarts")
+    seconds = (spec.end - spec.begin) / 1000.0
+    mean = RESTARTS_PER_DAY / SECONDS_PER_DAY * seconds * spec.senders / FULL_SIZE_SENDERS
+    faults = []
+    for sender in rng.sample(range(spec.senders), max(round(mean), 1)):
+        at = rng.uniform(spec.begin, spec.fault_at)
+        faults.append(Fault(FaultKind.RESTART, at, at + RESTART_MS, (sender,)))
+    return tuple(sorted(faults, key=lambda fault: fault.begin))
 
 
-def machine(stage: ScheduleSpec) -> tuple[Fault, ...]:
-    """A machine with some senders fails."""
-    ones = tuple(range(min(MACHINE_SENDERS, stage.senders)))
-    return (Fault(FaultKind.RESTART, stage.middle, stage.middle + RESTART_MS, ones),)
+def machine(spec: ScheduleSpec) -> tuple[Fault, ...]:
+    """A machine with ``SENDERS_PER_MACHINE`` senders fails."""
+    senders = tuple(range(min(SENDERS_PER_MACHINE, spec.senders)))
+    return (Fault(FaultKind.RESTART, spec.fault_at, spec.fault_at + RESTART_MS, senders),)
 
 
-def most_restart(stage: ScheduleSpec) -> tuple[Fault, ...]:
+def most_restart(spec: ScheduleSpec) -> tuple[Fault, ...]:
     """Two thirds of the senders restart within a second."""
-    rng = Random(f"{stage.seed}/most_restart")
-    made = []
-    for sender in rng.sample(range(stage.senders), 2 * stage.senders // 3):
-        at = stage.middle + rng.uniform(0.0, 1_000.0)
-        made.append(Fault(FaultKind.RESTART, at, at + RESTART_MS, (sender,)))
-    return tuple(sorted(made, key=lambda fault: fault.begin))
+    rng = Random(f"{spec.seed}/most_restart")
+    faults = []
+    for sender in rng.sample(range(spec.senders), 2 * spec.senders // 3):
+        at = spec.fault_at + rng.uniform(0.0, 1_000.0)
+        faults.append(Fault(FaultKind.RESTART, at, at + RESTART_MS, (sender,)))
+    return tuple(sorted(faults, key=lambda fault: fault.begin))
 
 
-def zone(stage: ScheduleSpec) -> tuple[Fault, ...]:
+def zone(spec: ScheduleSpec) -> tuple[Fault, ...]:
     """The last zone is cut off for four seconds."""
-    return (Fault(FaultKind.CUT, stage.middle, stage.middle + 4_000.0, (len(ZONES) - 1,)),)
+    return (Fault(FaultKind.CUT, spec.fault_at, spec.fault_at + 4_000.0, (len(ZONES) - 1,)),)
 
 
-def region(stage: ScheduleSpec) -> tuple[Fault, ...]:
+def region(spec: ScheduleSpec) -> tuple[Fault, ...]:
     """The last region is cut off from the others for four seconds."""
     last = tuple(one.number for one in ZONES if one.region == ZONES[-1].region)
-    return (Fault(FaultKind.CUT, stage.middle, stage.middle + 4_000.0, last),)
+    return (Fault(FaultKind.CUT, spec.fault_at, spec.fault_at + 4_000.0, last),)
 
 
-def allocator(stage: ScheduleSpec) -> tuple[Fault, ...]:
+def allocator(spec: ScheduleSpec) -> tuple[Fault, ...]:
     """An allocator is killed."""
-    return (Fault(FaultKind.ALLOCATOR, stage.middle, stage.middle + TAKEOVER_MS, (0,)),)
+    return (Fault(FaultKind.ALLOCATOR, spec.fault_at, spec.fault_at + TAKEOVER_MS, (0,)),)
 
 
-def allocator_without_record(stage: ScheduleSpec) -> tuple[Fault, ...]:
+def allocator_without_record(spec: ScheduleSpec) -> tuple[Fault, ...]:
     """An allocator is killed, and its record is lost."""
-    return (Fault(FaultKind.ALLOCATOR_AMNESIA, stage.middle, stage.middle + TAKEOVER_MS, (0,)),)
+    return (Fault(FaultKind.ALLOCATOR_AMNESIA, spec.fault_at, spec.fault_at + TAKEOVER_MS, (0,)),)
 
 
-def jump(stage: ScheduleSpec) -> tuple[Fault, ...]:
-    """The demand of a middling destination is a hundredfold from one moment on."""
-    return (Fault(FaultKind.JUMP, stage.middle, stage.end, (JUMP_RANK,), JUMP_FACTOR),)
+def jump(spec: ScheduleSpec) -> tuple[Fault, ...]:
+    """The demand of an average destination jumps to ``JUMP_FACTOR`` times its mean."""
+    return (Fault(FaultKind.JUMP, spec.fault_at, spec.end, (JUMP_RANK,), JUMP_FACTOR),)
 
 
-def fall(stage: ScheduleSpec) -> tuple[Fault, ...]:
+def fall(spec: ScheduleSpec) -> tuple[Fault, ...]:
     """The limit of a busy destination falls to a tenth."""
-    return (Fault(FaultKind.LIMIT, stage.middle, stage.end, (FALL_RANK,), 0.1),)
+    return (Fault(FaultKind.LIMIT, spec.fault_at, spec.end, (FALL_RANK,), 0.1),)
 
 
-def returns(stage: ScheduleSpec) -> tuple[Fault, ...]:
-    """Destinations that were down serve again, one after the other."""
-    step_ms = (stage.end - stage.begin) / 2.0 / len(RETURN_RANKS)
+def returns(spec: ScheduleSpec) -> tuple[Fault, ...]:
+    """Destinations that were down recover one after the other."""
+    step_ms = (spec.end - spec.begin) / 2.0 / len(RETURN_RANKS)
     return tuple(
-        Fault(FaultKind.RETURN, stage.begin + step_ms * number, stage.end, (rank,), WAITING_CALLS)
+        Fault(FaultKind.RETURN, spec.begin + step_ms * number, spec.end, (rank,), WAITING_CALLS_PER_SENDER)
         for number, rank in enumerate(RETURN_RANKS)
     )
 
 
 RETURN_RANKS = range(20)  # among the destinations that are down
-WAITING_CALLS = 20.0  # at each sender: far more than any of their limits
-JUMP_RANK = 1_000  # some 20 calls a second at the full size
+WAITING_CALLS_PER_SENDER = 20.0  # far above the limits of these destinations
+JUMP_RANK = 1_000  # about 20 calls/s at full size
 FALL_RANK = 100
 
 SCHEDULES: dict[str, Callable[[ScheduleSpec], tuple[Fault, ...]]] = {
-    made.__name__.replace("_", "-"): made
-    for made in (
+    draw.__name__.replace("_", "-"): draw
+    for draw in (
         calm,
         restarts,
         machine,
@@ -157,11 +157,11 @@
 }
 
 
-def schedule(name: str, stage: ScheduleSpec) -> tuple[Fault, ...]:
+def schedule(name: str, spec: ScheduleSpec) -> tuple[Fault, ...]:
     """A schedule by name, or several joined with ``+``; raises ``ValueError`` for an unknown name."""
-    made: list[Fault] = []
+    faults: list[Fault] = []
     for part in name.split("+"):
         if part not in SCHEDULES:
-            raise ValueError(f"no such faults: {part}; there are {', '.join(SCHEDULES)}")
-        made += SCHEDULES[part](stage)
-    return tuple(sorted(made, key=lambda fault: fault.begin))
+            raise ValueError(f"unknown fault schedule: {part}; known: {', '.join(SCHEDULES)}")
+        faults += SCHEDULES[part](spec)
+    return tuple(sorted(faults, key=lambda fault: fault.begin))
--- a/springspread/faults/hollow/fleet.py
+++ b/springspread/faults/hollow/fleet.py
@@ -1,10 +1,9 @@
-"""A hollow fleet: traffic, senders, allocators by shard, and the distribution of policies, in virtual time.
+"""A hollow fleet: traffic, senders, allocators by shard, and policy distribution, in virtual time.
 
-Theory of operation. Calls come in stretches from ``traffic`` and are merged with the heap of events, so that
-each asks its sender's lease cache at its own time, after everything that came before it. Keys are given to
-shards by ``ShardMap``; senders and allocators take turns over the zones. What processes compute is measured
-around their control code alone: the simulator's own time, and the kernel's, are not in it. One seed gives
-one history; processor times differ from run to run.
+Calls are drawn in batches from ``traffic`` and merged with the event queue, so that each one asks its
+sender's lease cache at its own time, after all earlier events. ``ShardMap`` assigns keys to shards; senders
+and allocators are spread round-robin over the zones. CPU time is measured around the control code alone,
+without the simulator and the kernel. A seed determines the history of a run, but not its CPU times.
 """
 
 from __future__ import annotations
@@ -24,29 +23,29 @@
 from springspread.faults.hollow.policy import PolicyProcess, PolicySession
 from springspread.faults.hollow.sender import HollowSender, WaitingCall
 from springspread.faults.hollow.traffic import CallSource, Traffic, TrafficModel
-from springspread.faults.hollow.waiting import FAILURES, WaitingCalls
+from springspread.faults.hollow.waiting import PRIOR_FAILURES, WaitingCalls
 from springspread.fleet.allocator_control import LEARNING_MS
 from springspread.fleet.limits import Limit
 from springspread.fleet.messages import fingerprint
 from springspread.fleet.shard_map import ShardMap
 from springspread.rollout.document import Policy
 
-STRETCH_MS = 100.0  # of calls that are drawn at once
-JOIN_MS = 1_000.0  # senders' first processes begin within so long
+BATCH_MS = 100.0  # virtual time of the calls drawn at once
+JOIN_MS = 1_000.0  # all senders start within this time
 
 
 @dataclass(frozen=True, slots=True)
 class FleetSize:
-    """How large the fleet is, and the seed of everything that is drawn."""
+    """Size and traffic of a fleet, and the seed of its random draws."""
 
     senders: int
     allocators: int
-    law: TrafficModel
+    model: TrafficModel
     seed: int = 1
 
 
 class HollowFleet:
-    """Runs as far as it is told to. Calls begin after ``JOIN_MS``."""
+    """The processes of a fleet and their event queue. Calls begin after ``JOIN_MS``."""
 
     def __init__(
         self,
@@ -57,13 +56,13 @@
         one_host: bool = False,
         uptime_ms: float = UPTIME_MS,
     ) -> None:
-        """``traffic``: in place of what the law of ``size`` draws. ``one_host``: all ways are as short.
+        """``traffic``: replaces the calls drawn from the model of ``size``.
 
-        ``uptime_ms``: what clocks show at time zero.
+        ``one_host``: all processes run on one host. ``uptime_ms``: the clocks' value at time zero.
         """
         self.size, self.policy = size, policy
         self.queue, self.network = EventQueue(uptime_ms), Network(size.seed, one_host)
-        self.traffic = traffic or Traffic(size.law, size.senders, size.seed)
+        self.traffic = traffic or Traffic(size.model, size.senders, size.seed)
         self.keys = self.traffic.keys
         fingerprints = {fingerprint(key): number for number, key in enumerate(self.keys)}
         self.history = History(fingerprints)
@@ -74,21 +73,23 @@
         self.shard_of = [number_of[self.shard_map.owner(key)] for key in self.keys]
         self.allocators = [self._allocator(number, name) for number, name in enumerate(names)]
         self.coordinator = PolicyProcess(self.queue, zone_of(0), policy)
-        self.meters = [Meter() for _ in range(size.senders)]  # of senders' talk about limits
-        self.policy_meters = [Meter() for _ in range(size.senders)]  # and about policies
+        self.meters = [Meter() for _ in range(size.senders)]  # messages about limits
+        self.policy_meters = [Meter() for _ in range(size.senders)]  # messages about policies
         self.senders: list[HollowSender | None] = [None] * size.senders
         self.policy_sessions: list[PolicySession | None] = [None] * size.senders
         self._epochs = [0] * size.senders
-        self._waiting_calls = WaitingCalls(self.queue, self._call_that_waited)
+        self._waiting_calls = WaitingCalls(self.queue, self._make_waiting_call)
         self._down_by_rank = np.flatnonzero(self.traffic.down).tolist()
-        self._returning = [self._down(one.targets[0]) for one in faults if one.kind is FaultKind.RETURN]
+        self._returning = [
+            self._down_destination(one.targets[0]) for one in faults if one.kind is FaultKind.RETURN
+        ]
         self._returned: set[int] = set()
         for sender in range(size.senders):
             self.queue.at(JOIN_MS * sender / size.senders, self._start, sender)
         for fault in faults:
-            self.queue.at(fault.begin, self._begin, fault)
-            self.queue.at(fault.end, self._end, fault)
-        self.offered = self.without_sender = 0  # calls that were drawn, and those whose sender was not there
+            self.queue.at(fault.begin, self._begin_fault, fault)
+            self.queue.at(fault.end, self._end_fault, fault)
+        self.offered = self.without_sender = 0  # calls drawn, and those whose sender was down
         self.queue.run_until(JOIN_MS)
 
     def _allocator(self, number: int, name: str) -> AllocatorProcess:
@@ -97,7 +98,7 @@
             for key, limit, shard in zip(self.keys, self.limits, self.shard_of, strict=True)
             if shard == number
         }
-        listener, mode = self.history.record_statuses, self.size.law.mode
+        listener, mode = self.history.record_statuses, self.size.model.mode
         return AllocatorProcess(self.queue, name, zone_of(number), limits, mode, listener)
 
     # Senders
@@ -117,7 +118,7 @@
         self.senders[number] = sender
         self.policy_sessions[number] = PolicySession(sender, self.coordinator, self.policy_meters[number])
         for destination in self._returning:
-            for _ in range(FAILURES):
+            for _ in range(PRIOR_FAILURES):
                 self.call_failed(number, destination)
 
     def _kill(self, number: int) -> None:
@@ -130,51 +131,51 @@
         held_up = HeldUp(sender.number, call.destination, call.since, now - call.since, began)
         self.history.held_up.append(held_up)
         if began:
-            self._began(now, call.destination, sender.number)
+            self._call_began(now, call.destination, sender.number)
         else:
             self._waiting_calls.given_up(sender.number, call.destination)
 
-    def _began(self, now: float, destination: int, number: int) -> None:
-        self.history.began(now, destination, number)
+    def _call_began(self, now: float, destination: int, number: int) -> None:
+        self.history.record_call(now, destination, number)
         if self.traffic.down[destination]:
             self.call_failed(number, destination)
         elif destination in self._returned:
             self.call_served(number, destination)
 
     def call_served(self, number: int, destination: int) -> None:
-        """A call that a sender began has succeeded."""
+        """A sender's call has succeeded."""
         sender = self.senders[number]
         if sender is not None:
             sender.sessions[self.shard_of[destination]].served(self.keys[destination])
             self._waiting_calls.served(number, destination)
 
-    def _call_that_waited(self, number: int, destination: int) -> None:
+    def _make_waiting_call(self, number: int, destination: int) -> None:
         sender = self.senders[number]
         self.offered += 1
         if sender is None:
             self.without_sender += 1
         elif sender.sessions[self.shard_of[destination]].call(destination, self.keys[destination]):
-            self._began(self.queue.now, destination, number)
+            self._call_began(self.queue.now, destination, number)
 
     def sender_meters(self) -> list[Meter]:
-        """What each sender has written, read and computed until now, of all kinds."""
+        """Total traffic and CPU time of each sender so far."""
         return [one.plus(other) for one, other in zip(self.meters, self.policy_meters, strict=True)]
 
     def partner_rate_received(self, number: int, destination: int, per_s: float) -> None:
-        """A sender hears a limit (calls a second) from a partner."""
+        """A partner's answer tells a sender its limit (calls per second)."""
         sender = self.senders[number]
         if sender is not None:
             sender.sessions[self.shard_of[destination]].partner_rate_received(self.keys[destination], per_s)
 
     def call_failed(self, number: int, destination: int) -> None:
-        """A call that a sender began has failed."""
+        """A sender's call has failed."""
         sender = self.senders[number]
         if sender is not None:
             sender.sessions[self.shard_of[destination]].cache.failed(self.keys[destination])
 
     # Faults
 
-    def _begin(self, fault: Fault) -> None:
+    def _begin_fault(self, fault: Fault) -> None:
         now = self.queue.now
         match fault.kind:
             case FaultKind.RESTART:
@@ -192,22 +193,22 @@
             case FaultKind.LIMIT:
                 self._scale_limit(fault.targets[0], fault.factor)
             case FaultKind.RETURN:
-                self._return(self._down(fault.targets[0]), round(fault.factor))
+                self._recover_destination(self._down_destination(fault.targets[0]), round(fault.factor))
 
-    def _down(self, rank: int) -> int:
-        """A destination that is down at the begin, by its rank among those."""
+    def _down_destination(self, rank: int) -> int:
+        """The destination with this rank among those that are down at the start."""
         if rank >= len(self._down_by_rank):
-            raise ValueError(f"{rank + 1} destinations have to be down; there are {len(self._down_by_rank)}")
+            raise ValueError(f"{rank + 1} destinations must be down; number down: {len(self._down_by_rank)}")
         return int(self._down_by_rank[rank])
 
-    def _return(self, destination: int, waiting: int) -> None:
+    def _recover_destination(self, destination: int, waiting: int) -> None:
         self.traffic.recover(destination)
         self._returned.add(destination)
         self.history.returns[destination] = self.queue.now
         for number in range(self.size.senders):
             self._waiting_calls.add(number, destination, waiting)
 
-    def _end(self, fault: Fault) -> None:
+    def _end_fault(self, fault: Fault) -> None:
         match fault.kind:
             case FaultKind.RESTART:
                 for number in fault.targets:
@@ -231,18 +232,18 @@
 
     def _scale_limit(self, destination: int, factor: float) -> None:
         calls = max(round(self.limits[destination].calls * factor), 1)
-        limit = Limit(calls, self.size.law.span_ms, self.size.law.mode)
+        limit = Limit(calls, self.size.model.span_ms, self.size.model.mode)
         self.history.limits.setdefault(destination, []).append((self.queue.now, limit))
         self.allocators[self.shard_of[destination]].change_limit(self.keys[destination], limit)
 
-    # Time
+    # Virtual time
 
     def run_until(self, end: float) -> None:
-        """Let calls and everything else happen up to a time (ms), which is a whole number of stretches."""
+        """Run calls and events up to a time (ms), a multiple of ``BATCH_MS``."""
         while self.queue.now < end:
-            self._stretch(min(self.queue.now + STRETCH_MS, end))
+            self._run_batch(min(self.queue.now + BATCH_MS, end))
 
-    def _stretch(self, end: float) -> None:
+    def _run_batch(self, end: float) -> None:
         queue, senders, shard_of, keys = self.queue, self.senders, self.shard_of, self.keys
         calls = self.traffic.draw(queue.now, end - queue.now)
         self.offered += len(calls.times)
@@ -255,6 +256,6 @@
             if sender is None:
                 self.without_sender += 1
             elif sender.sessions[shard_of[destination]].call(destination, keys[destination]):
-                self._began(now, destination, number)
+                self._call_began(now, destination, number)
             next_at = queue.next_at
         queue.run_until(end)
--- a/springspread/faults/hollow/given_up.py
+++ b/springspread/faults/hollow/given_up.py
@@ -1,6 +1,6 @@
-"""Calls that a real instance gave up for want of a right, from its log at the level of debug.
+"""Reads the calls that a real instance gave up without a lease from its log at debug level.
 
-No partner sees them, and each asked for a lease: without them hollow senders would ask less often.
+Partners never see these calls, but each one requested a lease: hollow senders have to make them too.
 """
 
 from __future__ import annotations
@@ -13,8 +13,8 @@
 from springspread.core.types import Result
 
 
-def given_up(log: Path, begun_wall_s: float) -> Iterator[tuple[float, str]]:
-    """When each such call ended, in ms since a moment of the wall clock, and its endpoint."""
+def given_up(log: Path, start_wall_s: float) -> Iterator[tuple[float, str]]:
+    """End time (ms since ``start_wall_s`` of the wall clock) and endpoint of each such call."""
     for path in (log.with_suffix(".1"), log):
         if not path.exists():
             continue
@@ -24,7 +24,7 @@
             try:
                 entry = json.loads(line)
             except ValueError:
-                continue  # torn as the log was turned over
+                continue  # line truncated by log rotation
             if entry.get("result") == Result.NOT_SENT.name:
                 at_s = datetime.fromisoformat(entry["timestamp"]).timestamp()
-                yield 1000.0 * (at_s - begun_wall_s), str(entry["endpoint"])
+                yield 1000.0 * (at_s - start_wall_s), str(entry["endpoint"])
--- a/springspread/faults/hollow/history.py
+++ b/springspread/faults/hollow/history.py
@@ -1,4 +1,4 @@
-"""What happened in a run: calls that began, calls that were held up, and the statuses of keys over time."""
+"""The record of a run: calls that began, calls that were held up, and the statuses of keys over time."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 @dataclass(slots=True)
 class HeldUp:
-    """A call that got no right at first. ``wait_ms``: until it began or was given up."""
+    """A call that had to wait for a lease. ``wait_ms``: until it began or was given up."""
 
     sender: int
     destination: int
@@ -23,33 +23,33 @@
 
 @dataclass(slots=True)
 class History:
-    """Calls in the order in which they began, by time (ms), destination and sender."""
+    """Columns of the calls in the order in which they began (times in ms), and what happened meanwhile."""
 
     destination_of: Mapping[Fingerprint, int]
     times: array[float] = field(default_factory=lambda: array("d"))
     destinations: array[int] = field(default_factory=lambda: array("q"))
     senders: array[int] = field(default_factory=lambda: array("q"))
     held_up: list[HeldUp] = field(default_factory=list)
-    statuses: dict[int, list[tuple[float, bool]]] = field(default_factory=dict)  # when, and whether bound
+    statuses: dict[int, list[tuple[float, bool]]] = field(default_factory=dict)  # time, bound
     limits: dict[int, list[tuple[float, Limit]]] = field(default_factory=dict)  # changes of limits
     jumps: dict[int, list[float]] = field(default_factory=dict)  # when demand jumped
-    returns: dict[int, float] = field(default_factory=dict)  # when a destination that was down served again
-    takeovers: list[tuple[int, float, float]] = field(default_factory=list)  # shard, and while it learns
+    returns: dict[int, float] = field(default_factory=dict)  # recovery times of destinations
+    takeovers: list[tuple[int, float, float]] = field(default_factory=list)  # shard, begin, end of learning
 
-    def began(self, when: float, destination: int, sender: int) -> None:
-        """A call begins."""
+    def record_call(self, when: float, destination: int, sender: int) -> None:
+        """Record the begin of a call."""
         self.times.append(when)
         self.destinations.append(destination)
         self.senders.append(sender)
 
     def record_statuses(self, now: float, message: KeyStatuses) -> None:
-        """An allocator tells everybody a change of status."""
+        """Record a change of status that an allocator broadcasts."""
         for one in message.bound:
             self._set(now, one, True)
         for one in (*message.free, *message.unlimited):
             self._set(now, one, False)
 
     def _set(self, now: float, one: Fingerprint, bound: bool) -> None:
-        line = self.statuses.setdefault(self.destination_of[one], [])
-        if not line or line[-1][1] is not bound:
-            line.append((now, bound))
+        entries = self.statuses.setdefault(self.destination_of[one], [])
+        if not entries or entries[-1][1] is not bound:
+            entries.append((now, bound))
--- a/springspread/faults/hollow/memory.py
+++ b/springspread/faults/hollow/memory.py
@@ -1,7 +1,7 @@
-"""How much memory a process's control state takes: the sizes of all objects that it reaches.
+"""Estimates the memory of a process's control state from the sizes of all reachable objects.
 
-An estimate: what the allocator of memory rounds up, and the interpreter itself, are not in it. Objects that
-every process shares anyway (types, functions, modules, enum members) are left out.
+Rounding by the memory allocator and the interpreter itself are not included, nor are objects that exist once
+per process anyway (types, functions, modules, enum members).
 """
 
 from __future__ import annotations
@@ -16,14 +16,14 @@
 
 
 def reachable_bytes(roots: Iterable[object], shared: Iterable[object] = ()) -> int:
-    """The bytes of everything that the roots reach, without what stands in ``shared``."""
-    seen = {id(one) for one in shared}
-    left, total = list(roots), 0
-    while left:
-        one = left.pop()
-        if id(one) in seen or isinstance(one, SHARED):
+    """Total size of all objects reachable from the roots, except those in ``shared``."""
+    seen = {id(item) for item in shared}
+    pending, total = list(roots), 0
+    while pending:
+        item = pending.pop()
+        if id(item) in seen or isinstance(item, SHARED):
             continue
-        seen.add(id(one))
-        total += sys.getsizeof(one)
-        left += gc.get_referents(one)
+        seen.add(id(item))
+        total += sys.getsizeof(item)
+        pending += gc.get_referents(item)
     return total
--- a/springspread/faults/hollow/network.py
+++ b/springspread/faults/hollow/network.py
@@ -1,6 +1,6 @@
-"""Zones, regions and the ways between them, and which zones are cut off from the rest.
+"""Zones, regions, the latencies between them, and network partitions.
 
-The one-way times are assumptions, stated here: they stand for four regions on two continents.
+The one-way latencies are assumptions for four regions on two continents.
 """
 
 from __future__ import annotations
@@ -18,7 +18,7 @@
     (40.0, 35.0, 10.0, 0.0),
 )
 ZONES_BY_REGION = (4, 4, 3, 3)
-JITTER_PART = 0.1  # a message takes up to so much longer
+MAX_JITTER = 0.1  # fraction of the latency
 
 
 @dataclass(frozen=True, slots=True)
@@ -38,7 +38,7 @@
 
 
 class Network:
-    """Which ways are open, and how long a message takes."""
+    """Reachability and latency between zones."""
 
     def __init__(self, seed: int, one_host: bool = False) -> None:
         """``one_host``: everything runs on one machine."""
@@ -47,7 +47,7 @@
         self._isolated: list[frozenset[int]] = []  # sets of zones, each cut off from all others
 
     def isolate(self, zones: frozenset[int]) -> None:
-        """Cut zones off from all others; among themselves they stay connected."""
+        """Cut zones off from all others; they stay connected among themselves."""
         self._isolated.append(zones)
 
     def heal(self, zones: frozenset[int]) -> None:
@@ -55,11 +55,11 @@
         self._isolated.remove(zones)
 
     def reachable(self, one: Zone, other: Zone) -> bool:
-        """Whether messages pass between two zones now."""
+        """Whether two zones can reach each other now."""
         return all((one.number in zones) is (other.number in zones) for zones in self._isolated)
 
     def latency_ms(self, one: Zone, other: Zone) -> float:
-        """The time of a message from one zone to another, or back, without jitter."""
+        """One-way latency between two zones, without jitter."""
         if self._one_host:
             return WITHIN_HOST_MS
         if one.number == other.number:
@@ -69,10 +69,10 @@
         return BETWEEN_REGIONS_MS[one.region][other.region]
 
     def jitter(self) -> float:
-        """The factor of one message's time."""
-        return 1.0 + JITTER_PART * self._rng.random()
+        """A random factor for the latency of one message."""
+        return 1.0 + MAX_JITTER * self._rng.random()
 
 
 def zone_of(number: int) -> Zone:
-    """Senders and control processes take turns over the zones."""
+    """The zone of a sender or control process: round-robin by number."""
     return ZONES[number % len(ZONES)]
--- a/springspread/faults/hollow/policy.py
+++ b/springspread/faults/hollow/policy.py
@@ -1,7 +1,7 @@
-"""The distribution of policies to hollow senders: the real coordinator, participants and coding.
+"""Policy distribution to hollow senders: the real coordinator, participants and encoding.
 
-One process beside the allocators renews each sender's grant and carries out changes; each sender says what
-it acts under once a ``REPORT_INTERVAL_MS``. A write of the record takes ``SYNC_MS``.
+One process beside the allocators renews each sender's grant and rolls out changes; each sender reports its
+policy version every ``REPORT_INTERVAL_MS``. A write of the record takes ``SYNC_MS``.
 """
 
 from __future__ import annotations
@@ -27,8 +27,8 @@
 from springspread.rollout.participant import Participant
 from springspread.rollout.protocol import Acting, Decided, Grant, Prepare, Proposed, Vote, Write
 
-SYNC_MS = 4.0  # for the record to reach the disk
-LEAD_MS = 50.0  # the longest way between two processes, and as much again as a reserve
+SYNC_MS = 4.0  # time until a record is on disk
+LEAD_MS = 50.0  # above the longest latency between two processes
 
 
 class PolicyProcess:
@@ -40,44 +40,44 @@
         self.meter = Meter()
         self.connections: dict[Connection, None] = {}
         self._by_owner: dict[Owner, Connection] = {}
-        self._documents: dict[Owner, set[int]] = {}  # numbers whose texts an owner has been sent
+        self._documents: dict[Owner, set[int]] = {}  # versions whose text an owner already has
         history = History().with_entry(Proposed(1, policy.digest)).with_entry(Decided(1, queue.clock))
         times = Timings(lead_ms=LEAD_MS)
         self._state: Coordinator
-        self._carry_out(coordinator.begin(times, history, queue.clock, []))
+        self._apply(coordinator.begin(times, history, queue.clock, []))
         self._tick()
 
     def propose(self) -> None:
-        """Propose a change, which has the same text here under another number."""
-        self._measured(lambda: coordinator.propose(self._state, self._queue.clock, self._policy.digest))
+        """Propose a change: the same text under the next number."""
+        self._timed_step(lambda: coordinator.propose(self._state, self._queue.clock, self._policy.digest))
 
     @property
     def in_force(self) -> tuple[int, float]:
-        """The number of the last policy that was decided, and since when it holds."""
+        """The number of the policy in force, and since when."""
         return self._state.history.in_force, self._state.history.since
 
     def accept(self, connection: Connection) -> None:
-        """A connection is open; nothing is known of it until it registers."""
+        """A connection is open; its sender is unknown until it registers."""
 
     def data_received(self, connection: Connection, data: bytes) -> None:
-        """Bytes of a sender have come in."""
+        """Handle bytes from a sender."""
         begun = perf_counter_ns()
         messages = connection.up_lines.feed(data)
         self.meter.cpu_ns += perf_counter_ns() - begun
         self.meter.received.add(len(messages), len(data))
         for message in messages:
-            self._take(connection, message)
+            self._handle(connection, message)
 
-    def _take(self, connection: Connection, message: Message) -> None:
+    def _handle(self, connection: Connection, message: Message) -> None:
         clock = self._queue.clock
         if isinstance(message, Register):
             owner = connection.owner = (message.name, message.epoch)
             self._by_owner[owner] = connection
             self._documents[owner] = set()
-            self._measured(lambda: coordinator.joined(self._state, clock, owner))
+            self._timed_step(lambda: coordinator.joined(self._state, clock, owner))
         elif isinstance(message, Vote) and connection.owner is not None:
             voter = connection.owner
-            self._measured(lambda: coordinator.voted(self._state, clock, voter, message))
+            self._timed_step(lambda: coordinator.voted(self._state, clock, voter, message))
 
     def closed(self, connection: Connection) -> None:
         """A connection has ended."""
@@ -87,16 +87,16 @@
             self._state = coordinator.left(self._state, owner)
 
     def _tick(self) -> None:
-        self._measured(lambda: coordinator.tick(self._state, self._queue.clock))
+        self._timed_step(lambda: coordinator.tick(self._state, self._queue.clock))
         self._queue.at(self._queue.now + TICK_MS, self._tick)
 
-    def _measured(self, step: Callable[[], Step]) -> None:
+    def _timed_step(self, step: Callable[[], Step]) -> None:
         begun = perf_counter_ns()
-        made = step()
+        result = step()
         self.meter.cpu_ns += perf_counter_ns() - begun
-        self._carry_out(made)
+        self._apply(result)
 
-    def _carry_out(self, step: Step) -> None:
+    def _apply(self, step: Step) -> None:
         self._state, effects = step
         wait_ms = 0.0
         for effect in effects:
@@ -123,12 +123,12 @@
 
 
 class PolicySession:
-    """A hollow sender's side of it."""
+    """A hollow sender's session with the coordinator."""
 
     def __init__(self, sender: HollowSender, process: PolicyProcess, meter: Meter) -> None:
         self._sender, self._process, self._meter = sender, process, meter
         self.zone = sender.zone
-        self._rights = Participant()
+        self._participant = Participant()
         self._connection: Connection | None = None
         self._connect()
 
@@ -137,17 +137,19 @@
             Connection(self._sender.queue, self._sender.network, self, self._process)
 
     def opened(self, connection: Connection) -> None:
-        """The connection is open: register, and say now and then what the sender acts under."""
+        """The connection is open: register, and start to report the policy version."""
         self._connection = connection
         self._write(connection, Register(PROTOCOL_VERSION, FLEET, self._sender.name, self._sender.epoch))
-        self._say(connection)
+        self._report_version(connection)
 
-    def _say(self, connection: Connection) -> None:
+    def _report_version(self, connection: Connection) -> None:
         if not self._sender.alive:
             connection.close()
         if connection.open:
-            self._write(connection, Acting(self._rights.version(self._sender.queue.clock)))
-            self._sender.queue.at(self._sender.queue.now + REPORT_INTERVAL_MS, self._say, connection)
+            self._write(connection, Acting(self._participant.version(self._sender.queue.clock)))
+            self._sender.queue.at(
+                self._sender.queue.now + REPORT_INTERVAL_MS, self._report_version, connection
+            )
 
     def _write(self, connection: Connection, message: Message) -> None:
         meter = self._meter
@@ -158,21 +160,21 @@
         connection.send_up(data)
 
     def lost(self) -> None:
-        """There is no connection; the next try comes after a while."""
+        """The connection was lost: reconnect after ``RECONNECT_MS``."""
         self._connection = None
         self._sender.queue.at(self._sender.queue.now + RECONNECT_MS, self._connect)
 
     def data_received(self, connection: Connection, data: bytes) -> None:
-        """Bytes of the coordinator have come in."""
+        """Handle bytes from the coordinator."""
         clock, meter = self._sender.queue.clock, self._meter
         begun = perf_counter_ns()
         messages = connection.down_lines.feed(data)
         votes: list[Vote] = []
         for message in messages:
             if isinstance(message, Grant):
-                self._rights = participant.granted(self._rights, message, clock)
+                self._participant = participant.granted(self._participant, message, clock)
             elif isinstance(message, Prepare):
-                self._rights, vote = participant.prepared(self._rights, message, "")
+                self._participant, vote = participant.prepared(self._participant, message, "")
                 votes += [vote] if vote is not None else []
         meter.cpu_ns += perf_counter_ns() - begun
         meter.received.add(len(messages), len(data))
@@ -180,5 +182,5 @@
             self._write(connection, vote)
 
     def version(self) -> int:
-        """The policy that the sender may act under now; 0: none."""
-        return self._rights.version(self._sender.queue.clock)
+        """The policy version that the sender may act under now; 0: none."""
+        return self._participant.version(self._sender.queue.clock)
--- a/springspread/faults/hollow/report.py
+++ b/springspread/faults/hollow/report.py
@@ -1,4 +1,4 @@
-"""What a run of a hollow fleet comes to, as rows of one form: role, what, statistic, value, unit."""
+"""Measurements of a run of a hollow fleet, as rows of role, quantity, statistic, value and unit."""
 
 from __future__ import annotations
 
@@ -14,13 +14,13 @@
 from springspread.faults.hollow.meter import Meter, Volume
 from springspread.faults.hollow.spans import SpanClass, SpanStats, find_spans
 
-SAMPLED = 12  # senders whose memory is measured
-NOTICED_MS = 50.0  # a wait that is told apart from shorter ones
+SAMPLED_SENDERS = 12  # senders whose memory is measured
+NOTICEABLE_MS = 50.0  # longer waits are counted separately
 
 
 @dataclass(frozen=True, slots=True)
 class Row:
-    """One figure."""
+    """One measured value."""
 
     role: str
     what: str
@@ -30,7 +30,7 @@
 
 
 class Measurement:
-    """Begins where it is made; ``rows`` tells of the time from then on."""
+    """Measures from its construction on."""
 
     def __init__(self, fleet: HollowFleet) -> None:
         self._fleet = fleet
@@ -42,7 +42,7 @@
         self._causes = bindings_by_cause(fleet)
 
     def rows(self) -> list[Row]:
-        """All figures until now."""
+        """All values measured so far."""
         fleet = self._fleet
         seconds = (fleet.queue.now - self._begin) / 1000.0
         senders = [now.since(then) for now, then in zip(fleet.sender_meters(), self._senders, strict=True)]
@@ -62,14 +62,14 @@
 
     def _memory_rows(self) -> list[Row]:
         fleet = self._fleet
-        states = []
-        for sender in [sender for sender in fleet.senders if sender is not None][:SAMPLED]:
+        sender_states = []
+        for sender in [sender for sender in fleet.senders if sender is not None][:SAMPLED_SENDERS]:
             sessions = [part for one in sender.sessions for part in (one.cache, one.session)]
-            states.append(reachable_bytes(sessions) / 1e6)
-        controls = [reachable_bytes([allocator.control]) / 1e6 for allocator in fleet.allocators]
+            sender_states.append(reachable_bytes(sessions) / 1e6)
+        allocator_states = [reachable_bytes([allocator.control]) / 1e6 for allocator in fleet.allocators]
         return [
-            *distribution_rows("sender", "memory of control state", states, "MB"),
-            *distribution_rows("allocator", "memory of control state", controls, "MB"),
+            *distribution_rows("sender", "memory of control state", sender_states, "MB"),
+            *distribution_rows("allocator", "memory of control state", allocator_states, "MB"),
         ]
 
     def _call_rows(self, seconds: float) -> list[Row]:
@@ -91,22 +91,22 @@
         held_up = [one for one in fleet.history.held_up if one.since >= self._begin]
         calls = max(fleet.offered - self._offered, 1)
         up = [one for one in held_up if not fleet.traffic.down[one.destination]]
-        at_a_return = sum(one.destination in fleet.history.returns for one in held_up)
+        at_recovery = sum(one.destination in fleet.history.returns for one in held_up)
         waits = [one.wait_ms for one in held_up if one.began]
-        noticed = sum(one.wait_ms > NOTICED_MS for one in up)
+        noticeable = sum(one.wait_ms > NOTICEABLE_MS for one in up)
         rows = [
             Row("fleet", "calls held up", "part of all", len(held_up) / calls, "1"),
             Row("fleet", "calls held up, destination up", "part of all", len(up) / calls, "1"),
-            Row("fleet", f"... for over {NOTICED_MS:.0f} ms", "part of all", noticed / calls, "1"),
-            Row("fleet", "calls given up", "part of all", given_up(held_up) / calls, "1"),
-            Row("fleet", "calls given up, destination up", "part of all", given_up(up) / calls, "1"),
-            Row("fleet", "calls held up, at a return", "part of all", at_a_return / calls, "1"),
+            Row("fleet", f"... for over {NOTICEABLE_MS:.0f} ms", "part of all", noticeable / calls, "1"),
+            Row("fleet", "calls given up", "part of all", count_given_up(held_up) / calls, "1"),
+            Row("fleet", "calls given up, destination up", "part of all", count_given_up(up) / calls, "1"),
+            Row("fleet", "calls held up, at a return", "part of all", at_recovery / calls, "1"),
         ]
         return rows + (distribution_rows("fleet", "wait of calls held up", waits, "ms") if waits else [])
 
     def _span_rows(self) -> list[Row]:
         fleet = self._fleet
-        spans = find_spans(fleet.history, fleet.limits, fleet.shard_of, fleet.size.law.span_ms)
+        spans = find_spans(fleet.history, fleet.limits, fleet.shard_of, fleet.size.model.span_ms)
         rows = []
         for one in SpanClass:
             rows += span_rows(f"spans {one.name.lower()}", spans.stats(one, self._begin))
@@ -126,13 +126,13 @@
     ]
 
 
-def given_up(held_up: Iterable[HeldUp]) -> int:
-    """How many held-up calls never began."""
+def count_given_up(held_up: Iterable[HeldUp]) -> int:
+    """The number of held-up calls that never began."""
     return sum(not one.began for one in held_up)
 
 
 def process_rows(role: str, meters: Sequence[Meter], seconds: float) -> list[Row]:
-    """What processes of one role wrote, read and computed a second."""
+    """Traffic and CPU usage per second of the processes of one role."""
     rows = []
     for direction, volumes in (("up", [m.sent for m in meters]), ("down", [m.received for m in meters])):
         if role != "sender":
@@ -145,7 +145,7 @@
 
 
 def volume_rows(role: str, direction: str, volumes: Sequence[Volume], seconds: float) -> list[Row]:
-    """One direction."""
+    """Traffic per second in one direction."""
     return [
         *distribution_rows(role, f"messages {direction}", [v.messages / seconds for v in volumes], "1/s"),
         *distribution_rows(role, f"writes {direction}", [v.writes / seconds for v in volumes], "1/s"),
@@ -157,7 +157,7 @@
 
 
 def distribution_rows(role: str, what: str, values: Sequence[float], unit: str) -> list[Row]:
-    """Median, 99th percentile and most."""
+    """Median, 99th percentile and maximum."""
     return [
         Row(role, what, "median", float(np.percentile(values, 50)), unit),
         Row(role, what, "p99", float(np.percentile(values, 99)), unit),
@@ -166,7 +166,7 @@
 
 
 def bindings_by_cause(fleet: HollowFleet) -> dict[str, int]:
-    """How often limits were bound, by cause, since the allocators' last starts."""
+    """How often limits were bound, by cause, since the last start of each allocator."""
     found: dict[str, int] = {}
     for allocator in fleet.allocators:
         for cause, count in allocator.control.causes.items():
@@ -175,16 +175,16 @@
 
 
 def bound_now(fleet: HollowFleet) -> int:
-    """How many limits need leases now."""
-    return sum(line[-1][1] for line in fleet.history.statuses.values())
+    """The number of limits that require leases now."""
+    return sum(entries[-1][1] for entries in fleet.history.statuses.values())
 
 
 def digest(fleet: HollowFleet) -> str:
-    """SHA-256 of everything that happened, without processor times: the same for the same seed."""
-    history, made = fleet.history, sha256()
+    """SHA-256 of the history of a run, without CPU times: depends on the seed alone."""
+    history, hasher = fleet.history, sha256()
     for values in (history.times, history.destinations, history.senders):
-        made.update(values.tobytes())
-    made.update(repr(history.held_up).encode())
-    made.update(repr(sorted(history.statuses.items())).encode())
-    made.update(repr([(meter.sent, meter.received) for meter in fleet.sender_meters()]).encode())
-    return made.hexdigest()
+        hasher.update(values.tobytes())
+    hasher.update(repr(history.held_up).encode())
+    hasher.update(repr(sorted(history.statuses.items())).encode())
+    hasher.update(repr([(meter.sent, meter.received) for meter in fleet.sender_meters()]).encode())
+    return hasher.hexdigest()
--- a/springspread/faults/hollow/runner.py
+++ b/springspread/faults/hollow/runner.py
@@ -1,4 +1,4 @@
-"""Play a hollow fleet once: warm up, measure, and tell the figures."""
+"""Runs a hollow fleet once: warm-up, then measurement."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Plan:
-    """Seconds before the measurement and in it, the schedule's name, and how many policy changes it has."""
+    """Measured seconds, the warm-up before them, the fault schedule and the number of policy changes."""
 
     seconds: float
     warmup_s: float
@@ -24,15 +24,15 @@
 
 
 def run_fleet(size: FleetSize, plan: Plan, policy: Policy) -> tuple[HollowFleet, list[Row]]:
-    """Play it; raises ``ValueError`` for an unknown schedule.
+    """Run the fleet and return it with its measurements; raises ``ValueError`` for an unknown schedule.
 
-    The cyclic garbage collector rests meanwhile: in a process as large as the simulator's it would take
-    time that a sender's own would not.
+    The cyclic garbage collector is disabled meanwhile: in a process as large as the simulator it would
+    distort the CPU times of the control code.
     """
     begin = JOIN_MS + 1_000.0 * plan.warmup_s
     end = begin + 1_000.0 * plan.seconds
     faults = schedule(plan.faults, ScheduleSpec(size.senders, size.allocators, begin, end, size.seed))
-    begun = time.monotonic()
+    started = time.monotonic()
     gc.disable()
     try:
         fleet = HollowFleet(size, policy, faults)
@@ -44,10 +44,10 @@
         rows = measurement.rows()
     finally:
         gc.enable()
-    took = time.monotonic() - begun
-    most_mb = getrusage(RUSAGE_SELF).ru_maxrss / 1024.0
+    took = time.monotonic() - started
+    peak_mb = getrusage(RUSAGE_SELF).ru_maxrss / 1024.0
     return fleet, [
         *rows,
         Row("simulator", "time of the run", "sum", took, "s"),
-        Row("simulator", "memory", "most", most_mb, "MB"),
+        Row("simulator", "memory", "most", peak_mb, "MB"),
     ]
--- a/springspread/faults/hollow/sender.py
+++ b/springspread/faults/hollow/sender.py
@@ -75,9 +75,9 @@
         data = b"".join(map(encode, messages))
         meter.cpu_ns += perf_counter_ns() - begun
         meter.sent.add(len(messages), len(data))
-        self.sender.lines_pass(Way.UP, data)
+        self.sender.observe_lines(Way.UP, data)
         connection.send_up(data)
-        self._wake(queue.now)
+        self._schedule_send(queue.now)
 
     def lost(self) -> None:
         """There is no connection; the next try comes after a while."""
@@ -91,12 +91,12 @@
         if self._connection is not None:
             self._connection.close()
 
-    def _wake(self, at: float) -> None:
+    def _schedule_send(self, at: float) -> None:
         if at < self._wake_at:
             self._wake_at = at
-            self.sender.queue.at(at, self._talk, at)
+            self.sender.queue.at(at, self._send_due, at)
 
-    def _talk(self, planned: float) -> None:
+    def _send_due(self, planned: float) -> None:
         connection, sender = self._connection, self.sender
         if planned != self._wake_at:
             return  # it woke before
@@ -111,9 +111,9 @@
         meter.cpu_ns += perf_counter_ns() - begun
         if due:
             meter.sent.add(len(due), len(data))
-            sender.lines_pass(Way.UP, data)
+            sender.observe_lines(Way.UP, data)
             connection.send_up(data)
-        self._wake(sender.queue.now + max(wait_ms, 0.1))
+        self._schedule_send(sender.queue.now + max(wait_ms, 0.1))
 
     def data_received(self, connection: Connection, data: bytes) -> None:
         """Bytes of the allocator have come in."""
@@ -126,19 +126,19 @@
             self.session.received(clock, message)
         meter.cpu_ns += perf_counter_ns() - begun
         meter.received.add(len(messages), len(data))
-        sender.lines_pass(Way.DOWN, data)
+        sender.observe_lines(Way.DOWN, data)
         for call in list(self.waiting):
             self._try(call)
 
     def partner_rate_received(self, key: str, per_s: float) -> None:
         """A partner tells its limit (calls a second)."""
         if self.session.set_partner_rate(key, per_s):
-            self._wake(self.sender.queue.now)
+            self._schedule_send(self.sender.queue.now)
 
     def served(self, key: str) -> None:
         """A call was served."""
         if self.cache.served(key):
-            self._wake(self.sender.queue.now)
+            self._schedule_send(self.sender.queue.now)
 
     def call(self, destination: int, key: str) -> bool:
         """A call wants to begin; whether it does now. Otherwise it waits."""
@@ -148,12 +148,12 @@
         early = self.cache.reports_early
         self.sender.meter.cpu_ns += perf_counter_ns() - begun
         if early:
-            self._wake(now)
+            self._schedule_send(now)
         if wait_ms == 0.0:
             return True
         call = WaitingCall(destination, key, now)
         self.waiting.append(call)
-        self._wake(now)
+        self._schedule_send(now)
         self.sender.queue.at(now + POLL_MS, self._retry, call)
         return False
 
@@ -168,7 +168,7 @@
         wait_ms = self.cache.take(call.key, clock, waiting=True)
         self.sender.meter.cpu_ns += perf_counter_ns() - begun
         if wait_ms > 0.0:
-            self._wake(now)
+            self._schedule_send(now)
             if now < call.since + LEASE_WAIT_MS:
                 return False
         self.waiting.remove(call)
@@ -198,7 +198,7 @@
         self.alive = True
         self.sessions = [ShardSession(self, shard, LeaseCache()) for shard in shards]
 
-    def lines_pass(self, way: Way, data: bytes) -> None:
+    def observe_lines(self, way: Way, data: bytes) -> None:
         """Lines about limits are written or read."""
         if self.line_listener is not None:
             for line in data.splitlines(keepends=True):
--- a/springspread/faults/hollow/spans.py
+++ b/springspread/faults/hollow/spans.py
@@ -92,12 +92,12 @@
     numbers = np.frombuffer(history.destinations, dtype=np.int64)
     order = np.lexsort((times, numbers))
     begins, destinations = times[order], numbers[order]
-    apart = float(times.max() if len(times) else 0.0) + 10.0 * span_ms
-    lines = destinations * apart + begins
-    calls = np.searchsorted(lines, lines + span_ms - 1e-3, side="left") - np.arange(len(lines))
-    held = np.array([limit.calls for limit in limits], dtype=float)[destinations]
-    classes = np.full(len(lines), SpanClass.FREE, dtype=np.int8)
-    spans = Spans(begins, destinations, calls, held, classes)
+    stride = float(times.max() if len(times) else 0.0) + 10.0 * span_ms
+    positions = destinations * stride + begins
+    calls = np.searchsorted(positions, positions + span_ms - 1e-3, side="left") - np.arange(len(positions))
+    limit_calls = np.array([limit.calls for limit in limits], dtype=float)[destinations]
+    classes = np.full(len(positions), SpanClass.FREE, dtype=np.int8)
+    spans = Spans(begins, destinations, calls, limit_calls, classes)
     for destination in history.statuses.keys() | history.jumps.keys() | history.limits.keys():
         _classify(history, spans, destination, span_ms)
     shards = np.array(shard_of)[destinations] if len(destinations) else destinations
--- a/springspread/faults/hollow/traffic.py
+++ b/springspread/faults/hollow/traffic.py
@@ -1,10 +1,10 @@
-"""The law of traffic: which destination each call goes to, when, from which sender; and the limits.
+"""The model of traffic: which destination each call goes to, when, from which sender; and the limits.
 
-Calls are a Poisson process of a stated rate. Destinations are drawn by a Zipf law: the one of rank k has a
+Calls are a Poisson process of a stated rate. Destinations are drawn by a Zipf model: the one of rank k has a
 weight of k to the power of -``exponent``, and no destination has more than ``hottest_share`` of all calls.
 Each call's sender is drawn uniformly. A limit is ``headroom`` times the mean demand of its destination, in
 calls in ``span_ms``, and at least ``min_calls``; a ``tight_fraction`` of the destinations has
-``tight_headroom`` instead. Destinations that are down are drawn uniformly over all ranks; senders begin
+``tight_headroom`` instead. Destinations that are down are drawn uniformly above all ranks; senders begin
 ``down_attempts`` of the calls to them, and each fails.
 """
 
@@ -21,7 +21,7 @@
 
 @dataclass(frozen=True, slots=True)
 class TrafficModel:
-    """Numbers of the law; see the module's head."""
+    """Numbers of the model; see the module's head."""
 
     destinations: int
     per_s: float
@@ -68,36 +68,36 @@
 class Traffic:
     """Draws calls, one stretch after the other. ``down`` says which destinations are down."""
 
-    def __init__(self, law: TrafficModel, senders: int, seed: int) -> None:
-        self.law, self._senders = law, senders
-        self.keys = [key_of(number) for number in range(law.destinations)]
+    def __init__(self, model: TrafficModel, senders: int, seed: int) -> None:
+        self.model, self._senders = model, senders
+        self.keys = [key_of(number) for number in range(model.destinations)]
         self._rng = np.random.default_rng([seed, 1])
         fixed = np.random.default_rng([seed, 2])
-        ranks = np.arange(1, law.destinations + 1, dtype=float)
-        share = _capped(ranks**-law.exponent, law.hottest_share)
-        self.rates: NDArray[np.float64] = law.per_s * share  # calls a second by destination
-        self.down = np.zeros(law.destinations, dtype=bool)
-        count = round(law.down_fraction * law.destinations)
-        self.down[fixed.choice(law.destinations, count, replace=False)] = True
-        self._tight = fixed.random(law.destinations) < law.tight_fraction
+        ranks = np.arange(1, model.destinations + 1, dtype=float)
+        share = _capped(ranks**-model.exponent, model.hottest_share)
+        self.rates: NDArray[np.float64] = model.per_s * share  # calls a second by destination
+        self.down = np.zeros(model.destinations, dtype=bool)
+        count = round(model.down_fraction * model.destinations)
+        self.down[fixed.choice(model.destinations, count, replace=False)] = True
+        self._tight = fixed.random(model.destinations) < model.tight_fraction
         self._factors: dict[int, float] = {}
-        self._law_changed()
+        self._update_rates()
 
     def scale_demand(self, destination: int, factor: float) -> None:
         """The demand of one destination is so many times its mean from the next stretch on."""
         self._factors[destination] = factor
-        self._law_changed()
+        self._update_rates()
 
     def recover(self, destination: int) -> None:
         """A destination that was down is not any more, from the next stretch on."""
         self.down[destination] = False
-        self._law_changed()
+        self._update_rates()
 
-    def _law_changed(self) -> None:
+    def _update_rates(self) -> None:
         rates = self.rates.copy()
         for destination, factor in self._factors.items():
             rates[destination] *= factor
-        rates[self.down] *= self.law.down_attempts
+        rates[self.down] *= self.model.down_attempts
         self._total = float(rates.sum())
         self._cumulative = np.cumsum(rates) / self._total
 
@@ -108,15 +108,15 @@
         times = np.sort(rng.uniform(begin, begin + length_ms, count))
         senders = rng.integers(0, self._senders, count)
         drawn = np.searchsorted(self._cumulative, rng.random(count), side="right")
-        destinations = np.minimum(drawn, self.law.destinations - 1)
+        destinations = np.minimum(drawn, self.model.destinations - 1)
         return Calls(times.tolist(), senders.tolist(), destinations.tolist())
 
     def limit(self, destination: int) -> Limit:
         """The limit of a destination, by its mean demand."""
-        law = self.law
-        headroom = law.tight_headroom if self._tight[destination] else law.headroom
-        calls = headroom * float(self.rates[destination]) * law.span_ms / 1000.0
-        return Limit(max(law.min_calls, round(calls)), law.span_ms, law.mode)
+        model = self.model
+        headroom = model.tight_headroom if self._tight[destination] else model.headroom
+        calls = headroom * float(self.rates[destination]) * model.span_ms / 1000.0
+        return Limit(max(model.min_calls, round(calls)), model.span_ms, model.mode)
 
 
 def key_of(destination: int) -> str:
@@ -124,15 +124,15 @@
     return f"g{destination}"
 
 
-def _capped(weights: NDArray[np.float64], most: float) -> NDArray[np.float64]:
-    """Shares that sum to one, none above ``most`` where that is possible."""
+def _capped(weights: NDArray[np.float64], max_share: float) -> NDArray[np.float64]:
+    """Shares that sum to one, none above ``max_share`` where that is possible."""
     share: NDArray[np.float64] = weights / weights.sum()
-    most = max(most, 1.5 / len(share))
+    max_share = max(max_share, 1.5 / len(share))
     for _ in range(100):
-        over = share > most
-        if not over.any():
+        above = share > max_share
+        if not above.any():
             break
-        rest = share[~over].sum()
-        share[~over] *= (1.0 - most * over.sum()) / rest
-        share[over] = most
+        rest = share[~above].sum()
+        share[~above] *= (1.0 - max_share * above.sum()) / rest
+        share[above] = max_share
     return share
--- a/tests/faults/test_hollow.py
+++ b/tests/faults/test_hollow.py
@@ -27,10 +27,10 @@
 from springspread.rollout.document import Policy
 
 POLICY = Policy(json.loads(Path("deploy/sender.json").read_text())["settings"], {})
-LAW = TrafficModel(destinations=200, per_s=2_000.0, hottest_share=0.05)
-SIZE = FleetSize(senders=42, allocators=3, law=LAW)
-EXACT_LAW = TrafficModel(60, 400.0, hottest_share=0.05, headroom=0.9, mode=LimitMode.EXACT)
-EXACT = FleetSize(senders=28, allocators=3, law=EXACT_LAW)
+MODEL = TrafficModel(destinations=200, per_s=2_000.0, hottest_share=0.05)
+SIZE = FleetSize(senders=42, allocators=3, model=MODEL)
+EXACT_MODEL = TrafficModel(60, 400.0, hottest_share=0.05, headroom=0.9, mode=LimitMode.EXACT)
+EXACT = FleetSize(senders=28, allocators=3, model=EXACT_MODEL)
 REPORT = LeaseReport("g1", 1, 1, 5.0)
 BUSY = 0  # the destination with the most demand, of which ``JUMP`` is a hundredfold
 QUIET = 60  # one with little demand
@@ -39,7 +39,7 @@
 
 def spans_after(fleet: HollowFleet, end: float) -> Spans:
     fleet.run_until(end)
-    return find_spans(fleet.history, fleet.limits, fleet.shard_of, fleet.size.law.span_ms)
+    return find_spans(fleet.history, fleet.limits, fleet.shard_of, fleet.size.model.span_ms)
 
 
 def run(size: FleetSize, faults: Sequence[Fault], end: float) -> tuple[HollowFleet, Spans]:
@@ -79,8 +79,8 @@
 
 
 def test_calls_that_a_sender_reports_are_those_that_it_made() -> None:
-    law = replace(LAW, down_fraction=0.0, headroom=50.0, min_calls=1_000)
-    fleet, _ = run(replace(SIZE, law=law), (), 5_000.0)
+    model = replace(MODEL, down_fraction=0.0, headroom=50.0, min_calls=1_000)
+    fleet, _ = run(replace(SIZE, model=model), (), 5_000.0)
     assert not fleet.history.statuses
     assert not [one for one in fleet.history.held_up if one.since >= JOIN_MS + 250.0]
     assert fleet.without_sender == 0
@@ -106,13 +106,13 @@
 
 
 def test_a_jump_to_a_hundredfold_at_1_100_senders_stays_within_the_derived_bound() -> None:
-    law = TrafficModel(20, 200.0, hottest_share=0.2, down_fraction=0.0)
-    size = FleetSize(1_100, 2, law)
+    model = TrafficModel(20, 200.0, hottest_share=0.2, down_fraction=0.0)
+    size = FleetSize(1_100, 2, model)
     target, longest_way_ms = 10, 1.1 * max(map(max, BETWEEN_REGIONS_MS))
     jump = Fault(FaultKind.JUMP, AT, AT + 60_000.0, (target,), 100.0)
     fleet, spans = run(size, [jump], AT + 6_000.0)
     limit = fleet.limits[target]
-    per_ms = 100.0 * float(Traffic(law, size.senders, size.seed).rates[target]) / 1_000.0
+    per_ms = 100.0 * float(Traffic(model, size.senders, size.seed).rates[target]) / 1_000.0
     exposure_ms = REPORT_MS + BROADCAST_INTERVAL_MS + 2.0 * longest_way_ms
     exposed = spans.stats(SpanClass.EXPOSED, destination=target)
     assert exposed.ratio > 3.0  # the jump was a real one
@@ -154,8 +154,8 @@
 
 
 def play_returns() -> tuple[HollowFleet, Spans]:
-    stage = ScheduleSpec(RETURNS.senders, RETURNS.allocators, AT, AT + 6_000.0, RETURNS.seed)
-    return run(RETURNS, schedule("returns", stage), AT + 9_000.0)
+    spec = ScheduleSpec(RETURNS.senders, RETURNS.allocators, AT, AT + 6_000.0, RETURNS.seed)
+    return run(RETURNS, schedule("returns", spec), AT + 9_000.0)
 
 
 def test_what_waits_for_destinations_that_return_goes_out_within_their_limits() -> None:
@@ -184,7 +184,7 @@
 
 
 def test_a_return_of_more_destinations_than_are_down_is_refused_by_their_number() -> None:
-    with pytest.raises(ValueError, match="7 destinations have to be down; there are 6"):
+    with pytest.raises(ValueError, match="7 destinations must be down; number down: 6"):
         run(SIZE, schedule("returns", ScheduleSpec(42, 3, AT, AT + 6_000.0, 1)), AT)
 
 
@@ -200,8 +200,8 @@
 
 @pytest.mark.parametrize("name", TROUBLE)
 def test_an_exact_limit_is_never_exceeded(name: str) -> None:
-    stage = ScheduleSpec(EXACT.senders, EXACT.allocators, 2_000.0, 6_500.0, EXACT.seed)
-    fleet, spans = run(EXACT, schedule(name, stage), 9_000.0)
+    spec = ScheduleSpec(EXACT.senders, EXACT.allocators, 2_000.0, 6_500.0, EXACT.seed)
+    fleet, spans = run(EXACT, schedule(name, spec), 9_000.0)
     assert len(fleet.history.times) > 1_000
     assert 0.9 <= max(spans.stats(one).ratio for one in SpanClass) <= 1.0
 
@@ -210,8 +210,8 @@
 def test_a_bound_limit_is_not_exceeded_once_its_exposure_is_over(name: str) -> None:
     target = up_destination(HollowFleet(SIZE, POLICY), BUSY)
     jump = Fault(FaultKind.JUMP, JOIN_MS, 60_000.0, (target,), 5.0)
-    stage = ScheduleSpec(SIZE.senders, SIZE.allocators, 3_000.0, 7_500.0, SIZE.seed)
-    _, spans = run(SIZE, [jump, *schedule(name, stage)], 9_000.0)
+    spec = ScheduleSpec(SIZE.senders, SIZE.allocators, 3_000.0, 7_500.0, SIZE.seed)
+    _, spans = run(SIZE, [jump, *schedule(name, spec)], 9_000.0)
     assert spans.stats(SpanClass.BOUND, destination=target).spans > 0
     assert spans.stats(SpanClass.BOUND).ratio <= 1.0
 
