--- a/springspread/faults/hollow/comparison.py
+++ b/springspread/faults/hollow/comparison.py
@@ -1,11 +1,10 @@
-"""Whether hollow senders say what real ones do: one small day of both, lines and bytes side by side.
-
-First the real daemon and its instances play a day on sockets; a relay before each instance counts lines, and
-the calls are recorded as they come to partners. Then as many hollow senders make the same calls at the same
-times, in virtual time, with one allocator on the same host. Calls that real senders asked a lease for and
-gave up are taken from their logs, and asked for by the hollow ones, too. What may differ: a real sender asks
-a little before its call arrives at the partner, the hollow ones at the arrival. Lines about limits are also
-told by kind of message.
+"""Validates hollow senders against real ones: lines and bytes of the same small day, side by side.
+
+First the real daemon and its instances run a day on sockets; a relay in front of each instance counts lines,
+and calls are recorded as they arrive at partners. Then as many hollow senders make the same calls at the same
+times, in virtual time, with one allocator on the same host. Calls that real senders gave up without a lease
+are taken from their logs. One difference remains: a real sender requests a lease shortly before its call
+arrives at the partner, a hollow one at the arrival. Lines about limits are also counted by kind of message.
 """
 
 from __future__ import annotations
@@ -42,27 +41,27 @@
 from springspread.simulator.sockets import SocketTown
 
 WARMUP_MS = 10_000.0
-HOLLOW_START_MS = 1_000.0  # hollow calls begin so much after the recorded ones' zero
+HOLLOW_START_MS = 1_000.0  # offset of hollow calls from recorded ones
 AMPLE_LIMIT_PER_S = 1_000.0
 
 
 @dataclass(slots=True)
 class RecordedTraffic:
-    """A day's calls as a source for hollow senders, and what else happened; ms of the day."""
+    """A day's calls as a source for hollow senders, and their outcomes; times in ms of the day."""
 
     keys: list[str]
     limits: list[Limit]
-    calls: list[tuple[float, int, int]] = field(default_factory=list)  # when, sender, destination
+    calls: list[tuple[float, int, int]] = field(default_factory=list)  # time, sender, destination
     failures: list[tuple[float, int, int]] = field(default_factory=list)
     successes: list[tuple[float, int, int]] = field(default_factory=list)
     partner_rates: list[tuple[float, int, int, float]] = field(default_factory=list)
-    down: NDArray[np.bool_] = field(init=False)  # nobody: failures are recorded one by one
+    down: NDArray[np.bool_] = field(init=False)  # all false: failures are recorded one by one
 
     def __post_init__(self) -> None:
         self.down = np.zeros(len(self.keys), dtype=bool)
 
     def draw(self, begin: float, length_ms: float) -> Calls:
-        """The calls of a stretch of the hollow fleet's time."""
+        """The calls of an interval of the hollow fleet's time."""
         first = bisect_left(self.calls, (begin - HOLLOW_START_MS,))
         last = bisect_left(self.calls, (begin + length_ms - HOLLOW_START_MS,))
         found = self.calls[first:last]
@@ -74,14 +73,14 @@
         return self.limits[destination]
 
     def scale_demand(self, destination: int, factor: float) -> None:
-        """Nothing multiplies what was recorded."""
+        """Recorded demand is not scaled."""
 
     def recover(self, destination: int) -> None:
-        """Nothing is down for good in what was recorded."""
+        """No destination is marked as down in a record."""
 
 
 class RecordedTown(SocketTown):
-    """A day on sockets that is written down."""
+    """A day on sockets that records its calls."""
 
     def __init__(self, day: Day, folder: Path, mode: LimitMode) -> None:
         super().__init__(day, folder, mode)
@@ -116,7 +115,7 @@
         vars(self.checker).update(call=recorded_call, failed=recorded_failure, done=recorded_end)
 
     def record_given_up(self) -> int:
-        """Add the calls that were given up to those that were calls_made; how many there are."""
+        """Add the calls that were given up to the record; returns their number."""
         wall_s = time.time() - self._now() / 1000.0
         found = [
             (max(at - LEASE_WAIT_MS, 0.0), number, self._number(endpoint))
@@ -132,14 +131,14 @@
     def _told(self, name: str, place: Place, ids: list[str], answer: Answer, bundle: bool) -> None:
         if answer.limit_per_s:
             sender = int(self.checker.sender_of(ids[0])[1:])
-            told = (self._now(), sender, self._number(name), answer.limit_per_s)
-            self.recorded.partner_rates.append(told)
+            entry = (self._now(), sender, self._number(name), answer.limit_per_s)
+            self.recorded.partner_rates.append(entry)
         super()._told(name, place, ids, answer, bundle)
 
 
 @dataclass(slots=True)
 class DirectionVolumes:
-    """Lines of one kind, by direction."""
+    """Traffic of one kind, by direction."""
 
     up: Volume = field(default_factory=Volume)
     down: Volume = field(default_factory=Volume)
@@ -156,12 +155,11 @@
     "KeyStatuses",
     "LeaseGrants",
 )
-"""Messages about limits; a request that asks for nothing says what was done with leases, or who waits no
-more."""
+"""Kinds of messages about limits, with lease requests by purpose."""
 
 
 def kind_of(line: bytes) -> str:
-    """Which of ``KINDS`` a line about limits is; raises ``Unreadable``."""
+    """The kind, one of ``KINDS``, of a line about limits; raises ``Unreadable``."""
     (message,) = Lines().feed(line)
     if not isinstance(message, LeaseRequest):
         return type(message).__name__
@@ -173,7 +171,7 @@
 
 
 class LineCounts:
-    """The lines of one sender while ``counting``: about limits, about policies, and about limits by kind."""
+    """Counts a sender's lines while ``counting``: about limits, about policies, and about limits by kind."""
 
     def __init__(self) -> None:
         self.counting = False
@@ -181,7 +179,7 @@
         self.kinds = {kind: Volume() for kind in KINDS}
 
     def count_line(self, way: Way, line: bytes) -> None:
-        """A line passes."""
+        """Count a line that passes the relay."""
         if not self.counting:
             return
         of_limits = line.startswith(b"[")
@@ -192,7 +190,7 @@
 
 
 def with_limits(day: Day) -> Day:
-    """The day with a limit for each partner: one without any gets one that it never meets."""
+    """The day with a limit for each partner; one without a limit gets one that it never reaches."""
     specs = []
     for spec in day.partners:
         if not spec.habit.limit_per_s:
@@ -202,8 +200,8 @@
 
 
 def compare(day: Day, folder: Path, mode: LimitMode) -> list[Row]:
-    """A day of real instances and of hollow ones; raises ``RuntimeError`` where no fleet comes up."""
-    os.environ["RELAY_LOG_LEVEL"] = "debug"  # for calls that are given up
+    """Run a day with real and with hollow instances; raises ``RuntimeError`` if the fleet does not start."""
+    os.environ["RELAY_LOG_LEVEL"] = "debug"  # logs calls that are given up
     town = RecordedTown(with_limits(day), folder, mode)
     relays, counts = [], []
     for number in range(day.senders):
@@ -212,7 +210,7 @@
         relay.seen = count.count_line
         relays.append(relay)
         counts.append(count)
-    window: list[tuple[float, float]] = []  # the day's time and the clock's, at the begin and the end
+    window: list[tuple[float, float]] = []  # time of day and clock, at the begin and the end
 
     def each_s(at: float, *_: object) -> None:
         counting = WARMUP_MS <= at < day.length_ms
@@ -241,7 +239,7 @@
 def run_hollow(
     senders: int, recorded: RecordedTraffic, policy: Policy, mode: LimitMode, begin: float, end: float
 ) -> list[LineCounts]:
-    """The same calls by hollow senders; what each written of limits and of policies from begin to end."""
+    """Make the recorded calls with hollow senders; returns the lines of each one from begin to end."""
     recorded.calls.sort()
     model = TrafficModel(len(recorded.keys), 0.0, mode=mode)
     size, uptime_ms = FleetSize(senders, 1, model), SYSTEM.now()
@@ -254,7 +252,7 @@
         fleet.queue.at(when + HOLLOW_START_MS, fleet.partner_rate_received, sender, destination, per_s)
     counts = [LineCounts() for _ in range(senders)]
     for hollow, count in zip(fleet.senders, counts, strict=True):
-        assert hollow is not None  # all have begun, and none is killed
+        assert hollow is not None  # all have started, and none is killed
         hollow.line_listener = count.count_line
     fleet.run_until(HOLLOW_START_MS + begin)
     policies = [meter.copy() for meter in fleet.policy_meters]
@@ -262,13 +260,13 @@
         count.counting = True
     fleet.run_until(HOLLOW_START_MS + end)
     for count, now, then in zip(counts, fleet.policy_meters, policies, strict=True):
-        written = now.since(then)
-        count.policies = DirectionVolumes(written.sent, written.received)
+        delta = now.since(then)
+        count.policies = DirectionVolumes(delta.sent, delta.received)
     return counts
 
 
 def _rows(real: list[LineCounts], hollow: list[LineCounts], seconds: float) -> list[Row]:
-    """Means over senders, side by side, and their ratio."""
+    """Means over senders, real and hollow, and their ratio."""
     rows = []
     for name in ("limits", "policies", "all"):
         for direction in ("up", "down"):
@@ -297,7 +295,7 @@
 
 
 def _side_by_side(what: str, volumes: list[list[Volume]], sender_seconds: float) -> list[Row]:
-    """Lines and bytes a second of a mean sender, real and hollow, and their ratio."""
+    """Mean lines and bytes per second of a sender, real and hollow, and their ratio."""
     rows = []
     for unit, per in (("lines", "1/s"), ("bytes", "B/s")):
         real, hollow = (
--- a/springspread/faults/hollow/sender.py
+++ b/springspread/faults/hollow/sender.py
@@ -1,9 +1,8 @@
-"""A hollow sender: the real session, lease cache, coding and policy participant, without a data plane.
+"""A hollow sender: the real session, lease cache, encoding and policy participant, without a data plane.
 
-It talks to each shard's allocator over a connection of its own, as ``fleet.client`` does with the one that
-it has: what is due is written at once when a call gets no right, else when the session's wait is over. A
-call without a right asks again when anything arrives, and every ``POLL_MS``, for ``LEASE_WAIT_MS``; then it
-is given up. A call to a destination that is down fails at once.
+It keeps one connection to each shard's allocator and writes like ``fleet.client``: immediately when a call
+gets no lease, otherwise when the session's wait ends. A call without a lease retries on every message and
+every ``POLL_MS`` and is given up after ``LEASE_WAIT_MS``. A call to a destination that is down fails at once.
 """
 
 from __future__ import annotations
@@ -28,7 +27,7 @@
 
 @dataclass(slots=True, eq=False)
 class WaitingCall:
-    """A call that got no right at first."""
+    """A call that waits for a lease."""
 
     destination: int
     key: str
@@ -36,17 +35,17 @@
 
 
 CallListener = Callable[[float, int], None]
-"""Is told of a call that begins: when, and its destination."""
+"""Called when a call begins, with the time and the destination."""
 
 LineListener = Callable[[Way, bytes], None]
-"""Is told of each line about limits, with its direction."""
+"""Called with the direction and each line about limits."""
 
 WaitListener = Callable[["HollowSender", WaitingCall, float, bool], None]
-"""Is told how a held-up call ended: when, and whether it began or was given up."""
+"""Called when a call has waited, with the time and whether it began or was given up."""
 
 
 class ShardSession:
-    """One sender's talk with one shard's allocator, over one connection after the other."""
+    """A sender's session with the allocator of one shard, across reconnections."""
 
     __slots__ = ("_connection", "_wake_at", "cache", "sender", "session", "shard", "waiting", "zone")
 
@@ -64,7 +63,7 @@
             Connection(self.sender.queue, self.sender.network, self, self.shard)
 
     def opened(self, connection: Connection) -> None:
-        """The connection is open: register, and say again what the one before may have lost."""
+        """The connection is open: register, and repeat what the last connection may have lost."""
         if not self.sender.alive:
             connection.close()
             return
@@ -80,13 +79,13 @@
         self._schedule_send(queue.now)
 
     def lost(self) -> None:
-        """There is no connection; the next try comes after a while."""
+        """The connection was lost: reconnect after ``RECONNECT_MS``."""
         self._connection = None
         self._wake_at = inf
         self.sender.queue.at(self.sender.queue.now + RECONNECT_MS, self._connect)
 
     def close(self) -> None:
-        """The process is killed."""
+        """Drop waiting calls and the connection, as the process is killed."""
         self.waiting.clear()
         if self._connection is not None:
             self._connection.close()
@@ -99,10 +98,10 @@
     def _send_due(self, planned: float) -> None:
         connection, sender = self._connection, self.sender
         if planned != self._wake_at:
-            return  # it woke before
+            return  # superseded by an earlier wake-up
         self._wake_at = inf
         if connection is None:
-            return  # it wakes as the next one opens
+            return  # scheduled again when a connection opens
         clock, meter = sender.queue.clock, sender.meter
         begun = perf_counter_ns()
         due = self.session.due(clock)
@@ -116,7 +115,7 @@
         self._schedule_send(sender.queue.now + max(wait_ms, 0.1))
 
     def data_received(self, connection: Connection, data: bytes) -> None:
-        """Bytes of the allocator have come in."""
+        """Handle bytes from the allocator."""
         sender = self.sender
         clock, meter = sender.queue.clock, sender.meter
         begun = perf_counter_ns()
@@ -131,7 +130,7 @@
             self._try(call)
 
     def partner_rate_received(self, key: str, per_s: float) -> None:
-        """A partner tells its limit (calls a second)."""
+        """A partner has announced its limit (calls per second)."""
         if self.session.set_partner_rate(key, per_s):
             self._schedule_send(self.sender.queue.now)
 
@@ -141,7 +140,7 @@
             self._schedule_send(self.sender.queue.now)
 
     def call(self, destination: int, key: str) -> bool:
-        """A call wants to begin; whether it does now. Otherwise it waits."""
+        """Whether a call may begin now; otherwise it waits."""
         now, clock = self.sender.queue.now, self.sender.queue.clock
         begun = perf_counter_ns()
         wait_ms = self.cache.take(key, clock)
@@ -162,7 +161,7 @@
             self.sender.queue.at(self.sender.queue.now + POLL_MS, self._retry, call)
 
     def _try(self, call: WaitingCall) -> bool:
-        """Whether a waiting call has come to its end."""
+        """Retry a waiting call; whether it has begun or was given up."""
         now, clock = self.sender.queue.now, self.sender.queue.clock
         begun = perf_counter_ns()
         wait_ms = self.cache.take(call.key, clock, waiting=True)
@@ -177,7 +176,7 @@
 
 
 class HollowSender:
-    """One process of a sender; a restart is another one with the next epoch and the same meter."""
+    """One process of a sender; a restart makes another one with the next epoch and the same meter."""
 
     def __init__(
         self,
@@ -190,7 +189,7 @@
         meter: Meter,
         wait_ended: WaitListener,
     ) -> None:
-        """``shards``: the allocators, in the order in which ``sessions`` is indexed."""
+        """``shards``: the allocators, in the order of ``sessions``."""
         self.queue, self.network, self.zone, self.meter = queue, network, zone, meter
         self.number, self.name, self.epoch = number, f"n{number:04}", epoch
         self.wait_ended = wait_ended
@@ -199,13 +198,13 @@
         self.sessions = [ShardSession(self, shard, LeaseCache()) for shard in shards]
 
     def observe_lines(self, way: Way, data: bytes) -> None:
-        """Lines about limits are written or read."""
+        """Pass lines about limits to the listener."""
         if self.line_listener is not None:
             for line in data.splitlines(keepends=True):
                 self.line_listener(way, line)
 
     def kill(self) -> None:
-        """The process ends: its connections break, its leases and unreported calls are lost."""
+        """End the process: its connections break, its leases and unreported calls are lost."""
         self.alive = False
         for session in self.sessions:
             session.close()
--- a/springspread/faults/hollow/spans.py
+++ b/springspread/faults/hollow/spans.py
@@ -1,13 +1,12 @@
-"""The most calls in any span against each limit, by what the limit's status was in that span.
+"""Compares the calls in each span with the limit, by the status of the limit during the span.
 
-A span begins with a call and holds the calls of its destination in the ``span_ms`` that follow; no other
-span holds more. Its class:
+A span covers the ``span_ms`` from a call on and counts the calls to its destination; spans that begin between
+calls hold no more. Classes of spans:
 
-    class     the span
-    exposed   touches the ``EXPOSURE_MS`` after a binding, a jump of demand or a fall of the limit
-    takeover  touches the time in which the limit's allocator is away or learns
-    bound     is neither, and its limit is bound from its begin to its end
-    free      is none of these
+    exposed   overlaps the ``EXPOSURE_MS`` after a binding, a jump of demand or a change of the limit
+    takeover  overlaps the time in which the limit's allocator is down or learning
+    bound     neither, and the limit is bound throughout
+    free      all others
 """
 
 from __future__ import annotations
@@ -28,7 +27,7 @@
 
 
 class SpanClass(IntEnum):
-    """See the module's head."""
+    """See the module's docstring."""
 
     FREE = 0
     BOUND = 1
@@ -38,7 +37,7 @@
 
 @dataclass(frozen=True, slots=True)
 class SpanStats:
-    """Of the spans of one class: how many, the most calls by N and by ``Limit.tolerated``, how many above."""
+    """Number of spans, maximum ratio of calls to N and to ``Limit.tolerated``, and how many exceed each."""
 
     spans: int
     ratio: float
@@ -49,7 +48,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Spans:
-    """All spans of a run, in one order: begin (ms), destination, calls, and the limit that holds."""
+    """Columns of all spans of a run: begin (ms), destination, calls, limit in force and class."""
 
     begins: NDArray[np.float64]
     destinations: NDArray[np.int64]
@@ -58,14 +57,14 @@
     classes: NDArray[np.int8]
 
     def stats(self, one: SpanClass, begin: float = 0.0, destination: int | None = None) -> SpanStats:
-        """Of a class, of spans that begin from a time on, and of one destination where it is given."""
+        """Statistics of one class of spans that begin from a time on, optionally for one destination."""
         chosen = (self.classes == one) & (self.begins >= begin)
         if destination is not None:
             chosen &= self.destinations == destination
         return self._stats(chosen)
 
     def stats_after(self, moments: Mapping[int, float]) -> SpanStats:
-        """Of the spans of some destinations that begin at a moment of each or later."""
+        """Statistics of the spans that begin at or after the moment given for each destination."""
         chosen = np.zeros(len(self.begins), dtype=np.bool_)
         for destination, moment in moments.items():
             chosen |= (self.destinations == destination) & (self.begins >= moment)
@@ -87,11 +86,11 @@
 
 
 def find_spans(history: History, limits: list[Limit], shard_of: list[int], span_ms: float) -> Spans:
-    """Every span of a run. ``limits`` and ``shard_of`` by destination; the limits at the begin."""
+    """All spans of a run. ``limits`` (initial ones) and ``shard_of`` are by destination."""
     times = np.frombuffer(history.times, dtype=np.float64)
-    numbers = np.frombuffer(history.destinations, dtype=np.int64)
-    order = np.lexsort((times, numbers))
-    begins, destinations = times[order], numbers[order]
+    unsorted = np.frombuffer(history.destinations, dtype=np.int64)
+    order = np.lexsort((times, unsorted))
+    begins, destinations = times[order], unsorted[order]
     stride = float(times.max() if len(times) else 0.0) + 10.0 * span_ms
     positions = destinations * stride + begins
     calls = np.searchsorted(positions, positions + span_ms - 1e-3, side="left") - np.arange(len(positions))
@@ -102,22 +101,22 @@
         _classify(history, spans, destination, span_ms)
     shards = np.array(shard_of)[destinations] if len(destinations) else destinations
     for shard, begin, end in history.takeovers:
-        touched = (shards == shard) & (begins < end) & (begins + span_ms > begin)
-        classes[touched] = SpanClass.TAKEOVER
+        overlaps = (shards == shard) & (begins < end) & (begins + span_ms > begin)
+        classes[overlaps] = SpanClass.TAKEOVER
     return spans
 
 
 def _classify(history: History, spans: Spans, destination: int, span_ms: float) -> None:
-    """Set the classes, and limits that changed, of one destination's spans."""
+    """Set the classes and changed limits of one destination's spans."""
     begin, end = np.searchsorted(spans.destinations, [destination, destination + 1])
     begins, classes = spans.begins[begin:end], spans.classes[begin:end]
     statuses = history.statuses.get(destination, [])
     changes = history.limits.get(destination, [])
     moments = [when for when, _ in statuses]
-    for at, when in enumerate(begins):
-        now = bisect_right(moments, when)
-        if now and statuses[now - 1][1] and (now == len(moments) or moments[now] >= when + span_ms):
-            classes[at] = SpanClass.BOUND
+    for index, when in enumerate(begins):
+        past = bisect_right(moments, when)
+        if past and statuses[past - 1][1] and (past == len(moments) or moments[past] >= when + span_ms):
+            classes[index] = SpanClass.BOUND
     exposed = [when for when, bound in statuses if bound]
     exposed += history.jumps.get(destination, [])
     exposed += [when for when, _ in changes]
--- a/springspread/faults/hollow/traffic.py
+++ b/springspread/faults/hollow/traffic.py
@@ -1,11 +1,11 @@
-"""The model of traffic: which destination each call goes to, when, from which sender; and the limits.
-
-Calls are a Poisson process of a stated rate. Destinations are drawn by a Zipf model: the one of rank k has a
-weight of k to the power of -``exponent``, and no destination has more than ``hottest_share`` of all calls.
-Each call's sender is drawn uniformly. A limit is ``headroom`` times the mean demand of its destination, in
-calls in ``span_ms``, and at least ``min_calls``; a ``tight_fraction`` of the destinations has
-``tight_headroom`` instead. Destinations that are down are drawn uniformly above all ranks; senders begin
-``down_attempts`` of the calls to them, and each fails.
+"""The traffic model: times, senders and destinations of calls, and the limits of destinations.
+
+Calls are a Poisson process. Destinations follow Zipf's law: the one of rank k has a weight of k to the power
+of -``exponent``, and no destination gets more than ``hottest_share`` of all calls. Senders are drawn
+uniformly. A limit is ``headroom`` times the mean demand of its destination per ``span_ms``, and at least
+``min_calls``; a ``tight_fraction`` of the destinations has ``tight_headroom`` instead. Destinations that are
+down are drawn uniformly over all ranks; senders make ``down_attempts`` of the calls to them, and all of these
+fail.
 """
 
 from __future__ import annotations
@@ -21,7 +21,7 @@
 
 @dataclass(frozen=True, slots=True)
 class TrafficModel:
-    """Numbers of the model; see the module's head."""
+    """Parameters of the model; see the module's docstring."""
 
     destinations: int
     per_s: float
@@ -39,7 +39,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Calls:
-    """Calls of a stretch of time, in order: times (ms), numbers of senders and destinations."""
+    """Calls of an interval, in order: times (ms), numbers of senders and destinations."""
 
     times: list[float]
     senders: list[int]
@@ -47,49 +47,49 @@
 
 
 class CallSource(Protocol):
-    """What a fleet takes its calls and limits from; ``keys`` by number of the destination."""
+    """Source of a fleet's calls and limits; ``keys`` is indexed by destination."""
 
     keys: list[str]
     down: NDArray[np.bool_]
 
     def draw(self, begin: float, length_ms: float) -> Calls:
-        """The calls of the stretch of so many milliseconds that begins then."""
+        """The calls of an interval."""
 
     def limit(self, destination: int) -> Limit:
         """The limit of a destination."""
 
     def scale_demand(self, destination: int, factor: float) -> None:
-        """The demand of one destination is so many times its mean from the next stretch on."""
+        """Scale a destination's mean demand from the next interval on."""
 
     def recover(self, destination: int) -> None:
-        """A destination that was down is not any more, from the next stretch on."""
+        """A destination is no longer down from the next interval on."""
 
 
 class Traffic:
-    """Draws calls, one stretch after the other. ``down`` says which destinations are down."""
+    """Draws calls for consecutive intervals. ``down`` flags the destinations that are down."""
 
     def __init__(self, model: TrafficModel, senders: int, seed: int) -> None:
         self.model, self._senders = model, senders
         self.keys = [key_of(number) for number in range(model.destinations)]
         self._rng = np.random.default_rng([seed, 1])
-        fixed = np.random.default_rng([seed, 2])
+        setup_rng = np.random.default_rng([seed, 2])
         ranks = np.arange(1, model.destinations + 1, dtype=float)
         share = _capped(ranks**-model.exponent, model.hottest_share)
-        self.rates: NDArray[np.float64] = model.per_s * share  # calls a second by destination
+        self.rates: NDArray[np.float64] = model.per_s * share  # calls/s by destination
         self.down = np.zeros(model.destinations, dtype=bool)
         count = round(model.down_fraction * model.destinations)
-        self.down[fixed.choice(model.destinations, count, replace=False)] = True
-        self._tight = fixed.random(model.destinations) < model.tight_fraction
+        self.down[setup_rng.choice(model.destinations, count, replace=False)] = True
+        self._tight = setup_rng.random(model.destinations) < model.tight_fraction
         self._factors: dict[int, float] = {}
         self._update_rates()
 
     def scale_demand(self, destination: int, factor: float) -> None:
-        """The demand of one destination is so many times its mean from the next stretch on."""
+        """Scale a destination's mean demand from the next interval on."""
         self._factors[destination] = factor
         self._update_rates()
 
     def recover(self, destination: int) -> None:
-        """A destination that was down is not any more, from the next stretch on."""
+        """A destination is no longer down from the next interval on."""
         self.down[destination] = False
         self._update_rates()
 
@@ -102,7 +102,7 @@
         self._cumulative = np.cumsum(rates) / self._total
 
     def draw(self, begin: float, length_ms: float) -> Calls:
-        """The calls of the stretch of so many milliseconds that begins then."""
+        """The calls of an interval."""
         rng = self._rng
         count = int(rng.poisson(self._total * length_ms / 1000.0))
         times = np.sort(rng.uniform(begin, begin + length_ms, count))
@@ -112,7 +112,7 @@
         return Calls(times.tolist(), senders.tolist(), destinations.tolist())
 
     def limit(self, destination: int) -> Limit:
-        """The limit of a destination, by its mean demand."""
+        """The limit of a destination, from its mean demand."""
         model = self.model
         headroom = model.tight_headroom if self._tight[destination] else model.headroom
         calls = headroom * float(self.rates[destination]) * model.span_ms / 1000.0
@@ -125,7 +125,7 @@
 
 
 def _capped(weights: NDArray[np.float64], max_share: float) -> NDArray[np.float64]:
-    """Shares that sum to one, none above ``max_share`` where that is possible."""
+    """Shares that sum to one, none above ``max_share`` if possible."""
     share: NDArray[np.float64] = weights / weights.sum()
     max_share = max(max_share, 1.5 / len(share))
     for _ in range(100):
--- a/tests/faults/test_given_up.py
+++ b/tests/faults/test_given_up.py
@@ -1,4 +1,4 @@
-"""Calls that were given up, as an instance's log tells them."""
+"""Reading calls that were given up from an instance's log."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
     )
 
 
-def test_calls_that_were_not_sent_are_found_in_the_log_and_the_one_before_it(tmp_path: Path) -> None:
+def test_calls_that_were_not_sent_are_found_in_the_log_and_its_predecessor(tmp_path: Path) -> None:
     log = tmp_path / "log"
     (tmp_path / "log.1").write_text('n"}\n' + entry("call over", "NOT_SENT", 1))
     log.write_text(
@@ -26,8 +26,8 @@
         + entry("call over", "NOT_SENT", 4)
         + '{"event": "call over", "result": "NOT_S'
     )
-    begun_s = 1_796_191_200.0  # 2026-12-02T06:00:00Z
-    found = list(given_up(log, begun_s))
+    start_s = 1_796_191_200.0  # 2026-12-02T06:00:00Z
+    found = list(given_up(log, start_s))
     assert [endpoint for _, endpoint in found] == ["s-1", "s-4"]
     assert [at for at, _ in found] == pytest.approx([1_500.0, 4_500.0])
-    assert list(given_up(tmp_path / "none", begun_s)) == []
+    assert list(given_up(tmp_path / "none", start_s)) == []
