--- a/springspread/faults/hollow/allocator.py
+++ b/springspread/faults/hollow/allocator.py
@@ -93,7 +93,7 @@
     def data_received(self, connection: Connection, data: bytes) -> None:
         """Handle bytes from a sender."""
         clock = self._queue.clock
-        begun = perf_counter_ns()
+        start_ns = perf_counter_ns()
         messages = connection.up_lines.feed(data)
         for message in messages:
             if isinstance(message, Register):
@@ -102,7 +102,7 @@
             else:
                 assert isinstance(message, LeaseRequest | UseReport) and connection.owner is not None
                 self.control.received(clock, connection.owner, message)
-        self.meter.cpu_ns += perf_counter_ns() - begun
+        self.meter.cpu_ns += perf_counter_ns() - start_ns
         self.meter.received.add(len(messages), len(data))
         self._request_tick()
 
@@ -127,13 +127,13 @@
             return  # superseded by an earlier tick
         self._tick_at = inf
         now, clock = self._queue.now, self._queue.clock
-        begun = perf_counter_ns()
+        start_ns = perf_counter_ns()
         leases = self.control.tick(clock)
         self.control.grant(clock, leases)
         outgoing = self.control.take_messages()
         observed = outgoing.pop(self._observer, [])
         encoded = [(owner, b"".join(map(encode, messages))) for owner, messages in outgoing.items()]
-        self.meter.cpu_ns += perf_counter_ns() - begun
+        self.meter.cpu_ns += perf_counter_ns() - start_ns
         for owner, data in encoded:
             if (connection := self._by_owner.get(owner)) is not None:
                 self.meter.sent.add(len(outgoing[owner]), len(data))
--- a/springspread/faults/hollow/connection.py
+++ b/springspread/faults/hollow/connection.py
@@ -51,7 +51,7 @@
         "_arrives_up",
         "_network",
         "_queue",
-        "_latency_ms",
+        "_transit_ms",
         "acceptor",
         "connector",
         "down_lines",
@@ -65,10 +65,10 @@
         self.connector, self.acceptor = connector, acceptor
         self.owner: Owner | None = None  # as the control process knows the sender
         self.up_lines, self.down_lines = Lines(), Lines()
-        self._latency_ms = network.latency_ms(connector.zone, acceptor.zone)
+        self._transit_ms = network.latency_ms(connector.zone, acceptor.zone)
         self._arrives_up = self._arrives_down = 0.0
         self.open = False
-        queue.at(queue.now + 2.0 * self._latency_ms * network.jitter(), self._open)
+        queue.at(queue.now + 2.0 * self._transit_ms * network.jitter(), self._open)
 
     def _open(self) -> None:
         reachable = self._network.reachable(self.connector.zone, self.acceptor.zone)
@@ -91,7 +91,7 @@
         self._queue.at(self._arrives_down, self._deliver, self.connector.data_received, data)
 
     def _arrival(self, earlier: float) -> float:
-        return max(self._queue.now + self._latency_ms * self._network.jitter(), earlier)
+        return max(self._queue.now + self._transit_ms * self._network.jitter(), earlier)
 
     def _deliver(self, handler: Callable[[Connection, bytes], None], data: bytes) -> None:
         if self.open:
--- a/springspread/faults/hollow/fleet.py
+++ b/springspread/faults/hollow/fleet.py
@@ -80,10 +80,10 @@
         self._epochs = [0] * size.senders
         self._waiting_calls = WaitingCalls(self.queue, self._make_waiting_call)
         self._down_by_rank = np.flatnonzero(self.traffic.down).tolist()
-        self._returning = [
+        self._recovering = [
             self._down_destination(one.targets[0]) for one in faults if one.kind is FaultKind.RETURN
         ]
-        self._returned: set[int] = set()
+        self._recovered: set[int] = set()
         for sender in range(size.senders):
             self.queue.at(JOIN_MS * sender / size.senders, self._start, sender)
         for fault in faults:
@@ -117,7 +117,7 @@
         )
         self.senders[number] = sender
         self.policy_sessions[number] = PolicySession(sender, self.coordinator, self.policy_meters[number])
-        for destination in self._returning:
+        for destination in self._recovering:
             for _ in range(PRIOR_FAILURES):
                 self.call_failed(number, destination)
 
@@ -139,7 +139,7 @@
         self.history.record_call(now, destination, number)
         if self.traffic.down[destination]:
             self.call_failed(number, destination)
-        elif destination in self._returned:
+        elif destination in self._recovered:
             self.call_served(number, destination)
 
     def call_served(self, number: int, destination: int) -> None:
@@ -203,7 +203,7 @@
 
     def _recover_destination(self, destination: int, waiting: int) -> None:
         self.traffic.recover(destination)
-        self._returned.add(destination)
+        self._recovered.add(destination)
         self.history.returns[destination] = self.queue.now
         for number in range(self.size.senders):
             self._waiting_calls.add(number, destination, waiting)
--- a/springspread/faults/hollow/policy.py
+++ b/springspread/faults/hollow/policy.py
@@ -61,9 +61,9 @@
 
     def data_received(self, connection: Connection, data: bytes) -> None:
         """Handle bytes from a sender."""
-        begun = perf_counter_ns()
+        start_ns = perf_counter_ns()
         messages = connection.up_lines.feed(data)
-        self.meter.cpu_ns += perf_counter_ns() - begun
+        self.meter.cpu_ns += perf_counter_ns() - start_ns
         self.meter.received.add(len(messages), len(data))
         for message in messages:
             self._handle(connection, message)
@@ -91,9 +91,9 @@
         self._queue.at(self._queue.now + TICK_MS, self._tick)
 
     def _timed_step(self, step: Callable[[], Step]) -> None:
-        begun = perf_counter_ns()
+        start_ns = perf_counter_ns()
         result = step()
-        self.meter.cpu_ns += perf_counter_ns() - begun
+        self.meter.cpu_ns += perf_counter_ns() - start_ns
         self._apply(result)
 
     def _apply(self, step: Step) -> None:
@@ -115,9 +115,9 @@
             self._documents[owner].add(number)
             messages = [Document(number, self._policy.text), message]
         for one in messages:
-            begun = perf_counter_ns()
+            start_ns = perf_counter_ns()
             data = encode(one)
-            self.meter.cpu_ns += perf_counter_ns() - begun
+            self.meter.cpu_ns += perf_counter_ns() - start_ns
             self.meter.sent.add(1, len(data))
             connection.send_down(data)
 
@@ -153,9 +153,9 @@
 
     def _write(self, connection: Connection, message: Message) -> None:
         meter = self._meter
-        begun = perf_counter_ns()
+        start_ns = perf_counter_ns()
         data = encode(message)
-        meter.cpu_ns += perf_counter_ns() - begun
+        meter.cpu_ns += perf_counter_ns() - start_ns
         meter.sent.add(1, len(data))
         connection.send_up(data)
 
@@ -167,7 +167,7 @@
     def data_received(self, connection: Connection, data: bytes) -> None:
         """Handle bytes from the coordinator."""
         clock, meter = self._sender.queue.clock, self._meter
-        begun = perf_counter_ns()
+        start_ns = perf_counter_ns()
         messages = connection.down_lines.feed(data)
         votes: list[Vote] = []
         for message in messages:
@@ -176,7 +176,7 @@
             elif isinstance(message, Prepare):
                 self._participant, vote = participant.prepared(self._participant, message, "")
                 votes += [vote] if vote is not None else []
-        meter.cpu_ns += perf_counter_ns() - begun
+        meter.cpu_ns += perf_counter_ns() - start_ns
         meter.received.add(len(messages), len(data))
         for vote in votes:
             self._write(connection, vote)
--- a/springspread/faults/hollow/sender.py
+++ b/springspread/faults/hollow/sender.py
@@ -69,10 +69,10 @@
             return
         self._connection = connection
         queue, meter = self.sender.queue, self.sender.meter
-        begun = perf_counter_ns()
+        start_ns = perf_counter_ns()
         messages = self.session.connected(queue.clock)
         data = b"".join(map(encode, messages))
-        meter.cpu_ns += perf_counter_ns() - begun
+        meter.cpu_ns += perf_counter_ns() - start_ns
         meter.sent.add(len(messages), len(data))
         self.sender.observe_lines(Way.UP, data)
         connection.send_up(data)
@@ -103,11 +103,11 @@
         if connection is None:
             return  # scheduled again when a connection opens
         clock, meter = sender.queue.clock, sender.meter
-        begun = perf_counter_ns()
+        start_ns = perf_counter_ns()
         due = self.session.due(clock)
         data = b"".join(map(encode, due))
         wait_ms = self.session.wait_ms(clock)
-        meter.cpu_ns += perf_counter_ns() - begun
+        meter.cpu_ns += perf_counter_ns() - start_ns
         if due:
             meter.sent.add(len(due), len(data))
             sender.observe_lines(Way.UP, data)
@@ -118,12 +118,12 @@
         """Handle bytes from the allocator."""
         sender = self.sender
         clock, meter = sender.queue.clock, sender.meter
-        begun = perf_counter_ns()
+        start_ns = perf_counter_ns()
         messages = connection.down_lines.feed(data)
         for message in messages:
             assert isinstance(message, Welcome | KeyStatuses | LeaseGrants)
             self.session.received(clock, message)
-        meter.cpu_ns += perf_counter_ns() - begun
+        meter.cpu_ns += perf_counter_ns() - start_ns
         meter.received.add(len(messages), len(data))
         sender.observe_lines(Way.DOWN, data)
         for call in list(self.waiting):
@@ -142,10 +142,10 @@
     def call(self, destination: int, key: str) -> bool:
         """Whether a call may begin now; otherwise it waits."""
         now, clock = self.sender.queue.now, self.sender.queue.clock
-        begun = perf_counter_ns()
+        start_ns = perf_counter_ns()
         wait_ms = self.cache.take(key, clock)
         early = self.cache.reports_early
-        self.sender.meter.cpu_ns += perf_counter_ns() - begun
+        self.sender.meter.cpu_ns += perf_counter_ns() - start_ns
         if early:
             self._schedule_send(now)
         if wait_ms == 0.0:
@@ -161,11 +161,11 @@
             self.sender.queue.at(self.sender.queue.now + POLL_MS, self._retry, call)
 
     def _try(self, call: WaitingCall) -> bool:
-        """Retry a waiting call; whether it has begun or was given up."""
+        """Retry a waiting call; whether it has start_ns or was given up."""
         now, clock = self.sender.queue.now, self.sender.queue.clock
-        begun = perf_counter_ns()
+        start_ns = perf_counter_ns()
         wait_ms = self.cache.take(call.key, clock, waiting=True)
-        self.sender.meter.cpu_ns += perf_counter_ns() - begun
+        self.sender.meter.cpu_ns += perf_counter_ns() - start_ns
         if wait_ms > 0.0:
             self._schedule_send(now)
             if now < call.since + LEASE_WAIT_MS:
