--- a/benchmarks/capacity/allocator.py
+++ b/benchmarks/capacity/allocator.py
@@ -1,4 +1,4 @@
-"""What the allocator costs: a limit, a sender of a limit, a lease, a request, a report, a tick, a joiner."""
+"""Costs of the allocator: limits, sharers of a limit, leases, requests, reports, ticks and joins."""
 
 from __future__ import annotations
 
@@ -11,11 +11,11 @@
 from benchmarks.capacity.measurement import Measurement, Values, resident_bytes
 from springspread.fleet.limits import LimitMode
 
-IN_USE = 100
+LIMITS_IN_USE = 100
 SENDERS = 20
 PER_S = 200
 SECONDS = 4.0
-RATES = (50, 200, 400, 1_000, 2_000, 3_640)  # the last one is a sender's full rate, 20 times
+RATES = (50, 200, 400, 1_000, 2_000, 3_640)  # the last one is the full rate of 20 senders
 EXACT_RATES = (0, 50, 100, 200, 400)
 LIMITS = (1_000, 4_000, 16_000, 64_000, 140_000)
 LOAD_LIMITS = (100, 500, 1_000, 2_000, 5_000, 10_000, 30_000, 140_000)
@@ -23,59 +23,61 @@
 STORM_LIMITS = 5_000
 
 
-def microseconds(work: Callable[[], object], least_s: float = 0.5, least_times: int = 3) -> float:
-    """Processor time of one call of ``work``."""
-    times, begun = 0, time.process_time()
-    while (took := time.process_time() - begun) < least_s or times < least_times:
-        work()
-        times += 1
-    return 1e6 * took / times
+def microseconds(function: Callable[[], object], min_s: float = 0.5, min_calls: int = 3) -> float:
+    """Mean CPU time of a call of ``function`` (us)."""
+    calls, started = 0, time.process_time()
+    while (elapsed := time.process_time() - started) < min_s or calls < min_calls:
+        function()
+        calls += 1
+    return 1e6 * elapsed / calls
 
 
 def memory_by_limits(limits: int) -> Values:
-    """What decisions hold for limits that nobody uses."""
+    """Memory of unused limits."""
     before = resident_bytes()
-    kept = mechanism.Decisions(limits)
-    taken = resident_bytes() - before
-    kept.join()
-    return {"memory_by_limits": taken}
+    decisions = mechanism.Decisions(limits)
+    used_bytes = resident_bytes() - before
+    decisions.join()
+    return {"memory_by_limits": used_bytes}
 
 
 def memory_by_pairs(pairs: int) -> Values:
-    """What it holds for pairs of sender and limit, each with one lease within its span."""
-    allocator = mechanism.allocator_of(IN_USE, mechanism.wide_limit())
+    """Memory of pairs of sender and limit, each with one lease within its span."""
+    allocator = mechanism.make_allocator(LIMITS_IN_USE, mechanism.unreachable_limit())
     before = resident_bytes()
-    leases = mechanism.lease_each(allocator, 1.0, mechanism.owners(pairs // IN_USE), mechanism.keys(IN_USE))
+    leases = mechanism.lease_each(
+        allocator, 1.0, mechanism.owners(pairs // LIMITS_IN_USE), mechanism.keys(LIMITS_IN_USE)
+    )
     count = len(leases)
     del leases
     return {"memory_by_pairs": resident_bytes() - before if count else "no lease was given"}
 
 
 def memory_by_leases(leases: int) -> Values:
-    """What it holds for leases of the same pairs, all within their spans."""
-    allocator = mechanism.allocator_of(IN_USE, mechanism.wide_limit())
-    before, given, who = resident_bytes(), 0, mechanism.owners(10)
-    while given < leases:
-        given += len(mechanism.lease_each(allocator, 1.0, who, mechanism.keys(IN_USE)))
+    """Memory of leases of the same pairs, all within their spans."""
+    allocator = mechanism.make_allocator(LIMITS_IN_USE, mechanism.unreachable_limit())
+    before, granted, owners = resident_bytes(), 0, mechanism.owners(10)
+    while granted < leases:
+        granted += len(mechanism.lease_each(allocator, 1.0, owners, mechanism.keys(LIMITS_IN_USE)))
     return {"memory_by_leases": resident_bytes() - before}
 
 
 def cpu_by_sharers(senders: int) -> Values:
-    """A lease where so many senders share one limit: asked for, given, used up and reported."""
-    allocator = mechanism.allocator_of(1, mechanism.wide_limit())
-    who, moment = mechanism.owners(senders), [0.0]
+    """CPU time of a lease of a limit shared by ``senders``: request, grant, use and report."""
+    allocator = mechanism.make_allocator(1, mechanism.unreachable_limit())
+    owners, now = mechanism.owners(senders), [0.0]
 
-    def round_of_all() -> None:
-        moment[0] += 2_500.0
-        leases = mechanism.lease_each(allocator, moment[0], who, mechanism.keys(1))
-        mechanism.report_all(allocator, moment[0], leases)
+    def lease_round() -> None:
+        now[0] += 2_500.0
+        leases = mechanism.lease_each(allocator, now[0], owners, mechanism.keys(1))
+        mechanism.report_all(allocator, now[0], leases)
 
-    return {"lease_cpu_by_sharers": microseconds(round_of_all) / senders}
+    return {"lease_cpu_by_sharers": microseconds(lease_round) / senders}
 
 
 def cpu_by_limits(limits: int) -> Values:
-    """A tick with the same few limits in use, and a sender that joins, by known limits."""
-    decisions, used = mechanism.Decisions(limits), mechanism.keys(IN_USE)
+    """CPU time of a tick with ``LIMITS_IN_USE``, and of a join, by the number of known limits."""
+    decisions, used = mechanism.Decisions(limits), mechanism.keys(LIMITS_IN_USE)
     line = decisions.join()
     return {
         "tick_cpu_by_limits": microseconds(lambda: decisions.tick(used)),
@@ -86,7 +88,7 @@
 
 
 def request_by_limits(limits: int) -> Values:
-    """The server's processor time for an empty request, by limits that are known."""
+    """The server's CPU time for an empty request, by the number of known limits."""
     requests = max(20, 200_000 // limits)
     try:
         return {"request_cpu_by_limits": 1e6 * mechanism.requests_cpu_s(limits, requests, 0) / requests}
@@ -95,7 +97,7 @@
 
 
 def coding_by_messages(count: int) -> Values:
-    """Bytes and processor time (both sides) of requests, reports and leases, by how many go together."""
+    """Bytes and CPU time (both sides) of requests, reports and leases, by their number in a message."""
     request, report = mechanism.request_line(count), mechanism.report_line(count)
     leases = mechanism.lease_lines(count)
     return {
@@ -111,17 +113,17 @@
 
 
 def server_cpu_by_reports(reports: int) -> Values:
-    """The server's processor time for a request, by the reports in it, at 1,000 limits."""
+    """The server's CPU time for a request by the number of reports in it, at 1,000 limits."""
     return {"request_cpu_by_reports": 1e6 * mechanism.requests_cpu_s(1_000, 100, reports) / 100}
 
 
 def record_by_leases(leases: int) -> Values:
-    """Leases put on record."""
+    """CPU time and bytes of recording leases."""
     with tempfile.TemporaryDirectory() as one, tempfile.TemporaryDirectory() as other:
-        cpu_s = mechanism.append_s(Path(one), leases)
+        cpu_s = mechanism.append_cpu_s(Path(one), leases)
         return {
             "record_cpu_by_leases": 1e6 * cpu_s,
-            "record_bytes_by_leases": float(mechanism.record_of(Path(other), leases)),
+            "record_bytes_by_leases": float(mechanism.write_record(Path(other), leases)),
         }
 
 
@@ -147,32 +149,32 @@
 
 
 def load_by_rate(per_s: int) -> Values:
-    """Twenty senders with the real client, 1,000 limits, by calls a second of all."""
+    """Load of 20 senders with the real client at 1,000 limits, by their total calls per second."""
     return _load("rate", SENDERS, 1_000, per_s)
 
 
 def load_by_limits(limits: int) -> Values:
-    """The same at 200 calls a second, by limits."""
+    """The same at 200 calls per second, by limits."""
     return _load("limits", SENDERS, limits, PER_S)
 
 
 def load_by_senders(senders: int) -> Values:
-    """The same at 200 calls a second of all and 1,000 limits, by senders."""
+    """The same at 200 calls per second in total and 1,000 limits, by senders."""
     return _load("senders", senders, 1_000, PER_S)
 
 
 def exact_load_by_rate(per_s: int) -> Values:
-    """``load_by_rate`` where each limit is exact: a lease a call, as in the program before."""
+    """``load_by_rate`` with exact limits: one lease per call."""
     return _load("exact_rate", SENDERS, 1_000, per_s, LimitMode.EXACT)
 
 
 def exact_load_by_limits(limits: int) -> Values:
-    """``load_by_limits`` where each limit is exact."""
+    """``load_by_limits`` with exact limits."""
     return _load("exact_limits", SENDERS, limits, PER_S, LimitMode.EXACT)
 
 
 def joins_by_senders(joiners: int) -> Values:
-    """Senders that join at once, at 5,000 limits."""
+    """Senders that join simultaneously, at 5,000 limits."""
     found = mechanism.join_at_once(joiners, STORM_LIMITS)
     return {
         "storm_ms_by_senders": found["took_ms"],
@@ -181,7 +183,7 @@
 
 
 def joins_by_limits(limits: int) -> Values:
-    """250 senders that join at once, by limits."""
+    """250 senders that join simultaneously, by limits."""
     found = mechanism.join_at_once(250, limits)
     return {
         "storm_ms_by_limits": found["took_ms"],
--- a/benchmarks/capacity/health.py
+++ b/benchmarks/capacity/health.py
@@ -1,8 +1,8 @@
-"""What senders that learn alone spend on a destination that is down: the decision module in virtual time.
+"""Cost of independent health detection at each sender: the decision module in virtual time.
 
-One destination of one endpoint is down for a while. The traffic of all senders to it together stays the
-same (1.4 events a second, the mean at full size), so the more senders there are, the more rarely each one
-meets it. Every attempt opens a connection, which fails.
+One destination with one endpoint is down for a while. The total traffic to it is constant (1.4 events/s, the
+mean at full size), so the more senders there are, the less often each one calls it. Every attempt opens a
+connection, which fails.
 """
 
 from __future__ import annotations
@@ -17,14 +17,14 @@
 from springspread.policy import Dispatcher
 
 EVENTS_PER_S = 1.4
-WARM_MS, OUTAGE_MS = 60_000.0, 900_000.0
+WARMUP_MS, OUTAGE_MS = 60_000.0, 900_000.0
 ANSWER_MS, REFUSED_MS = 80.0, 3.0
 AIM_MS, DEADLINE_MS = 1_000.0, 8_000.0
 OUTAGES = 6
 
 
 def settings(senders: int) -> i.Settings:
-    """What each sender is told."""
+    """Settings of each sender."""
     return i.Settings(
         (i.ClassSpec("notice", AIM_MS, DEADLINE_MS, 1.0, 0.1, i.Effect.SAFE),),
         (i.KindSpec("any", False, 1),),
@@ -37,55 +37,55 @@
 
 
 def outage(senders: int, seed: int) -> tuple[int, int, float, float]:
-    """Events and attempts in an outage, the part of the senders that met it, and when each did (s, mean).
+    """Events and attempts in an outage, the fraction of senders affected, and the mean time to detection (s).
 
-    One that never meets it counts with the whole outage.
+    Senders that never detect the outage count with its full length.
     """
     rng = Random(f"{senders}/{seed}")
     fleet = [Dispatcher(settings(senders), rng.getrandbits(60)) for _ in range(senders)]
-    end, order, numbers = WARM_MS + OUTAGE_MS, count(), count(1)
+    end, order, numbers = WARMUP_MS + OUTAGE_MS, count(), count(1)
     events: list[tuple[float, int, int, i.Event | None]] = []
-    line = i.Listed(i.ListScope.WHOLE, 1, (i.RouteEntry(1, 0, 0, 1, i.RouteState.READY, 100.0),))
+    listing = i.Listed(i.ListScope.WHOLE, 1, (i.RouteEntry(1, 0, 0, 1, i.RouteState.READY, 100.0),))
     for number in range(senders):
-        heappush(events, (0.0, next(order), number, line))
+        heappush(events, (0.0, next(order), number, listing))
     heappush(events, (1.0, next(order), -1, None))
-    nth: dict[int, int] = {}
-    met: dict[int, float] = {}
+    attempt_numbers: dict[int, int] = {}
+    first_attempt_ms: dict[int, float] = {}
     offered = attempts = 0
     while events and events[0][0] < end:
-        now, _, who, event = heappop(events)
-        down = now >= WARM_MS
-        if who < 0:
-            who = rng.randrange(senders)
+        now, _, sender, event = heappop(events)
+        down = now >= WARMUP_MS
+        if sender < 0:
+            sender = rng.randrange(senders)
             event = i.Taken(next(numbers), 1, 0, now + DEADLINE_MS)
             offered += down
             heappush(events, (now + rng.expovariate(EVENTS_PER_S) * 1_000.0, next(order), -1, None))
-        for action in fleet[who].handle(now, [event] if event is not None else []):
+        for action in fleet[sender].handle(now, [event] if event is not None else []):
             if isinstance(action, i.Wake):
-                heappush(events, (now + action.after_ms, next(order), who, i.Woken(action.token)))
+                heappush(events, (now + action.after_ms, next(order), sender, i.Woken(action.token)))
             elif isinstance(action, i.Send):
-                attempt = nth[action.message] = nth.get(action.message, -1) + 1
+                attempt = attempt_numbers[action.message] = attempt_numbers.get(action.message, -1) + 1
                 attempts += down
                 if down:
-                    met.setdefault(who, now - WARM_MS)
+                    first_attempt_ms.setdefault(sender, now - WARMUP_MS)
                 outcome = i.Outcome.CONNECT_FAILED if down else i.Outcome.SERVED
-                took = REFUSED_MS if down else ANSWER_MS
-                ended = i.Ended(action.message, attempt, action.route, outcome, took, not down)
-                heappush(events, (now + took, next(order), who, ended))
-    known_s = mean(met.get(number, OUTAGE_MS) for number in range(senders)) / 1_000.0
-    return offered, attempts, len(met) / senders, known_s
+                duration_ms = REFUSED_MS if down else ANSWER_MS
+                ended = i.Ended(action.message, attempt, action.route, outcome, duration_ms, not down)
+                heappush(events, (now + duration_ms, next(order), sender, ended))
+    known_s = mean(first_attempt_ms.get(number, OUTAGE_MS) for number in range(senders)) / 1_000.0
+    return offered, attempts, len(first_attempt_ms) / senders, known_s
 
 
 def by_senders(senders: int) -> Values:
-    """Some outages of a destination, by the senders that share its traffic."""
-    found = [outage(senders, seed) for seed in range(OUTAGES)]
+    """Outages of a destination, by the number of senders that share its traffic."""
+    outages = [outage(senders, seed) for seed in range(OUTAGES)]
     length_s = OUTAGE_MS / 1_000.0
     return {
-        "attempts_by_senders": mean(one[1] for one in found) / length_s,
-        "attempts_per_event_by_senders": sum(one[1] for one in found) / sum(one[0] for one in found),
-        "handshakes_by_senders": mean(one[1] for one in found) / length_s,
-        "met_by_senders": mean(one[2] for one in found),
-        "time_to_know_by_senders": mean(one[3] for one in found),
+        "attempts_by_senders": mean(one[1] for one in outages) / length_s,
+        "attempts_per_event_by_senders": sum(one[1] for one in outages) / sum(one[0] for one in outages),
+        "handshakes_by_senders": mean(one[1] for one in outages) / length_s,
+        "met_by_senders": mean(one[2] for one in outages),
+        "time_to_know_by_senders": mean(one[3] for one in outages),
     }
 
 
--- a/benchmarks/capacity/measurement.py
+++ b/benchmarks/capacity/measurement.py
@@ -1,8 +1,8 @@
-"""What a measurement is, and how it runs: each size in a process of its own, bounded in time.
+"""Runs measurements: each size in a separate process with a timeout.
 
     python -m benchmarks.capacity.measurement ROLE NAME SIZE
 
-prints the values of one size as JSON; ``run`` calls that.
+prints the values of one size as JSON; ``run`` calls it.
 """
 
 from __future__ import annotations
@@ -21,12 +21,12 @@
 
 ROLES = ("allocator", "sender", "policy", "membership", "health")
 Values = Mapping[str, float | str]
-"""By quantity: the value, or as a text the reason why there is none."""
+"""By quantity: the value, or the reason why there is none."""
 
 
 @dataclass(frozen=True, slots=True)
 class Measurement:
-    """Quantities that one run at one size gives. ``by`` says what the size counts."""
+    """A set of quantities measured together at one size. ``by`` says what the size counts."""
 
     name: str
     by: str
@@ -39,45 +39,45 @@
 
 def measurements_of(role: str) -> Sequence[Measurement]:
     """The measurements of a role."""
-    found: Sequence[Measurement] = import_module(f"benchmarks.capacity.{role}").MEASUREMENTS
-    return found
+    values: Sequence[Measurement] = import_module(f"benchmarks.capacity.{role}").MEASUREMENTS
+    return values
 
 
 def run(role: str, measurement: Measurement, size: int, commit: str, machine: str, label: str) -> list[Row]:
-    """One size, in a process of its own; what it does not tell is a row that says so."""
-    line = [sys.executable, "-m", "benchmarks.capacity.measurement", role, measurement.name, str(size)]
+    """Measure one size in a separate process; missing values become rows with the reason."""
+    command = [sys.executable, "-m", "benchmarks.capacity.measurement", role, measurement.name, str(size)]
     try:
-        done = subprocess.run(line, capture_output=True, text=True, timeout=measurement.timeout_s)
-        found, reason = _values(done)
+        process = subprocess.run(command, capture_output=True, text=True, timeout=measurement.timeout_s)
+        values, reason = _values(process)
     except subprocess.TimeoutExpired:
-        found, reason = {}, f"not done within {measurement.timeout_s:g} s"
+        values, reason = {}, f"not done within {measurement.timeout_s:g} s"
     rows = []
     for what, unit in measurement.units.items():
-        value = found.get(what, reason or "no value told")
-        kept = NotMeasured(value) if isinstance(value, str) else float(value)
-        rows.append(Row(what, float(size), kept, unit, commit, machine, label))
+        value = values.get(what, reason or "no value told")
+        result = NotMeasured(value) if isinstance(value, str) else float(value)
+        rows.append(Row(what, float(size), result, unit, commit, machine, label))
     return rows
 
 
-def _values(done: subprocess.CompletedProcess[str]) -> tuple[Values, str]:
-    """What a process told, and why it told nothing."""
-    lines = done.stdout.splitlines()
-    if done.returncode == 0 and lines:
-        found: Values = json.loads(lines[-1])
-        return found, ""
-    fault = done.stderr.strip().splitlines()
-    return {}, f"ended with {done.returncode}: {fault[-1][:120] if fault else 'nothing said'}"
+def _values(process: subprocess.CompletedProcess[str]) -> tuple[Values, str]:
+    """The values that a process printed, or the reason why there are none."""
+    lines = process.stdout.splitlines()
+    if process.returncode == 0 and lines:
+        values: Values = json.loads(lines[-1])
+        return values, ""
+    errors = process.stderr.strip().splitlines()
+    return {}, f"ended with {process.returncode}: {errors[-1][:120] if errors else 'nothing said'}"
 
 
 def resident_bytes() -> float:
-    """What this process holds in memory now."""
+    """Resident memory of this process."""
     gc.collect()
     pages = int(Path("/proc/self/statm").read_text().split()[1])
     return float(pages * os.sysconf("SC_PAGE_SIZE"))
 
 
 def status_of(pid: int) -> tuple[float, float]:
-    """A process's processor time (s) and resident memory (bytes)."""
+    """CPU time (s) and resident memory (bytes) of a process."""
     values = Path(f"/proc/{pid}/stat").read_text().rpartition(")")[2].split()
     ticks = int(values[11]) + int(values[12])
     return ticks / os.sysconf("SC_CLK_TCK"), float(int(values[21]) * os.sysconf("SC_PAGE_SIZE"))
@@ -88,7 +88,7 @@
     role, name, size = sys.argv[1:]
     chosen = next(one for one in measurements_of(role) if one.name == name)
     print(json.dumps(dict(chosen.measure(int(size)))), flush=True)
-    os._exit(0)  # threads of servers and clients are not waited for
+    os._exit(0)  # without waiting for threads of servers and clients
 
 
 if __name__ == "__main__":
--- a/benchmarks/capacity/membership.py
+++ b/benchmarks/capacity/membership.py
@@ -1,4 +1,4 @@
-"""What a daemon and its instances cost, how soon a death is found, and what a successor takes."""
+"""Costs of a daemon and its instances, and times to detect a death and to start a successor."""
 
 from __future__ import annotations
 
@@ -21,18 +21,18 @@
 
 IDLE_S = 6.0
 WAIT_S = 40.0
-LOOK_S = 0.02
+POLL_S = 0.02
 
 
 def fleet_by_instances(instances: int) -> Values:
-    """A real daemon with so many idle instances: cost, one instance killed, then the daemon killed."""
+    """A real daemon with idle instances: costs, then one instance is killed, then the daemon."""
     with running_fleet(instances, "[limits.g7]\ncalls = 40\n") as fleet:
-        return fleet.measured(instances)
+        return fleet.measure(instances)
 
 
 @contextmanager
 def running_fleet(instances: int, limits: str) -> Iterator[Fleet]:
-    """A daemon that has just been started; ``limits``: the last part of its file."""
+    """Start a daemon; ``limits`` is the end of its fleet file."""
     from tests.peer import Peer
     from tests.test_config import make
 
@@ -58,60 +58,60 @@
         self._daemon = self._run()
 
     def _run(self) -> subprocess.Popen[bytes]:
-        line = [sys.executable, "-m", "springspread.cli", "fleet", "run", str(self.file)]
-        return subprocess.Popen(line, stderr=subprocess.DEVNULL, stdout=subprocess.DEVNULL)
+        command = [sys.executable, "-m", "springspread.cli", "fleet", "run", str(self.file)]
+        return subprocess.Popen(command, stderr=subprocess.DEVNULL, stdout=subprocess.DEVNULL)
 
     def rows(self) -> list[dict[str, Any]]:
-        """The instances, as the daemon tells them; none where it does not."""
+        """The instances that the daemon reports; empty if it does not answer."""
         try:
-            told: list[dict[str, Any]] = send_order(self._control, {"do": "status"}).get("instances", [])
+            instances: list[dict[str, Any]] = send_order(self._control, {"do": "status"}).get("instances", [])
         except (OSError, ValueError):
             return []
-        return told
+        return instances
 
-    def _until(self, holds: Callable[[], bool]) -> float:
-        """Milliseconds until something holds; raises ``TimeoutError``."""
-        begun = time.monotonic()
-        while not holds():
-            if time.monotonic() > begun + WAIT_S:
-                raise TimeoutError("the fleet did not come so far")
-            time.sleep(LOOK_S)
-        return 1000.0 * (time.monotonic() - begun)
+    def _wait_until(self, condition: Callable[[], bool]) -> float:
+        """Milliseconds until a condition holds; raises ``TimeoutError``."""
+        started = time.monotonic()
+        while not condition():
+            if time.monotonic() > started + WAIT_S:
+                raise TimeoutError("timed out waiting for the fleet")
+            time.sleep(POLL_S)
+        return 1000.0 * (time.monotonic() - started)
 
     def wait_until_all_serve(self, instances: int) -> float:
-        """Milliseconds until all are in the fleet; raises ``TimeoutError``."""
-        return self._until(lambda: self._all_serve(instances))
+        """Milliseconds until all instances are in the fleet; raises ``TimeoutError``."""
+        return self._wait_until(lambda: self._all_serve(instances))
 
     def _all_serve(self, instances: int) -> bool:
         return (
             sum(bool(row["in_fleet"] and row["listen"] and row["policy"]) for row in self.rows()) >= instances
         )
 
-    def measured(self, instances: int) -> Values:
-        """All figures of one size."""
+    def measure(self, instances: int) -> Values:
+        """Measure all quantities at one size."""
         start_ms = self.wait_until_all_serve(instances)
         time.sleep(2.0)
         pids = [int(row["pid"]) for row in self.rows()]
         before = {pid: status_of(pid)[0] for pid in [self._daemon.pid, *pids]}
         time.sleep(IDLE_S)
         after = {pid: status_of(pid) for pid in before}
-        used = {pid: 1000.0 * (after[pid][0] - before[pid]) / IDLE_S for pid in before}
+        cpu_ms = {pid: 1000.0 * (after[pid][0] - before[pid]) / IDLE_S for pid in before}
         victim = self.rows()[0]
         os.kill(int(victim["pid"]), signal.SIGKILL)
-        found_ms = self._until(lambda: self._row(victim["name"])["pid"] != victim["pid"])
-        again_ms = found_ms + self._until(lambda: self._all_serve(instances))
+        detected_ms = self._wait_until(lambda: self._row(victim["name"])["pid"] != victim["pid"])
+        replaced_ms = detected_ms + self._wait_until(lambda: self._all_serve(instances))
         os.kill(self._daemon.pid, signal.SIGKILL)
         self._daemon.wait()
         self._daemon = self._run()
-        successor_ms = self._until(lambda: self._all_serve(instances))
+        successor_ms = self._wait_until(lambda: self._all_serve(instances))
         return {
             "fleet_start_by_instances": start_ms,
-            "daemon_cpu_by_instances": used[self._daemon_before(before)],
-            "daemon_memory_by_instances": after[self._daemon_before(before)][1],
-            "instance_cpu_by_instances": statistics.mean(used[pid] for pid in pids),
+            "daemon_cpu_by_instances": cpu_ms[self._daemon_pid(before)],
+            "daemon_memory_by_instances": after[self._daemon_pid(before)][1],
+            "instance_cpu_by_instances": statistics.mean(cpu_ms[pid] for pid in pids),
             "instance_memory_by_instances": statistics.median(after[pid][1] for pid in pids),
-            "death_found_by_instances": found_ms,
-            "death_replaced_by_instances": again_ms,
+            "death_found_by_instances": detected_ms,
+            "death_replaced_by_instances": replaced_ms,
             "daemon_successor_by_instances": successor_ms,
         }
 
@@ -119,11 +119,11 @@
         return next((row for row in self.rows() if row["name"] == name), {"pid": 0})
 
     @staticmethod
-    def _daemon_before(before: dict[int, float]) -> int:
+    def _daemon_pid(before: dict[int, float]) -> int:
         return next(iter(before))
 
     def close(self) -> None:
-        """End the daemon, which ends its instances."""
+        """Stop the daemon and thereby its instances."""
         self._daemon.terminate()
         try:
             self._daemon.wait(15.0)
@@ -133,31 +133,31 @@
 
 
 def successor_by_leases(leases: int) -> Values:
-    """A server that begins on a record of so many leases, 1,000 limits."""
+    """Start of a server from a record, by its leases, at 1,000 limits."""
     return {"successor_ms_by_leases": _successor_ms(leases, 1_000)}
 
 
 def successor_by_limits(limits: int) -> Values:
-    """A server that begins on a record of 4,000 leases, by its limits."""
+    """Start of a server from a record of 4,000 leases, by limits."""
     return {"successor_ms_by_limits": _successor_ms(4_000, limits)}
 
 
 def full_successor_by_leases(leases: int) -> Values:
-    """A server that begins on a record of so many leases, 140,000 limits; 2.2 s of all events at the most."""
+    """Start of a server from a record of up to 2.2 s of all events, by leases, at 140,000 limits."""
     return {"full_successor_ms_by_leases": _successor_ms(leases, 140_000)}
 
 
 def _successor_ms(leases: int, limits: int) -> float:
     with tempfile.TemporaryDirectory() as name:
         folder = Path(name)
-        mechanism.record_of(folder, leases)
-        begun = time.process_time()
-        with mechanism.serving(limits, folder):
-            return 1000.0 * (time.process_time() - begun)
+        mechanism.write_record(folder, leases)
+        started = time.process_time()
+        with mechanism.running_server(limits, folder):
+            return 1000.0 * (time.process_time() - started)
 
 
 def share_by_sharers(sharers: int) -> Values:
-    """A sender of a contended limit dies: until the others have 0.9 of it in a span (virtual time)."""
+    """Virtual time from a sender's death until the others have 0.9 of its contended limit."""
     return {"share_taken_over_by_sharers": mechanism.share_taken_over_ms(sharers)}
 
 
--- a/benchmarks/capacity/policy.py
+++ b/benchmarks/capacity/policy.py
@@ -1,11 +1,11 @@
-"""What a change of policy costs: bytes, processor time and time to force, by senders, document and change.
+"""Costs of a policy change: bytes, CPU time and time until in force, by senders, document and change.
 
 The daemon's side (allocator server, record, coordinator) runs in the measuring process; the senders' side
 (the real client, which reads and checks each document) in up to ``SENDER_PROCESSES`` others.
 
     python -m benchmarks.capacity.policy SOCKET CONFIGURATION FIRST SENDERS
 
-is one of those: so many senders from a number on; it tells when all of them act under each policy.
+is one of those, with SENDERS senders numbered from FIRST; it reports when all of them act under a policy.
 """
 
 from __future__ import annotations
@@ -20,7 +20,7 @@
 from pathlib import Path
 
 from benchmarks.capacity.measurement import Measurement, Values
-from benchmarks.capacity.mechanism import Traffic, keys, owners
+from benchmarks.capacity.mechanism import SocketTraffic, keys, owners
 from benchmarks.capacity.proposal import PROPOSE
 from benchmarks.capacity.sender import configuration
 from springspread import config
@@ -46,59 +46,59 @@
 HARNESS_BOUND = "the senders share few processes, which took longer than votes may take"
 
 
-class NothingOwed:
-    """A journal that holds nothing."""
+class EmptyJournal:
+    """A journal without messages."""
 
     owed: Mapping[int, object] = {}
 
 
 def change(senders: int, limits: int, changed: int, idle: bool = False) -> dict[str, float | str]:
-    """One change of so many limits, each of which rises by a call; ``idle``: after a few idle seconds."""
-    traffic = Traffic()
+    """Raise ``changed`` limits by one call; ``idle``: measure an idle fleet first."""
+    traffic = SocketTraffic()
     traffic.install()
     log, _ = make_log("capacity", 1)
     with tempfile.TemporaryDirectory() as name:
         folder = Path(name)
         file = configuration(folder, 200)
         settings = json.loads(file.read_text())["settings"]
-        held = dict.fromkeys(keys(limits), LIMIT)
-        changes = PolicyChanges(folder / "policy", Policy(settings, held, MODE), log)
+        limit_by_key = dict.fromkeys(keys(limits), LIMIT)
+        changes = PolicyChanges(folder / "policy", Policy(settings, limit_by_key, MODE), log)
         server = AllocatorServer(
-            folder / "allot", folder, held, log, on_event=changes.received, default_mode=MODE
+            folder / "allot", folder, limit_by_key, log, on_event=changes.received, default_mode=MODE
         )
         changes.begin([], server.send, server.schedule_limits)
         processes = SenderProcesses(folder / "allot", file, senders)
-        asked = processes.asked
+        query = processes.query
         try:
-            if asked(f"policy 1 {JOIN_S}")["at"] < 0.0:
+            if query(f"policy 1 {JOIN_S}")["at"] < 0.0:
                 return {"fault": f"the first policy was not in force at all {senders} within {JOIN_S:g} s"}
             time.sleep(1.0)
-            found = _idle(senders, traffic, asked) if idle else {}
-            new = {**held, **dict.fromkeys(keys(changed), RAISED)}
-            before, cpu, own = traffic.now, time.process_time(), asked("now")
+            found = _idle(senders, traffic, query) if idle else {}
+            new = {**limit_by_key, **dict.fromkeys(keys(changed), RAISED)}
+            before, cpu, senders_before = traffic.now, time.process_time(), query("now")
             proposed_at = SYSTEM.now()
             proposal = changes.propose(Policy(settings, new, MODE))
             proposal.answered.wait(FORCE_S)
             if proposal.fault:
                 return {"fault": f"refused: {proposal.fault[:80]}"}
-            told = asked(f"policy {proposal.number} {FORCE_S}")
-            if told["at"] < 0.0:
+            answer = query(f"policy {proposal.number} {FORCE_S}")
+            if answer["at"] < 0.0:
                 return {"fault": f"not in force everywhere within {FORCE_S:g} s"}
-            after, own_ms = traffic.now, 1000.0 * (told["cpu"] - own["cpu"])
-            late = own_ms / len(processes) > VOTE_MS
+            after, senders_ms = traffic.now, 1000.0 * (answer["cpu"] - senders_before["cpu"])
+            late = senders_ms / len(processes) > VOTE_MS
             return found | {
-                "force_ms": HARNESS_BOUND if late else told["at"] - proposed_at,
+                "force_ms": HARNESS_BOUND if late else answer["at"] - proposed_at,
                 "change_bytes": (after[0] - before[0]) / senders,
                 "change_writes": (after[1] - before[1]) / senders,
                 "change_daemon_cpu": 1000.0 * (time.process_time() - cpu),
-                "change_sender_cpu": own_ms / senders,
+                "change_sender_cpu": senders_ms / senders,
             }
         finally:
             processes.close()
 
 
 class SenderProcesses:
-    """The senders' side, spread evenly over some processes."""
+    """The senders, spread evenly over several processes."""
 
     def __init__(self, path: Path, file: Path, senders: int) -> None:
         count = min(SENDER_PROCESSES, senders)
@@ -121,71 +121,71 @@
     def __len__(self) -> int:
         return len(self._processes)
 
-    def asked(self, order: str) -> dict[str, float]:
-        """What all tell: ``at`` of the last one, negative where one is not there; sums of the rest."""
+    def query(self, order: str) -> dict[str, float]:
+        """Query all processes: ``at`` is the last one's, negative if one timed out; the rest are sums."""
         for process in self._processes:
             assert process.stdin is not None
             process.stdin.write(order + "\n")
             process.stdin.flush()
-        told: list[dict[str, float]] = []
+        answers: list[dict[str, float]] = []
         for process in self._processes:
             assert process.stdout is not None
-            told.append(json.loads(process.stdout.readline()))
-        moments = [one["at"] for one in told]
-        sums = {key: sum(one[key] for one in told) for key in ("cpu", "sent", "writes")}
-        return {**sums, "at": -1.0 if min(moments) < 0.0 else max(moments)}
+            answers.append(json.loads(process.stdout.readline()))
+        times = [one["at"] for one in answers]
+        sums = {key: sum(one[key] for one in answers) for key in ("cpu", "sent", "writes")}
+        return {**sums, "at": -1.0 if min(times) < 0.0 else max(times)}
 
     def close(self) -> None:
-        """End them."""
+        """Kill the processes."""
         for process in self._processes:
             process.kill()
             process.wait()
 
 
-Asked = Callable[[str], dict[str, float]]
-"""Sends an order to the senders' processes; returns what they tell together."""
+Query = Callable[[str], dict[str, float]]
+"""Sends a command to the senders' processes; returns their combined answers."""
 
 
-def _idle(senders: int, traffic: Traffic, asked: Asked) -> dict[str, float | str]:
-    """A few seconds in which nothing happens."""
-    before, cpu, own = traffic.now, time.process_time(), asked("now")
+def _idle(senders: int, traffic: SocketTraffic, query: Query) -> dict[str, float | str]:
+    """Costs per second of an idle fleet."""
+    before, cpu, senders_before = traffic.now, time.process_time(), query("now")
     time.sleep(IDLE_S)
-    after, own_after = traffic.now, asked("now")
+    after, senders_after = traffic.now, query("now")
     return {
         "idle_down_bytes": (after[0] - before[0]) / senders / IDLE_S,
         "idle_down_writes": (after[1] - before[1]) / senders / IDLE_S,
-        "idle_up_bytes": (own_after["sent"] - own["sent"]) / senders / IDLE_S,
-        "idle_up_writes": (own_after["writes"] - own["writes"]) / senders / IDLE_S,
+        "idle_up_bytes": (senders_after["sent"] - senders_before["sent"]) / senders / IDLE_S,
+        "idle_up_writes": (senders_after["writes"] - senders_before["writes"]) / senders / IDLE_S,
         "idle_daemon_cpu": 1000.0 * (time.process_time() - cpu) / IDLE_S,
-        "idle_sender_cpu": 1000.0 * (own_after["cpu"] - own["cpu"]) / senders / IDLE_S,
+        "idle_sender_cpu": 1000.0 * (senders_after["cpu"] - senders_before["cpu"]) / senders / IDLE_S,
     }
 
 
-def _senders(path: Path, file: Path, first: int, count: int) -> None:
-    """Some senders that follow the policy; answers one JSON line to each line of the standard input."""
-    traffic = Traffic()
+def _run_senders(path: Path, file: Path, first: int, count: int) -> None:
+    """Run senders that follow the policy; answer each line of standard input with a line of JSON."""
+    traffic = SocketTraffic()
     traffic.install()
     log, _ = make_log("capacity", 1)
     running = config.read(json.loads(file.read_text()), {})
     shares = [FleetShares(path, name, epoch, log, policy=1) for name, epoch in owners(first + count)[first:]]
     for one in shares:
-        one.follow(lambda text: config_under_policy(running, NothingOwed(), text), lambda news: None)  # type: ignore[arg-type]
+        one.follow(lambda text: config_under_policy(running, EmptyJournal(), text), lambda event: None)  # type: ignore[arg-type]
     for order in sys.stdin:
-        told = {"at": 0.0}
+        answer = {"at": 0.0}
         if order.startswith("policy"):
             number, wait_s = int(order.split()[1]), float(order.split()[2])
-            told["at"] = _reached(shares, number, SYSTEM.now() + 1000.0 * wait_s)
+            answer["at"] = _wait_for_policy(shares, number, SYSTEM.now() + 1000.0 * wait_s)
         sent, writes = traffic.now
-        told |= {"cpu": time.process_time(), "sent": float(sent), "writes": float(writes)}
-        print(json.dumps(told), flush=True)
+        answer |= {"cpu": time.process_time(), "sent": float(sent), "writes": float(writes)}
+        print(json.dumps(answer), flush=True)
 
 
-def _reached(shares: list[FleetShares], number: int, end: float) -> float:
-    """When all act under a policy (ms, the clock that all share); negative: not in time."""
-    left = list(shares)
+def _wait_for_policy(shares: list[FleetShares], number: int, end: float) -> float:
+    """When all act under a policy (ms of the system clock); negative: not in time."""
+    pending = list(shares)
     while SYSTEM.now() < end:
-        left = [one for one in left if one.policy < number or not one.may_begin(one.policy)]
-        if not left:
+        pending = [one for one in pending if one.policy < number or not one.may_begin(one.policy)]
+        if not pending:
             return SYSTEM.now()
         time.sleep(0.005)
     return -1.0
@@ -208,30 +208,30 @@
 }
 
 
-def _named(found: dict[str, float | str], by: str, units: Mapping[str, str]) -> Values:
+def _values(found: dict[str, float | str], by: str, units: Mapping[str, str]) -> Values:
     fault = found.get("fault")
     return {f"{what}_by_{by}": found.get(what, fault or "no value told") for what in units}
 
 
 def by_senders(senders: int) -> Values:
-    """One limit of 100 changes."""
-    return _named(change(senders, LIMITS, 1, idle=True), "senders", CHANGE_UNITS | IDLE_UNITS)
+    """Change one of 100 limits."""
+    return _values(change(senders, LIMITS, 1, idle=True), "senders", CHANGE_UNITS | IDLE_UNITS)
 
 
 def by_limits(limits: int) -> Values:
-    """One limit of so many changes, two senders."""
-    return _named(change(SENDERS, limits, 1), "limits", CHANGE_UNITS)
+    """Change one of ``limits`` limits, with two senders."""
+    return _values(change(SENDERS, limits, 1), "limits", CHANGE_UNITS)
 
 
 def by_change(changed: int) -> Values:
-    """So many limits of 1,000 change, two senders."""
-    return _named(change(SENDERS, 1_000, changed), "change", CHANGE_UNITS)
+    """Change some of 1,000 limits, with two senders."""
+    return _values(change(SENDERS, 1_000, changed), "change", CHANGE_UNITS)
 
 
 def document_bytes(limits: int) -> Values:
-    """The text of a policy."""
-    held = dict.fromkeys(keys(limits), LIMIT)
-    return {"document_bytes_by_limits": float(len(Policy({}, held).text))}
+    """Size of the text of a policy."""
+    limit_by_key = dict.fromkeys(keys(limits), LIMIT)
+    return {"document_bytes_by_limits": float(len(Policy({}, limit_by_key).text))}
 
 
 def _units(by: str, units: Mapping[str, str]) -> dict[str, str]:
@@ -275,4 +275,4 @@
 )
 
 if __name__ == "__main__":
-    _senders(Path(sys.argv[1]), Path(sys.argv[2]), int(sys.argv[3]), int(sys.argv[4]))
+    _run_senders(Path(sys.argv[1]), Path(sys.argv[2]), int(sys.argv[3]), int(sys.argv[4]))
--- a/benchmarks/capacity/proposal.py
+++ b/benchmarks/capacity/proposal.py
@@ -1,4 +1,4 @@
-"""From the command line: what a change of the fleet's file takes until it is in force, by its limits."""
+"""Time until a change of the fleet file is in force, from the command line, by the number of limits."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 def limits_text(limits: int, first_calls: int) -> str:
-    """So many adaptive limits of a fleet's file; the first one has so many calls."""
+    """The adaptive limits of a fleet file; the first one has ``first_calls`` calls."""
     tables = (
         f'[limits.g{number}]\ncalls = {first_calls if number == 0 else 50}\nmode = "adaptive"\n'
         for number in range(limits)
@@ -23,19 +23,19 @@
 
 
 def propose_by_limits(limits: int) -> Values:
-    """One limit of so many rises: the time of the whole command."""
+    """Raise one of the limits; the time of the whole command."""
     with running_fleet(INSTANCES, limits_text(limits, 50)) as fleet:
         fleet.wait_until_all_serve(INSTANCES)
         head = fleet.file.read_text().partition("default_mode")[0]
         fleet.file.write_text(head + limits_text(limits, 60))
-        line = [sys.executable, "-m", "springspread.cli", "fleet", "policy", "propose", str(fleet.file)]
-        begun = time.monotonic()
-        done = subprocess.run(
-            [*line, "--within", f"{WITHIN_S:g}"], capture_output=True, text=True, timeout=2.0 * WITHIN_S
+        command = [sys.executable, "-m", "springspread.cli", "fleet", "policy", "propose", str(fleet.file)]
+        started = time.monotonic()
+        process = subprocess.run(
+            [*command, "--within", f"{WITHIN_S:g}"], capture_output=True, text=True, timeout=2.0 * WITHIN_S
         )
-        took_ms = 1000.0 * (time.monotonic() - begun)
-    if done.returncode:
-        return {"propose_ms_by_limits": f"ended with {done.returncode}: {done.stderr[-100:]}"}
+        took_ms = 1000.0 * (time.monotonic() - started)
+    if process.returncode:
+        return {"propose_ms_by_limits": f"ended with {process.returncode}: {process.stderr[-100:]}"}
     return {"propose_ms_by_limits": took_ms}
 
 
--- a/benchmarks/capacity/sender.py
+++ b/benchmarks/capacity/sender.py
@@ -1,4 +1,4 @@
-"""What a sender costs beside its limits: destinations, owed messages, connections, events, list, policy."""
+"""Costs of a sender apart from limits: destinations, backlog, connections, events, list, policy."""
 
 from __future__ import annotations
 
@@ -36,42 +36,44 @@
 )
 
 
-def listed(count: int) -> Dispatcher:
-    """A decision module that was told so many destinations, of one route each."""
-    made = Dispatcher(SETTINGS, 1)
-    made.handle(0.0, [i.Listed(i.ListScope.WHOLE, 1, tuple(entry(number) for number in range(1, count + 1)))])
-    return made
+def dispatcher_with(count: int) -> Dispatcher:
+    """A decision module with ``count`` destinations of one route each."""
+    dispatcher = Dispatcher(SETTINGS, 1)
+    dispatcher.handle(
+        0.0, [i.Listed(i.ListScope.WHOLE, 1, tuple(entry(number) for number in range(1, count + 1)))]
+    )
+    return dispatcher
 
 
 def entry(number: int) -> i.RouteEntry:
-    """One line of the list."""
+    """One entry of the list."""
     return i.RouteEntry(number, 0, 0, number, i.RouteState.READY, 100.0)
 
 
 class Events:
-    """Feeds messages to a decision module, one after the other."""
+    """Feeds messages to a decision module one by one."""
 
     def __init__(self, module: Dispatcher) -> None:
         self.module, self.now, self._numbers = module, 1_000.0, itertools.count(1)
 
     def send(self, destination: int, outcome: i.Outcome) -> None:
-        """One message to a destination, and how its first attempt ends; then it is withdrawn."""
+        """Send one message and end its first attempt with an outcome; withdraw it unless it was served."""
         self.now += 10.0
         message = next(self._numbers)
         taken = i.Taken(message, destination, 0, self.now + 8_000.0)
-        told = self.module.handle(self.now, [taken])
-        sent = [one for one in told if isinstance(one, i.Send) and one.message == message]
+        actions = self.module.handle(self.now, [taken])
+        sent = [one for one in actions if isinstance(one, i.Send) and one.message == message]
         self.now += ANSWER_MS if outcome is i.Outcome.SERVED else 3.0
-        over = outcome is i.Outcome.SERVED
-        ends = [i.Ended(message, 0, one.route, outcome, 3.0, over) for one in sent]
-        events: list[i.Event] = [*ends, *([] if over and sent else [i.Withdrawn(message)])]
+        served = outcome is i.Outcome.SERVED
+        ends = [i.Ended(message, 0, one.route, outcome, 3.0, served) for one in sent]
+        events: list[i.Event] = [*ends, *([] if served and sent else [i.Withdrawn(message)])]
         self.module.handle(self.now, events)
 
 
 def memory_by_destinations(count: int) -> Values:
-    """The decision module's memory: destinations listed, then used once each, then found down."""
+    """Memory of the decision module: destinations listed, then used once each, then down."""
     before = resident_bytes()
-    module = listed(count)
+    module = dispatcher_with(count)
     after_list = resident_bytes()
     events = Events(module)
     for number in range(1, count + 1):
@@ -87,38 +89,38 @@
 
 
 def cpu_by_destinations(count: int) -> Values:
-    """Processor time of the decision module: the list, a changed line, a policy, an event, an idle look."""
-    begun = time.process_time()
-    module = listed(count)
-    whole = 1e6 * (time.process_time() - begun)
+    """CPU time of the decision module: the list, a changed entry, a policy, an event, an idle step."""
+    started = time.process_time()
+    module = dispatcher_with(count)
+    list_us = 1e6 * (time.process_time() - started)
     events, version = Events(module), itertools.count(2)
 
     def changed_line() -> None:
         events.now += 10.0
-        news = i.Listed(i.ListScope.CHANGES, next(version), (entry(1 + next(version) % count),))
-        module.handle(events.now, [news])
+        update = i.Listed(i.ListScope.CHANGES, next(version), (entry(1 + next(version) % count),))
+        module.handle(events.now, [update])
 
     def policy() -> None:
         events.now += 10.0
         module.handle(events.now, [i.Changed(SETTINGS)])
 
-    def look() -> None:
+    def idle_step() -> None:
         events.now += 10.0
         module.handle(events.now, [])
 
     numbers = itertools.count(0)
     return {
-        "list_cpu_by_destinations": whole,
+        "list_cpu_by_destinations": list_us,
         "line_cpu_by_destinations": microseconds(changed_line),
         "policy_cpu_by_destinations": microseconds(policy),
-        "look_cpu_by_destinations": microseconds(look, 0.2),
+        "look_cpu_by_destinations": microseconds(idle_step, 0.2),
         "event_cpu_by_destinations": microseconds(
             lambda: events.send(1 + next(numbers) * 7919 % count, i.Outcome.SERVED)
         ),
     }
 
 
-LIST = """
+LIST_SCRIPT = """
 import json, sys, time
 from pathlib import Path
 from benchmarks.capacity.measurement import resident_bytes
@@ -129,15 +131,15 @@
 from springspread.core.types import ListUpdate, EndpointState, Member, Scope
 from springspread.logs import make_log
 
-class Nothing:
+class Stub:
     def __getattr__(self, name):
-        return lambda *told: None
+        return lambda *args: None
 
-told = config.read(json.loads(Path(sys.argv[1]).read_text()), {})
+configuration = config.read(json.loads(Path(sys.argv[1]).read_text()), {})
 log, _ = make_log("n0", 10)
-journal = Journal(told.state, 1 << 40)
-sender = Sender(told, journal, Clearance(journal, 500.0), log)
-sender.attach(Nothing(), Nothing(), Nothing())
+journal = Journal(configuration.state, 1 << 40)
+sender = Sender(configuration, journal, Clearance(journal, 500.0), log)
+sender.attach(Stub(), Stub(), Stub())
 before, count = resident_bytes(), int(sys.argv[2])
 begun = time.process_time()
 lines = tuple(
@@ -150,20 +152,20 @@
 
 
 def program_list(count: int) -> Values:
-    """The whole sender's memory and processor time as it takes in a list, names and addresses included."""
+    """Memory and CPU time of a complete sender that receives a list, including names and addresses."""
     with tempfile.TemporaryDirectory() as name:
-        memory, took_ms = json.loads(_script(LIST, configuration(Path(name), 200), str(count)))
+        memory, took_ms = json.loads(_script(LIST_SCRIPT, configuration(Path(name), 200), str(count)))
     return {"program_memory_by_destinations": memory, "program_list_ms_by_destinations": took_ms}
 
 
-def configuration(folder: Path, most_held: int) -> Path:
-    """A sender's configuration in a folder of its own."""
+def configuration(folder: Path, max_held: int) -> Path:
+    """Write a sender's configuration to a folder."""
     from springspread.faults.partner import Outside
 
     outside = Outside()
     (folder / "state").mkdir(exist_ok=True)
     raw = outside.configuration() | {"name": "n0", "listen": "127.0.0.1:0", "state": str(folder / "state")}
-    raw["settings"]["limits"]["mostHeld"] = most_held
+    raw["settings"]["limits"]["mostHeld"] = max_held
     outside.close()
     file = folder / "config.json"
     file.write_text(json.dumps(raw))
@@ -171,22 +173,22 @@
 
 
 def _script(text: str, *args: object) -> str:
-    """The last line that a script prints, run in a process of its own."""
-    line = [sys.executable, "-c", text, *map(str, args)]
-    return subprocess.run(line, capture_output=True, text=True, check=True).stdout.splitlines()[-1]
+    """Run a script in a separate process; returns the last line that it prints."""
+    command = [sys.executable, "-c", text, *map(str, args)]
+    return subprocess.run(command, capture_output=True, text=True, check=True).stdout.splitlines()[-1]
 
 
-FILL = "import sys; from pathlib import Path; from benchmarks.recovery_size import fill"
-FILL += "; print(fill(Path(sys.argv[1]), int(sys.argv[2])))"
+FILL_SCRIPT = "import sys; from pathlib import Path; from benchmarks.recovery_size import fill"
+FILL_SCRIPT += "; print(fill(Path(sys.argv[1]), int(sys.argv[2])))"
 
 
 def start_by_owed(count: int) -> Values:
-    """A start by what is owed: as ``benchmarks.recovery_size``, once."""
+    """A start with a backlog, as in ``benchmarks.recovery_size``."""
     from benchmarks.recovery_size import START
 
     with tempfile.TemporaryDirectory() as name:
         file = configuration(Path(name), count)
-        size = float(_script(FILL, Path(name) / "state", count))
+        size = float(_script(FILL_SCRIPT, Path(name) / "state", count))
         read_s, taken_up_s, memory_mib = json.loads(_script(START, file))
     return {
         "start_ms_by_owed": 1000.0 * (read_s + taken_up_s),
@@ -196,7 +198,7 @@
 
 
 def memory_by_connections(count: int) -> Values:
-    """Kept connections to one listener; what the system holds for them beside the process is not counted."""
+    """Memory of kept connections to one listener, without the kernel's."""
     listener = socket.create_server(("127.0.0.1", 0), backlog=128)
     accepted: list[int] = []
 
@@ -208,13 +210,13 @@
     address = listener.getsockname()[:2]
     warm = Connection(address, clock() + 1_000.0, Limits())
     before = resident_bytes()
-    kept = [Connection(address, clock() + 1_000.0, Limits()) for _ in range(count)]
-    taken = resident_bytes() - before
-    return {"memory_by_connections": taken + 0 * len(kept) + 0 * warm.round_trip_ms}
+    connections = [Connection(address, clock() + 1_000.0, Limits()) for _ in range(count)]
+    used_bytes = resident_bytes() - before
+    return {"memory_by_connections": used_bytes + 0 * len(connections) + 0 * warm.round_trip_ms}
 
 
 def program_by_rate(per_s: int) -> Values:
-    """The real program alone, without a fleet: processor time a second by messages handed in a second."""
+    """CPU time per second of the real program without a fleet, by messages per second."""
     from tests.peer import Peer, Program
 
     peer = Peer()
@@ -224,24 +226,24 @@
             for _ in pool.map(lambda n: program.hand_in(f"warm{n}"), range(20)):
                 pass
             time.sleep(1.0)
-            begun, (cpu, _) = time.monotonic(), status_of(program.process.pid)
-            made: list[Future[int]] = []
-            while (now := time.monotonic()) < begun + PROGRAM_S:
-                while len(made) < per_s * (now - begun):
-                    made.append(pool.submit(program.hand_in, f"m{len(made)}"))
+            started, (cpu, _) = time.monotonic(), status_of(program.process.pid)
+            futures: list[Future[int]] = []
+            while (now := time.monotonic()) < started + PROGRAM_S:
+                while len(futures) < per_s * (now - started):
+                    futures.append(pool.submit(program.hand_in, f"m{len(futures)}"))
                 time.sleep(0.002)
-            taken = sum(one.result() in (200, 202) for one in made)
-            took = time.monotonic() - begun
+            accepted = sum(one.result() in (200, 202) for one in futures)
+            took = time.monotonic() - started
             cpu_after, memory = status_of(program.process.pid)
         finally:
             program.process.kill()
             program.process.wait()
-    told: dict[str, float | str] = {"program_memory_by_rate": memory}
-    if taken < 0.95 * len(made):
-        told["program_cpu_by_rate"] = f"{taken} of {len(made)} were taken on"
+    values: dict[str, float | str] = {"program_memory_by_rate": memory}
+    if accepted < 0.95 * len(futures):
+        values["program_cpu_by_rate"] = f"{accepted} of {len(futures)} were taken on"
     else:
-        told["program_cpu_by_rate"] = 1000.0 * (cpu_after - cpu) / took
-    return told
+        values["program_cpu_by_rate"] = 1000.0 * (cpu_after - cpu) / took
+    return values
 
 
 def _raise_descriptors() -> None:
