--- a/benchmarks/capacity/budgets.py
+++ b/benchmarks/capacity/budgets.py
@@ -1,7 +1,7 @@
 """Costs of each role at the full size, as formulas over the fitted lines, and the budgets they break.
 
-A formula takes the lines of one label and the part of the target at which its driver stands; all else stands
-at the full size. The part at which a budget breaks is where the formula reaches it.
+A formula takes the lines of one label and the fraction of the target size at which its driver stands, with
+all else at full size. The breaking fraction of a budget is where the formula reaches it.
 """
 
 from __future__ import annotations
@@ -14,15 +14,15 @@
 from benchmarks.capacity.rows import NotMeasured
 from benchmarks.capacity.target import TARGET
 
-LEAST_PART, MOST_PART = 1e-6, 1e3
+MIN_FRACTION, MAX_FRACTION = 1e-6, 1e3
 LOAD_SENDERS = 20  # of ``load_by_rate``
 SUCCESSOR_LEASES = 4_000  # of ``membership.successor_by_limits``
-SPAN_S, LEASE_S = 2.0, 0.2  # of a limit that partners tell; of a lease
-LINE_BYTES = 262_144.0  # the longest line that is read, and before also the longest order
-POLICY_BYTES = 16.0 * 2**20  # the longest policy after the change
-TICK_US = 5_000.0  # between two looks of the allocator
-POLICY_LEASE_MS = 5_000.0  # without a daemon for longer, senders call nobody
-MOST_INSTANCES = 1_000.0  # of one daemon
+SPAN_S, LEASE_S = 2.0, 0.2  # of a limit told by a partner; of a lease
+LINE_BYTES = 262_144.0  # maximum line; in the earlier program also the maximum order
+POLICY_BYTES = 16.0 * 2**20  # maximum policy in the later program
+TICK_US = 5_000.0  # tick interval of the allocator
+POLICY_LEASE_MS = 5_000.0  # senders stop calls when out of contact with the daemon for longer
+MAX_INSTANCES = 1_000.0  # per daemon
 CORE_MS = 1_000.0
 
 SETTINGS_ALONE = "limits go to the allocator alone"
@@ -44,7 +44,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Mechanism:
-    """What carries a cost at the full size, or would."""
+    """The mechanism that makes a cost bearable at the full size; ``missing`` if it is not implemented."""
 
     name: str
     missing: bool = True
@@ -65,11 +65,11 @@
 
 @dataclass(frozen=True, slots=True)
 class Cost:
-    """One cost of a role. ``budget`` 0: the target names none; ``bound_after``: a bound of the program that
-    is another one after the change.
+    """One cost of a role. ``budget`` 0: the target sets none; ``bound_after``: the budget of the program
+    ``after`` the change where it differs.
 
-    ``uses`` are the lines it is made of; ``hollow`` is the value of the hollow fleet that stands for it after
-    the change: role, what and statistic.
+    ``uses`` are the lines of its formula; ``hollow`` is the value of the hollow fleet (role, what, statistic)
+    that replaces it after the change.
     """
 
     role: str
@@ -87,28 +87,28 @@
     built: str = ""
 
     def budget_of(self, label: str) -> float:
-        """The budget of a program; 0: none."""
+        """The budget of the program with a label; 0: none."""
         return self.bound_after if label == "after" and self.bound_after else self.budget
 
 
 def full_cost(cost: Cost, lines: Lines) -> float | NotMeasured:
-    """A cost at the full size; a reason where a line of its formula is missing."""
-    lost = [name for name in cost.uses if name not in lines]
-    if lost:
-        return NotMeasured(f"no line of {', '.join(lost)}")
+    """A cost at the full size, or the reason why it is unknown."""
+    missing_lines = [name for name in cost.uses if name not in lines]
+    if missing_lines:
+        return NotMeasured(f"no line of {', '.join(missing_lines)}")
     value = cost.at(lines, 1.0)
     return value if value >= 0.0 else NotMeasured("its line falls, and is below nothing at the full size")
 
 
-def breaking_part(cost: Cost, lines: Lines, label: str = "before") -> float | NotMeasured | None:
-    """The part of the target at which the budget breaks; ``None``: there is no budget; 0: at any size."""
+def breaking_fraction(cost: Cost, lines: Lines, label: str = "before") -> float | NotMeasured | None:
+    """The fraction of the target at which the budget breaks; ``None``: no budget; 0: at any size."""
     budget = cost.budget_of(label)
     if not budget:
         return None
     full = full_cost(cost, lines)
     if isinstance(full, NotMeasured):
         return full
-    low, high = LEAST_PART, MOST_PART
+    low, high = MIN_FRACTION, MAX_FRACTION
     if cost.at(lines, low) > budget:
         return 0.0
     if cost.at(lines, high) <= budget:
@@ -119,107 +119,107 @@
     return low
 
 
-def _of_sender(line: Fit, part: float, shards: float = 1.0) -> float:
-    """A line by the rate of all senders of ``load_by_rate``, for one of them at a part of the full rate.
+def _per_sender(line: Fit, fraction: float, shards: float = 1.0) -> float:
+    """The share of one sender in a line of ``load_by_rate``, at a fraction of the full rate.
 
-    With shards the fixed part is there for each of them. Where the line bends, the lower slope is taken: a
-    steeper one after a bend is that of a process which can do no more, and says little of what a call costs.
+    The fixed part applies to each shard. Where the line bends, the lower slope is used: a steeper one after
+    the bend is that of a saturated process and not the cost of a call.
     """
-    rate = LOAD_SENDERS * TARGET.events_per_sender * part
+    rate = LOAD_SENDERS * TARGET.events_per_sender * fraction
     total = min(line.at(rate), line.fixed + line.slope * rate)
     return (total + (shards - 1.0) * line.fixed) / LOAD_SENDERS
 
 
 def _server_ms(by: str, shards: float = 1.0) -> Callable[[Lines, float], float]:
-    def at(lines: Lines, part: float) -> float:
-        return _of_sender(lines[f"allocator.load_server_ms_by_{by}"], part) * TARGET.senders / shards
+    def at(lines: Lines, fraction: float) -> float:
+        return _per_sender(lines[f"allocator.load_server_ms_by_{by}"], fraction) * TARGET.senders / shards
 
     return at
 
 
 def _load_sender_ms(by: str) -> Callable[[Lines, float], float]:
-    return lambda lines, part: _of_sender(lines[f"allocator.load_sender_ms_by_{by}"], part)
+    return lambda lines, fraction: _per_sender(lines[f"allocator.load_sender_ms_by_{by}"], fraction)
 
 
 def _load_bytes(by: str, shards: float = 1.0) -> Callable[[Lines, float], float]:
-    def at(lines: Lines, part: float) -> float:
-        def told(what: str) -> float:
-            return _of_sender(lines[f"allocator.load_{what}_by_{by}"], part, shards)
+    def at(lines: Lines, fraction: float) -> float:
+        def rate_of(what: str) -> float:
+            return _per_sender(lines[f"allocator.load_{what}_by_{by}"], fraction, shards)
 
-        headers = TARGET.header_bytes * (told("up_writes") + told("down_writes"))
-        return told("up_bytes") + told("down_bytes") + headers
+        headers = TARGET.header_bytes * (rate_of("up_writes") + rate_of("down_writes"))
+        return rate_of("up_bytes") + rate_of("down_bytes") + headers
 
     return at
 
 
-def _all_bytes(lines: Lines, part: float) -> float:
-    return _load_bytes("rate", TARGET.control_machines)(lines, part) + _idle_bytes(lines, part)
+def _all_bytes(lines: Lines, fraction: float) -> float:
+    return _load_bytes("rate", TARGET.control_machines)(lines, fraction) + _idle_bytes(lines, fraction)
 
 
-def _region_bytes(lines: Lines, part: float) -> float:
+def _region_bytes(lines: Lines, fraction: float) -> float:
     away = TARGET.senders * (1.0 - 1.0 / TARGET.regions)
-    return _all_bytes(lines, part) * away
+    return _all_bytes(lines, fraction) * away
 
 
-def _idle_bytes(lines: Lines, part: float) -> float:
-    def of_sender(what: str) -> float:
+def _idle_bytes(lines: Lines, fraction: float) -> float:
+    def idle_rate(what: str) -> float:
         return lines[f"policy.idle_{what}_by_senders"].fixed
 
-    payload = of_sender("up_bytes") + of_sender("down_bytes")
-    return payload + TARGET.header_bytes * (of_sender("up_writes") + of_sender("down_writes"))
+    payload = idle_rate("up_bytes") + idle_rate("down_bytes")
+    return payload + TARGET.header_bytes * (idle_rate("up_writes") + idle_rate("down_writes"))
 
 
-def _list_memory(lines: Lines, part: float) -> float:
-    count = TARGET.destinations * part
+def _list_memory(lines: Lines, fraction: float) -> float:
+    count = TARGET.destinations * fraction
     listed = lines["sender.memory_listed_by_destinations"].at(count)
     used = lines["sender.memory_used_by_destinations"].at(count)
     down = lines["sender.memory_down_by_destinations"].at(count)
-    whole = lines["sender.program_memory_by_destinations"].at(count)
-    return whole + (used - listed) + TARGET.down_share * (down - used)
+    program = lines["sender.program_memory_by_destinations"].at(count)
+    return program + (used - listed) + TARGET.down_share * (down - used)
 
 
-def _allocator_memory(lines: Lines, part: float) -> float:
+def _allocator_memory(lines: Lines, fraction: float) -> float:
     leases = TARGET.events_per_s * (SPAN_S + LEASE_S)
-    limits = lines["allocator.memory_by_limits"].at(TARGET.destinations * part)
-    return limits + lines["allocator.memory_by_pairs"].at(leases * part)
+    limits = lines["allocator.memory_by_limits"].at(TARGET.destinations * fraction)
+    return limits + lines["allocator.memory_by_pairs"].at(leases * fraction)
 
 
-def _attempts_per_s(lines: Lines, part: float) -> float:
-    """Attempts of all senders on what is down: every event makes one at least."""
-    each = max(lines["health.attempts_per_event_by_senders"].at(TARGET.senders), 1.0)
-    return each * TARGET.events_per_destination * TARGET.down * part
+def _attempts_per_s(lines: Lines, fraction: float) -> float:
+    """Attempts of all senders at destinations that are down; at least one per event."""
+    attempts_per_event = max(lines["health.attempts_per_event_by_senders"].at(TARGET.senders), 1.0)
+    return attempts_per_event * TARGET.events_per_destination * TARGET.down * fraction
 
 
-def _health_ms(lines: Lines, part: float) -> float:
+def _health_ms(lines: Lines, fraction: float) -> float:
     event_ms = lines["sender.program_cpu_by_rate"].slope
-    return _attempts_per_s(lines, part) * event_ms / TARGET.senders
+    return _attempts_per_s(lines, fraction) * event_ms / TARGET.senders
 
 
-def _daemon_ms(lines: Lines, part: float) -> float:
-    """As if what goes with the limits did not go with the senders too."""
-    by_limits = lines["policy.change_daemon_cpu_by_limits"].at(TARGET.destinations * part)
+def _daemon_ms(lines: Lines, fraction: float) -> float:
+    """A lower bound: treats the costs by limits and by senders as independent."""
+    by_limits = lines["policy.change_daemon_cpu_by_limits"].at(TARGET.destinations * fraction)
     by_senders = lines["policy.change_daemon_cpu_by_senders"].slope * TARGET.senders
     return (by_limits + by_senders) * TARGET.changes_per_s
 
 
-def _one_host_ms(lines: Lines, part: float) -> float:
+def _one_host_ms(lines: Lines, fraction: float) -> float:
     line = lines["sender.program_cpu_by_rate"]
-    return line.at(TARGET.events_per_sender) * TARGET.senders * part
+    return line.at(TARGET.events_per_sender) * TARGET.senders * fraction
 
 
-def _successor_ms(lines: Lines, part: float) -> float:
-    """At all limits where that was measured; else as if each lease is held against each limit."""
+def _successor_ms(lines: Lines, fraction: float) -> float:
+    """From the measurement with all limits if there is one; else cost grows with limits times leases."""
     leases = TARGET.events_per_s * (SPAN_S + LEASE_S)
-    whole = lines.get("membership.full_successor_ms_by_leases")
-    if whole is not None:
-        return whole.at(leases * part)
+    full_line = lines.get("membership.full_successor_ms_by_leases")
+    if full_line is not None:
+        return full_line.at(leases * fraction)
     line = lines["membership.successor_ms_by_limits"]
-    return line.fixed + line.slope * TARGET.destinations * part * leases / SUCCESSOR_LEASES
+    return line.fixed + line.slope * TARGET.destinations * fraction * leases / SUCCESSOR_LEASES
 
 
 def _at(name: str, size: float, times: float = 1.0) -> Callable[[Lines, float], float]:
-    """A line at a part of a size, times a constant."""
-    return lambda lines, part: times * lines[name].at(size * part)
+    """A line at a fraction of a size, times a constant."""
+    return lambda lines, fraction: times * lines[name].at(size * fraction)
 
 
 def _load_lines(by: str) -> tuple[str, ...]:
@@ -276,7 +276,8 @@
     Cost(
         "sender", "memory", "control state: leases, statuses, sessions", "events a second and sender",
         "as the hollow fleet has it", ("hollow.control_state",),
-        lambda lines, part: lines["hollow.control_state"].at(part), "B", PRESENT, TARGET.control_memory_bytes,
+        lambda lines, fraction: lines["hollow.control_state"].at(fraction), "B", PRESENT,
+        TARGET.control_memory_bytes,
         ("sender", "memory of control state", "most"),
     ),
     Cost(
@@ -320,7 +321,7 @@
         "allocator", "time", "calls held up by control, 200 a second of 20 senders", "destinations",
         "fixed + slope x limits", ("allocator.load_held_by_limits",),
         _at("allocator.load_held_by_limits", TARGET.destinations), "of calls", CHANGE_AND_CONTENTION,
-        TARGET.held_share, ("fleet", "calls held up", "part of all"),
+        TARGET.held_up_share, ("fleet", "calls held up", "part of all"),
     ),
     Cost(
         "allocator", "time", "250 senders that join at once", "destinations", "fixed + slope x limits",
@@ -340,7 +341,8 @@
     Cost(
         "allocator", "state", "leases on record, written a second", "events a second",
         "slope x events", ("allocator.record_bytes_by_leases",),
-        lambda lines, part: lines["allocator.record_bytes_by_leases"].slope * TARGET.events_per_s * part,
+        lambda lines, fraction: lines["allocator.record_bytes_by_leases"].slope
+        * TARGET.events_per_s * fraction,
         "B/s", CHANGE_AND_CONTENTION,
     ),
     Cost(
@@ -417,17 +419,17 @@
     Cost(
         "journal and backlog", "time", "a start, until what is owed is taken up", "owed messages a sender",
         "fixed + slope x owed", ("sender.start_ms_by_owed",),
-        _at("sender.start_ms_by_owed", TARGET.owed_per_sender), "ms", BACKLOG_ON_DISK, TARGET.ready_ms,
+        _at("sender.start_ms_by_owed", TARGET.backlog_per_sender), "ms", BACKLOG_ON_DISK, TARGET.ready_ms,
     ),
     Cost(
         "journal and backlog", "memory", "what is owed", "owed messages a sender", "fixed + slope x owed",
-        ("sender.start_memory_by_owed",), _at("sender.start_memory_by_owed", TARGET.owed_per_sender), "B",
+        ("sender.start_memory_by_owed",), _at("sender.start_memory_by_owed", TARGET.backlog_per_sender), "B",
         BACKLOG_ON_DISK, TARGET.control_memory_bytes,
     ),
     Cost(
         "journal and backlog", "state", "the journal's files", "owed messages a sender",
         "fixed + slope x owed", ("sender.journal_bytes_by_owed",),
-        _at("sender.journal_bytes_by_owed", TARGET.owed_per_sender), "B", PRESENT,
+        _at("sender.journal_bytes_by_owed", TARGET.backlog_per_sender), "B", PRESENT,
     ),
     Cost(
         "membership and restarts", "processor time", "all senders on the daemon's one host, 8 cores",
@@ -446,7 +448,7 @@
     ),
     Cost(
         "membership and restarts", "state", "instances of one daemon", "senders", "bound of the program", (),
-        lambda lines, part: TARGET.senders * part, "instances", PRESENT, MOST_INSTANCES,
+        lambda lines, fraction: TARGET.senders * fraction, "instances", PRESENT, MAX_INSTANCES,
     ),
     Cost(
         "membership and restarts", "time", "until a death is found", "senders", "fixed + slope x instances",
@@ -468,7 +470,7 @@
     Cost(
         "membership and restarts", "time", "until a dead sender's share is used elsewhere, at two sharers",
         "nothing", "fixed + slope x 2", ("membership.share_taken_over_by_sharers",),
-        lambda lines, part: lines["membership.share_taken_over_by_sharers"].at(2.0), "ms", PRESENT,
+        lambda lines, fraction: lines["membership.share_taken_over_by_sharers"].at(2.0), "ms", PRESENT,
         TARGET.force_ms,
     ),
     Cost(
--- a/benchmarks/capacity/fit.py
+++ b/benchmarks/capacity/fit.py
@@ -1,8 +1,8 @@
-"""Lines through measurements: slope, fixed part and residual, and a bend where one line does not do.
+"""Fits lines to measurements: slope, fixed part and residual, and a bend if one line is not enough.
 
-Residuals are relative to the values, so that small sizes count as much as large ones. A bend is told where
-two joined lines leave less than half the residual of one line, and that one's residual exceeds
-``STRAIGHT``.
+Residuals are relative to the values, so that small sizes count as much as large ones. A bend is reported if
+the residual of a straight line exceeds ``MAX_STRAIGHT_RESIDUAL`` and two joined lines have less than
+``BEND_GAIN`` of it.
 """
 
 from __future__ import annotations
@@ -18,19 +18,19 @@
 
 from benchmarks.capacity.rows import NotMeasured, Row
 
-STRAIGHT = 0.10  # a relative residual up to this is a straight line's
+MAX_STRAIGHT_RESIDUAL = 0.10  # relative
 BEND_GAIN = 0.5
-LEAST_SIZES = 4  # a slope is told from so many sizes on
-LEAST_SIZES_OF_BEND = 5
-LEAST_SLOPE_CHANGE = 0.25  # relative; slopes that differ by less are no bend
-SMALLEST_WEIGHT = 0.02  # of the largest value: smaller values are not weighted any more
+MIN_SIZES = 4  # for a slope
+MIN_SIZES_FOR_BEND = 5
+MIN_SLOPE_CHANGE = 0.25  # relative
+MIN_RELATIVE_VALUE = 0.02  # of the largest value; smaller values get no more weight
 
 
 @dataclass(frozen=True, slots=True)
 class Fit:
-    """``value = fixed + slope * size`` up to ``bend`` (0: none), with ``slope_after`` from there on.
+    """``value = fixed + slope * size`` up to ``bend`` (0: none), with ``slope_after`` beyond it.
 
-    ``residual`` is the root of the mean square of the relative errors.
+    ``residual`` is the root mean square of the relative errors.
     """
 
     role: str
@@ -47,7 +47,7 @@
     largest: float
 
     def at(self, size: float) -> float:
-        """The value at a size, from the line; one that falls is not followed beyond the sizes measured."""
+        """The value at a size; a falling line is not extrapolated."""
         if self.slope_after < 0.0:
             size = min(size, self.largest)
         if not self.bend or size <= self.bend:
@@ -66,30 +66,30 @@
         raise ValueError("a line needs two sizes")
     (fixed, slope), residual = _solve([np.ones_like(sizes), sizes], values)
     interior = sorted(set(sizes.tolist()))[1:-1]
-    if residual <= STRAIGHT or len(interior) + 2 < LEAST_SIZES_OF_BEND:
+    if residual <= MAX_STRAIGHT_RESIDUAL or len(interior) + 2 < MIN_SIZES_FOR_BEND:
         return slope, fixed, residual, 0.0, slope
     bent = [
         (*_solve([np.ones_like(sizes), sizes, np.maximum(sizes - bend, 0.0)], values), bend)
         for bend in interior
     ]
     (bent_fixed, bent_slope, change), bent_residual, bend = min(bent, key=lambda one: one[1])
-    small = abs(change) < LEAST_SLOPE_CHANGE * max(abs(bent_slope), abs(bent_slope + change))
+    small = abs(change) < MIN_SLOPE_CHANGE * max(abs(bent_slope), abs(bent_slope + change))
     if bent_residual > BEND_GAIN * residual or small:
         return slope, fixed, residual, 0.0, slope
     return bent_slope, bent_fixed, bent_residual, bend, bent_slope + change
 
 
 def _solve(columns: Sequence[np.ndarray], values: np.ndarray) -> tuple[tuple[float, ...], float]:
-    """Least squares of relative errors."""
-    floor = max(SMALLEST_WEIGHT * float(np.abs(values).max()), 1e-12)
+    """Least squares of the relative errors."""
+    floor = max(MIN_RELATIVE_VALUE * float(np.abs(values).max()), 1e-12)
     weights = 1.0 / np.maximum(np.abs(values), floor)
-    found = lsq_linear(np.stack(columns, axis=1) * weights[:, None], values * weights).x
-    errors = (np.stack(columns, axis=1) @ found - values) * weights
-    return tuple(float(one) for one in found), sqrt(float(np.mean(errors**2)))
+    solution = lsq_linear(np.stack(columns, axis=1) * weights[:, None], values * weights).x
+    errors = (np.stack(columns, axis=1) @ solution - values) * weights
+    return tuple(float(one) for one in solution), sqrt(float(np.mean(errors**2)))
 
 
 def fit_rows(role: str, rows: Iterable[Row]) -> list[Fit]:
-    """A line for each quantity and label that was measured at enough sizes."""
+    """A line for each quantity and label with at least ``MIN_SIZES`` sizes."""
     grouped: dict[tuple[str, str], list[Row]] = {}
     for row in rows:
         grouped.setdefault((row.what, row.label), []).append(row)
@@ -97,7 +97,7 @@
     for (what, label), group in grouped.items():
         points = [(row.size, row.value) for row in group if not isinstance(row.value, NotMeasured)]
         sizes = {size for size, _ in points}
-        if len(sizes) < LEAST_SIZES:
+        if len(sizes) < MIN_SIZES:
             continue
         slope, fixed, residual, bend, after = fit_line(points)
         fits.append(
@@ -120,7 +120,7 @@
 
 
 def write_fits(path: Path, fits: Iterable[Fit]) -> None:
-    """Write the table of all lines anew."""
+    """Write the table of lines."""
     columns = [item.name for item in fields(Fit)]
     with path.open("w", newline="") as target:
         writer = csv.writer(target, lineterminator="\n")
@@ -131,7 +131,7 @@
 
 
 def read_fits(path: Path) -> list[Fit]:
-    """The lines of a table; none where there is no file."""
+    """Read a table of lines; empty if there is no file."""
     if not path.exists():
         return []
     with path.open(newline="") as source:
--- a/benchmarks/capacity/page.py
+++ b/benchmarks/capacity/page.py
@@ -1,7 +1,7 @@
-"""The tables of ``docs/CAPACITY.md``, out of the rows and lines of ``docs/data/capacity``.
+"""Generates the tables of ``docs/CAPACITY.md`` from the rows of ``docs/data/capacity``.
 
-A table stands between ``<!-- table NAME -->`` and ``<!-- end of table -->``; all else of the page is written
-by hand and left as it is.
+Only text between ``<!-- table NAME -->`` and ``<!-- end of table -->`` is replaced; the rest of the page is
+written by hand.
 """
 
 from __future__ import annotations
@@ -23,27 +23,27 @@
 TABLE = re.compile(r"(<!-- table (?P<name>[a-z0-9-]+) -->\n).*?(<!-- end of table -->)", re.DOTALL)
 LABELS = ("before", "after")
 LINK = "data/capacity"
-NOTHING = 1e-9  # what a fit leaves of a zero
+ZERO_TOLERANCE = 1e-9  # smaller values are rounding errors of a fit
 FULL_RUN = f"virtual calm {TARGET.senders}/{TARGET.destinations}/{TARGET.events_per_s:g} "
 HOLLOW_UNITS = {"% of a core": 10.0, "MB": 1e6, "B/s": 1.0, "1": 1.0}
-"""The hollow fleet's units in those of the costs: ms/s, B, B/s, a part."""
+"""Factors from the hollow fleet's units to those of the costs."""
 Value = float | NotMeasured | None
 
 
 class UnknownTable(Exception):
-    """A marker of the page names no table; the text says which."""
+    """A marker of the page names an unknown table."""
 
 
 @dataclass(frozen=True, slots=True)
 class Figures:
-    """All that the page is made of. ``hollow``: rows of the hollow fleet as they stand in their table."""
+    """Input of the page. ``hollow``: rows of the hollow fleet's table."""
 
     rows: Mapping[str, Sequence[Row]]
     lines: Mapping[str, Lines]
     hollow: Sequence[Mapping[str, str]]
 
     def hollow_value(self, key: tuple[str, str, str] | None) -> float | None:
-        """The last value of the hollow fleet's calm day at full size; ``None`` where there is none."""
+        """The last value of the hollow fleet's calm run at full size; ``None``: there is none."""
         found = [
             row
             for row in self.hollow
@@ -55,7 +55,7 @@
 
 
 def read_figures(folder: Path) -> Figures:
-    """Read the tables of a folder. The lines are fitted anew, so that they are those of the rows."""
+    """Read the tables of a folder and fit lines to the rows."""
     rows = {role: read_rows(folder / f"{role}.csv") for role in ROLES}
     lines: dict[str, dict[str, Fit]] = {label: {} for label in LABELS}
     for role, found in rows.items():
@@ -63,15 +63,15 @@
             lines[fit.label][f"{role}.{fit.what}"] = fit
     lines["before"] |= _exact_alone(lines["before"])
     hollow = folder / "hollow.csv"
-    told: list[dict[str, str]] = []
+    hollow_rows: list[dict[str, str]] = []
     if hollow.exists():
         with hollow.open(newline="") as source:
-            told = list(csv.DictReader(source))
-    return Figures(rows, lines, told)
+            hollow_rows = list(csv.DictReader(source))
+    return Figures(rows, lines, hollow_rows)
 
 
 def _exact_alone(lines: Lines) -> dict[str, Fit]:
-    """The lines of loads under exact limits: the program before had no others."""
+    """Lines under exact limits: the earlier program had no other limits."""
     return {
         name.replace("_by_", "_by_exact_"): fit
         for name, fit in lines.items()
@@ -80,30 +80,30 @@
 
 
 def with_tables(page: str, figures: Figures) -> str:
-    """The page with its tables as the figures have them. Raises ``UnknownTable``."""
+    """The page with its tables replaced. Raises ``UnknownTable``."""
 
-    def fill(match: re.Match[str]) -> str:
+    def render(match: re.Match[str]) -> str:
         name = match["name"]
         if name not in TABLES:
-            raise UnknownTable(f"{name}; there are {', '.join(TABLES)}")
+            raise UnknownTable(f"{name}; known tables: {', '.join(TABLES)}")
         return f"{match[1]}{TABLES[name](figures)}\n{match[3]}"
 
-    return TABLE.sub(fill, page)
+    return TABLE.sub(render, page)
 
 
 # Values as text
 
 
 def number(value: float) -> str:
-    """Three digits, thousands apart."""
+    """Three significant digits, with thousands separators."""
     if value in (inf, -inf):
         return "any"
-    rounded = float(f"{value:.3g}") if abs(value) > NOTHING else 0.0
+    rounded = float(f"{value:.3g}") if abs(value) > ZERO_TOLERANCE else 0.0
     return f"{rounded:,.0f}" if abs(rounded) >= 1_000.0 else f"{rounded:.3g}"
 
 
 def amount(value: float, unit: str) -> str:
-    """A value in a unit that suits its size."""
+    """A value with a scaled unit."""
     for start, scale, name in SCALES:
         if unit.startswith(start) and abs(value) >= scale:
             return f"{number(value / scale)} {name}{unit.removeprefix(start)}"
@@ -120,15 +120,15 @@
 )
 
 
-def told(value: Value, unit: str) -> str:
-    """A cost as a cell."""
+def cost_text(value: Value, unit: str) -> str:
+    """A cost as a table cell."""
     if value is None:
         return "-"
     return NOT_MEASURED if isinstance(value, NotMeasured) else amount(value, unit)
 
 
-def part(value: Value) -> str:
-    """A part of the target as a cell."""
+def fraction_text(value: Value) -> str:
+    """A fraction of the target as a table cell."""
     if value is None:
         return "-"
     if isinstance(value, NotMeasured):
@@ -139,26 +139,26 @@
 
 
 def table(head: Sequence[str], rows: Iterable[Sequence[str]]) -> str:
-    """A table in Markdown."""
+    """A Markdown table."""
     lines = [f"| {' | '.join(head)} |", f"| {' | '.join('---' for _ in head)} |"]
     return "\n".join(lines + [f"| {' | '.join(row)} |" for row in rows])
 
 
-# Costs and parts
+# Costs and fractions
 
 
 def cost_of(cost: Cost, figures: Figures, label: str) -> Value:
-    """A cost at the full size: after the change as the hollow fleet has it, where that told it."""
-    seen = figures.hollow_value(cost.hollow) if label == "after" else None
-    return seen if seen is not None else budgets.full_cost(cost, figures.lines[label])
+    """A cost at the full size; after the change the hollow fleet's value if there is one."""
+    hollow = figures.hollow_value(cost.hollow) if label == "after" else None
+    return hollow if hollow is not None else budgets.full_cost(cost, figures.lines[label])
 
 
-def part_of(cost: Cost, figures: Figures, label: str) -> Value:
-    """The part of the target at which a budget breaks; of the hollow fleet's value, in proportion."""
-    seen = figures.hollow_value(cost.hollow) if label == "after" else None
-    if seen is not None and cost.budget:
-        return cost.budget_of(label) / seen if seen > 0.0 else inf
-    return budgets.breaking_part(cost, figures.lines[label], label)
+def breaking_point(cost: Cost, figures: Figures, label: str) -> Value:
+    """The fraction of the target at which a budget breaks; proportional for a value of the hollow fleet."""
+    hollow = figures.hollow_value(cost.hollow) if label == "after" else None
+    if hollow is not None and cost.budget:
+        return cost.budget_of(label) / hollow if hollow > 0.0 else inf
+    return budgets.breaking_fraction(cost, figures.lines[label], label)
 
 
 def _order(value: Value) -> float:
@@ -166,7 +166,7 @@
 
 
 def carried_by(cost: Cost, before: Value, after: Value) -> str:
-    """The mechanism that carries a cost, or the one that is missing."""
+    """The mechanism that makes a cost bearable, or the one that is missing."""
     if isinstance(before, float) and before >= 1.0:
         return "as it is"
     if cost.mechanism.this_round and isinstance(after, float):
@@ -182,7 +182,7 @@
 
 
 def target_table(figures: Figures) -> str:
-    """What follows from the target by division."""
+    """Figures derived from the target."""
     rows = [
         ("events a second and sender", amount(TARGET.events_per_sender, "")),
         ("control bytes an event", amount(TARGET.bytes_per_event, "B")),
@@ -190,59 +190,69 @@
         ("all control machines' time an event", amount(TARGET.machines_us_per_event, "us")),
         ("events a second and destination", amount(TARGET.events_per_destination, "")),
         ("destinations down", amount(TARGET.down, "")),
-        ("owed messages a sender", amount(TARGET.owed_per_sender, "")),
+        ("owed messages a sender", amount(TARGET.backlog_per_sender, "")),
         ("between two changes of configuration", amount(1.0 / TARGET.changes_per_s, "s")),
     ]
     return table(("what", "at full size"), rows)
 
 
 def fractions_table(figures: Figures) -> str:
-    """All budgets, the first to break on top."""
-    found = [(cost, part_of(cost, figures, "before"), part_of(cost, figures, "after")) for cost in COSTS]
+    """All budgets, the first to break at the top."""
+    found = [
+        (cost, breaking_point(cost, figures, "before"), breaking_point(cost, figures, "after"))
+        for cost in COSTS
+    ]
     found = [one for one in found if one[1] is not None]
     found.sort(key=lambda one: _order(one[1]))
     rows = [
-        (cost.role, cost.what, cost.driver, amount(cost.budget, cost.unit), part(before), part(after),
-         carried_by(cost, before, after))
+        (cost.role, cost.what, cost.driver, amount(cost.budget, cost.unit),
+         fraction_text(before), fraction_text(after), carried_by(cost, before, after))
         for cost, before, after in found
     ]  # fmt: skip
     return table(("role", "budget of", "driver", "budget", "before", "after", "carried by"), rows)
 
 
 def first_table(figures: Figures) -> str:
-    """The budget that breaks first, of each program; what is exact for all is not what anybody would run."""
+    """The budget of each program that breaks first; costs with all limits exact are left out."""
     rows = []
     for label in LABELS:
-        found = [(one, part_of(one, figures, label)) for one in COSTS if one.mechanism is not budgets.EXACT]
+        found = [
+            (one, breaking_point(one, figures, label)) for one in COSTS if one.mechanism is not budgets.EXACT
+        ]
         known = [(cost, at) for cost, at in found if isinstance(at, float)]
-        if label == "after" and any(_awaited(cost, figures) for cost in COSTS):
+        if label == "after" and any(_awaits_measurement(cost, figures) for cost in COSTS):
             rows.append((label, NOT_MEASURED, "-", "-"))
             continue
         cost, at = min(known, key=lambda one: one[1])
-        rows.append((label, f"{cost.role}: {cost.what}", part(at), cost.mechanism.name))
+        rows.append((label, f"{cost.role}: {cost.what}", fraction_text(at), cost.mechanism.name))
     return table(("program", "budget that breaks first", "at", "mechanism that is missing"), rows)
 
 
-def _awaited(cost: Cost, figures: Figures) -> bool:
-    """Whether a part is known of the program before alone."""
-    before, after = (part_of(cost, figures, label) for label in LABELS)
+def _awaits_measurement(cost: Cost, figures: Figures) -> bool:
+    """Whether a fraction is known for the earlier program only."""
+    before, after = (breaking_point(cost, figures, label) for label in LABELS)
     return isinstance(before, float) and isinstance(after, NotMeasured)
 
 
 def later_table(figures: Figures) -> str:
-    """The mechanisms that are missing and not of this round, with the smallest part that waits for each."""
+    """Mechanisms planned for later, with the smallest breaking fraction of the costs that need each."""
     rows = []
     for mechanism in LATER:
         row = [mechanism.name]
         for label in LABELS:
-            waits = [(cost, part_of(cost, figures, label)) for cost in COSTS if cost.mechanism is mechanism]
-            waits = [(cost, at) for cost, at in waits if at is not None]
-            cost, at = min(waits, key=lambda one: _order(one[1]))
-            row += [f"{cost.role}: {cost.what}", part(at)]
+            costs = [
+                (cost, breaking_point(cost, figures, label)) for cost in COSTS if cost.mechanism is mechanism
+            ]
+            costs = [(cost, at) for cost, at in costs if at is not None]
+            cost, at = min(costs, key=lambda one: _order(one[1]))
+            row += [f"{cost.role}: {cost.what}", fraction_text(at)]
         rows.append(row)
     name = "allocator.load_server_ms_by_rate"
     alone = next(one for one in COSTS if one.uses == (name,) and one.hollow is None)
-    cells = [(f"{alone.role}: {alone.what}", part(part_of(alone, figures, label))) for label in LABELS]
+    cells = [
+        (f"{alone.role}: {alone.what}", fraction_text(breaking_point(alone, figures, label)))
+        for label in LABELS
+    ]
     rows.append([budgets.SHARDS.name, *cells[0], *cells[1]])
     head = ("mechanism", "what waits for it first, before", "breaks at", "after", "breaks at")
     return table(head, rows)
@@ -259,24 +269,24 @@
 
 
 def role_table(role: str) -> Callable[[Figures], str]:
-    """What a role costs at the full size."""
+    """The costs of a role at the full size."""
 
-    def made(figures: Figures) -> str:
+    def render_role(figures: Figures) -> str:
         rows = []
         for cost in COSTS:
             if cost.role != role:
                 continue
             before, after = (cost_of(cost, figures, label) for label in LABELS)
-            parts = [part_of(cost, figures, label) for label in LABELS]
+            points = [breaking_point(cost, figures, label) for label in LABELS]
             rows.append(
-                (cost.kind, cost.what, _formula(cost, figures), told(before, cost.unit),
-                 told(after, cost.unit), amount(cost.budget, cost.unit) if cost.budget else "none",
-                 *map(part, parts), carried_by(cost, *parts))
+                (cost.kind, cost.what, _formula(cost, figures), cost_text(before, cost.unit),
+                 cost_text(after, cost.unit), amount(cost.budget, cost.unit) if cost.budget else "none",
+                 *map(fraction_text, points), carried_by(cost, *points))
             )  # fmt: skip
         head = ("kind", "of", "formula and slopes", "before", "after", "budget", "breaks at, before", "after")
         return table((*head, "carried by"), rows)
 
-    return made
+    return render_role
 
 
 def _formula(cost: Cost, figures: Figures) -> str:
@@ -284,13 +294,13 @@
     for name in cost.uses:
         role, what = name.split(".")
         known = [(label, figures.lines[label].get(name)) for label in LABELS]
-        told = "; ".join(f"{label} {line_text(fit)}" for label, fit in known if fit is not None)
-        lines.append(f"[{what}]({LINK}/{role}.csv): {told or NOT_MEASURED}")
+        fitted = "; ".join(f"{label} {line_text(fit)}" for label, fit in known if fit is not None)
+        lines.append(f"[{what}]({LINK}/{role}.csv): {fitted or NOT_MEASURED}")
     return "<br>".join(lines)
 
 
 def line_text(fit: Fit) -> str:
-    """A line in words: fixed part, slope, and the bend where it has one."""
+    """A line as text: fixed part, slope, and the bend if there is one."""
     by = fit.what.rpartition("_by_")[2]
     if not fit.bend:
         return f"{number(fit.fixed)} + {number(fit.slope)} x {by}"
@@ -299,13 +309,13 @@
 
 
 def slopes_table(figures: Figures) -> str:
-    """Every line that was fitted."""
+    """All fitted lines."""
     rows = []
     for label in LABELS:
         for name, fit in sorted(figures.lines[label].items()):
             role, what = name.split(".")
             if what != fit.what:
-                continue  # another name of a line that stands here already
+                continue  # alias of a line that is already listed
             bend = f"{number(fit.bend)}: {number(fit.slope_after)}" if fit.bend else "none"
             rows.append(
                 (label, f"[{role}]({LINK}/{role}.csv)", what, fit.unit, number(fit.slope), number(fit.fixed),
@@ -316,7 +326,7 @@
 
 
 def unmeasured_table(figures: Figures) -> str:
-    """What could not be measured, and why."""
+    """Missing measurements and the reasons."""
     rows = [
         (row.label, role, row.what, number(row.size), row.value.reason.replace("|", "/"))
         for role, found in figures.rows.items()
@@ -327,7 +337,7 @@
 
 
 def hollow_table(figures: Figures) -> str:
-    """The hollow fleet's figures."""
+    """The measurements of the hollow fleet."""
     if not figures.hollow:
         return f"{NOT_MEASURED}: there are no rows of the hollow fleet yet."
     grouped: dict[tuple[str, str, str, str], list[str]] = {}
@@ -336,12 +346,12 @@
         value = text if text.startswith(NOT_MEASURED) else number(float(text))
         key = (row["run"], row["role"], row["what"], row["unit"])
         grouped.setdefault(key, []).append(f"{row['statistic']} {value}")
-    rows = [(run, role, what, "; ".join(told), unit) for (run, role, what, unit), told in grouped.items()]
+    rows = [(run, role, what, "; ".join(values), unit) for (run, role, what, unit), values in grouped.items()]
     return table(("run", "role", "what", "values", "unit"), rows)
 
 
 def machines_table(figures: Figures) -> str:
-    """Which programs were measured, and where."""
+    """The measured programs and machines."""
     found = sorted(
         {
             (row.label, role, row.commit, row.machine)
--- a/benchmarks/capacity/rows.py
+++ b/benchmarks/capacity/rows.py
@@ -1,4 +1,4 @@
-"""Rows of the capacity tables: one value of one quantity at one size, or the reason why there is none."""
+"""Rows of the capacity tables: a value of a quantity at a size, or the reason why there is none."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 @dataclass(frozen=True, slots=True)
 class NotMeasured:
-    """A value that there is none of, and why."""
+    """A missing value and the reason."""
 
     reason: str
 
@@ -39,14 +39,14 @@
 
 
 def value_of(text: str) -> float | NotMeasured:
-    """A value as its table holds it. Raises ``ValueError`` for one that is neither a number nor a reason."""
+    """Parse a value of a table. Raises ``ValueError`` if it is neither a number nor a reason."""
     if text.startswith(NOT_MEASURED):
         return NotMeasured(text.removeprefix(NOT_MEASURED).removeprefix(":").strip())
     return float(text)
 
 
 def read_rows(path: Path) -> list[Row]:
-    """The rows of a table; none where there is no file."""
+    """Read a table; empty if there is no file."""
     if not path.exists():
         return []
     with path.open(newline="") as source:
@@ -65,7 +65,7 @@
 
 
 def write_rows(path: Path, rows: Iterable[Row]) -> None:
-    """Write a table anew."""
+    """Write a table."""
     with path.open("w", newline="") as target:
         writer = csv.writer(target, lineterminator="\n")
         writer.writerow(COLUMNS)
@@ -74,7 +74,7 @@
 
 
 def merge_rows(old: Sequence[Row], new: Sequence[Row]) -> list[Row]:
-    """The old rows without those of a quantity and label that was measured anew, and the new ones."""
+    """Replace the old rows of all quantities and labels that have new ones."""
     replaced = {(row.what, row.label) for row in new}
     return [row for row in old if (row.what, row.label) not in replaced] + list(new)
 
@@ -84,13 +84,13 @@
 
 
 def machine() -> str:
-    """The machine, as far as a figure depends on it."""
+    """The properties of the machine that affect measurements."""
     memory_gib = os.sysconf("SC_PAGE_SIZE") * os.sysconf("SC_PHYS_PAGES") / 2**30
     return f"{os.cpu_count()} cores; {memory_gib:.0f} GiB; Python {platform.python_version()}"
 
 
 def commit() -> str:
-    """The last commit that changed the program, short; with a plus where it was changed since."""
+    """The short hash of the last commit that changed the program; ``+`` marks uncommitted changes."""
     line = ["git", "log", "-1", "--format=%h", "--", PROGRAM]
     short = subprocess.run(line, capture_output=True, text=True, check=True).stdout.strip()
     changed = subprocess.run(["git", "diff", "--quiet", "HEAD", "--", PROGRAM], check=False).returncode
--- a/benchmarks/capacity/target.py
+++ b/benchmarks/capacity/target.py
@@ -1,4 +1,4 @@
-"""The size that the operators ask for, and what follows from it by division."""
+"""The target size of the fleet and derived figures."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Target:
-    """Sizes and budgets of the whole fleet. Bytes and shares are a sender's."""
+    """Sizes and budgets of the fleet. Bytes and shares are per sender."""
 
     senders: int = 1_100
     events_per_s: float = 200_000.0
@@ -28,31 +28,31 @@
     cores: int = 8
     restarts_per_day: float = 250.0
     ready_ms: float = 10_000.0
-    held_share: float = 0.001
+    held_up_share: float = 0.001
 
     @property
     def events_per_sender(self) -> float:
-        """Events a second and sender."""
+        """Events per second and sender."""
         return self.events_per_s / self.senders
 
     @property
     def control_ms_per_s(self) -> float:
-        """Processor time for control a second and sender."""
+        """CPU time for control per second and sender."""
         return 1_000.0 * self.control_core_share
 
     @property
     def bytes_per_event(self) -> float:
-        """Control bytes for each event."""
+        """Control bytes per event."""
         return self.control_bytes_per_s / self.events_per_sender
 
     @property
     def sender_us_per_event(self) -> float:
-        """Processor time of a sender's control for each event."""
+        """CPU time of a sender's control per event."""
         return 1_000.0 * self.control_ms_per_s / self.events_per_sender
 
     @property
     def machines_us_per_event(self) -> float:
-        """Processor time of all control machines for each event."""
+        """CPU time of all control machines per event."""
         return 1e6 * self.control_machines * self.cores / self.events_per_s
 
     @property
@@ -62,17 +62,17 @@
 
     @property
     def events_per_destination(self) -> float:
-        """Events a second and destination, in the mean."""
+        """Mean events per second and destination."""
         return self.events_per_s / self.destinations
 
     @property
-    def owed_per_sender(self) -> float:
-        """Owed messages a sender."""
+    def backlog_per_sender(self) -> float:
+        """Undelivered messages per sender."""
         return self.backlog / self.senders
 
     @property
     def changes_per_s(self) -> float:
-        """Changes of configuration a second."""
+        """Configuration changes per second."""
         return self.changes_per_day / DAY_S
 
 
--- a/tests/benchmarks/test_capacity_fit.py
+++ b/tests/benchmarks/test_capacity_fit.py
@@ -19,7 +19,7 @@
     assert bend == 0.0
 
 
-def test_a_bend_is_told_with_its_size_and_both_slopes() -> None:
+def test_a_bend_is_found_with_its_size_and_both_slopes() -> None:
     points = [(size, 5.0 + size + 9.0 * max(size - 300.0, 0.0)) for size in SIZES]
     slope, fixed, residual, bend, after = fit_line(points)
     assert bend == 300.0
@@ -33,35 +33,35 @@
     assert fit_line(points)[3] == 0.0
 
 
-def test_the_bent_line_goes_on_with_the_later_slope() -> None:
+def test_a_bent_line_is_extrapolated_with_the_later_slope() -> None:
     rows = [row(size, 5.0 + size + 9.0 * max(size - 300.0, 0.0)) for size in SIZES]
     (fit,) = fit_rows("allocator", rows)
     assert fit.at(10_000.0) == pytest.approx(5.0 + 10_000.0 + 9.0 * 9_700.0)
     assert fit.at(100.0) == pytest.approx(105.0)
 
 
-def test_a_falling_line_is_not_followed_beyond_what_was_measured() -> None:
+def test_a_falling_line_is_not_extrapolated() -> None:
     (fit,) = fit_rows("allocator", [row(size, 5_000.0 - size) for size in SIZES])
     assert fit.at(1_000.0) == pytest.approx(4_000.0)
     assert fit.at(1e6) == pytest.approx(2_000.0)
 
 
-def test_no_line_is_told_from_fewer_than_four_sizes() -> None:
+def test_no_line_is_fitted_to_fewer_than_four_sizes() -> None:
     assert fit_rows("allocator", [row(size, size) for size in SIZES[:3]]) == []
     assert len(fit_rows("allocator", [row(size, size) for size in SIZES[:4]])) == 1
 
 
-def test_what_was_not_measured_never_becomes_a_number(tmp_path: Path) -> None:
+def test_a_missing_value_never_becomes_a_number(tmp_path: Path) -> None:
     rows = [row(size, size) for size in SIZES[:3]] + [row(1e6, NotMeasured("the reader refuses it, at once"))]
     write_rows(tmp_path / "allocator.csv", rows)
     again = read_rows(tmp_path / "allocator.csv")
     assert again == rows
-    assert fit_rows("allocator", again) == []  # the fourth size counts for nothing
+    assert fit_rows("allocator", again) == []  # the fourth size has no value
     with pytest.raises(ValueError):
         value_of("unknown")
 
 
-def test_labels_are_fitted_apart() -> None:
+def test_labels_are_fitted_separately() -> None:
     rows = [row(size, size) for size in SIZES] + [row(size, 3.0 * size, label="after") for size in SIZES]
     assert {fit.label: round(fit.slope, 6) for fit in fit_rows("allocator", rows)} == {
         "before": 1.0,
@@ -69,7 +69,7 @@
     }
 
 
-def test_a_quantity_that_is_measured_anew_replaces_its_rows_and_no_others() -> None:
+def test_new_rows_replace_those_of_the_same_quantity_and_label() -> None:
     old = [row(1.0, 1.0), row(2.0, 2.0, label="after"), row(3.0, 3.0, what="other")]
     new = [row(9.0, 9.0)]
     assert merge_rows(old, new) == [old[1], old[2], new[0]]
--- a/tests/benchmarks/test_capacity_measurements.py
+++ b/tests/benchmarks/test_capacity_measurements.py
@@ -15,7 +15,7 @@
 
 
 @pytest.mark.parametrize(("role", "measurement"), all_measurements())
-def test_each_measurement_has_sizes_enough_for_a_line(role: str, measurement: Measurement) -> None:
+def test_each_measurement_has_enough_sizes_for_a_line(role: str, measurement: Measurement) -> None:
     assert len(set(measurement.sizes)) >= 4
     assert len(set(measurement.quick_sizes)) >= 4
     assert list(measurement.sizes) == sorted(measurement.sizes)
@@ -28,7 +28,7 @@
 
 
 @pytest.mark.parametrize("name", ["coding_by_messages", "memory_by_limits", "cpu_by_limits"])
-def test_a_measurement_tells_each_quantity_that_it_names(name: str) -> None:
+def test_a_measurement_returns_each_quantity_that_it_names(name: str) -> None:
     measurement = next(one for one in allocator.MEASUREMENTS if one.name == name)
     found = measurement.measure(10)
     assert set(found) == set(measurement.units)
--- a/tests/benchmarks/test_capacity_page.py
+++ b/tests/benchmarks/test_capacity_page.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from benchmarks.capacity.budgets import COSTS, PRESENT, ROLES, Cost, breaking_part, full_cost
+from benchmarks.capacity.budgets import COSTS, PRESENT, ROLES, Cost, breaking_fraction, full_cost
 from benchmarks.capacity.fit import Fit
 from benchmarks.capacity.page import (
     FULL_RUN,
@@ -12,9 +12,9 @@
     TABLES,
     Figures,
     UnknownTable,
+    breaking_point,
+    fraction_text,
     number,
-    part,
-    part_of,
     read_figures,
     with_tables,
 )
@@ -35,20 +35,20 @@
         "limits",
         "fixed + slope x limits",
         ("sender.cost_by_limits",),
-        lambda lines, part: lines["sender.cost_by_limits"].at(1_000.0 * part),
+        lambda lines, fraction: lines["sender.cost_by_limits"].at(1_000.0 * fraction),
         "us",
         PRESENT,
         budget,
     )
 
 
-def test_the_page_holds_what_its_figures_say() -> None:
-    """Write it with ``python -m benchmarks.capacity_page`` where this fails."""
-    held = PAGE.read_text()
-    assert with_tables(held, read_figures(FOLDER)) == held
+def test_the_page_is_up_to_date() -> None:
+    """If this fails, run ``python -m benchmarks.capacity_page``."""
+    page = PAGE.read_text()
+    assert with_tables(page, read_figures(FOLDER)) == page
 
 
-def test_a_page_differs_as_soon_as_a_figure_does(tmp_path: Path) -> None:
+def test_a_changed_measurement_changes_the_page(tmp_path: Path) -> None:
     def page_with(server_ms: float) -> str:
         rows = [
             Row("load_server_ms_by_rate", float(size), server_ms * size, "ms/s", "abc", "a machine", "before")
@@ -78,48 +78,50 @@
     ("budget", "expected"), [(110.0, 0.05), (2_010.0, 1.0), (5.0, 0.0), (4_010.0, 2.0), (1e9, inf)]
 )
 def test_a_budget_breaks_where_the_formula_reaches_it(budget: float, expected: float) -> None:
-    found = breaking_part(cost(budget), {"sender.cost_by_limits": LINE})
+    found = breaking_fraction(cost(budget), {"sender.cost_by_limits": LINE})
     assert found == pytest.approx(expected, rel=1e-4)
 
 
-def test_without_a_line_there_is_no_number() -> None:
+def test_a_missing_line_gives_no_number() -> None:
     assert isinstance(full_cost(cost(1.0), {}), NotMeasured)
-    found = breaking_part(cost(1.0), {})
+    found = breaking_fraction(cost(1.0), {})
     assert isinstance(found, NotMeasured)
-    assert part(found) == "not measured"
+    assert fraction_text(found) == "not measured"
 
 
-def test_a_line_that_falls_below_nothing_is_no_cost() -> None:
+def test_a_line_that_falls_below_zero_is_no_cost() -> None:
     falling = {"sender.cost_by_limits": replace(LINE, slope=-1.0, slope_after=-1.0)}
     assert isinstance(full_cost(cost(100.0), falling), NotMeasured)
-    assert isinstance(breaking_part(cost(100.0), falling), NotMeasured)
+    assert isinstance(breaking_fraction(cost(100.0), falling), NotMeasured)
 
 
-def test_rows_of_before_never_stand_for_after(tmp_path: Path) -> None:
+def test_rows_before_are_not_used_for_after(tmp_path: Path) -> None:
     rows = [
         Row("cost_by_limits", float(size), 1.0 * size, "us", "abc", "a machine", "before") for size in SIZES
     ]
     write_rows(tmp_path / "sender.csv", rows)
     figures = read_figures(tmp_path)
-    assert part_of(cost(100.0), figures, "before") == pytest.approx(0.1, rel=1e-3)
-    assert isinstance(part_of(cost(100.0), figures, "after"), NotMeasured)
+    assert breaking_point(cost(100.0), figures, "before") == pytest.approx(0.1, rel=1e-3)
+    assert isinstance(breaking_point(cost(100.0), figures, "after"), NotMeasured)
 
 
-def test_the_hollow_fleet_stands_for_after_where_it_told_a_value(tmp_path: Path) -> None:
+def test_a_value_of_the_hollow_fleet_replaces_the_cost_after(tmp_path: Path) -> None:
     def figures_with(run: str, value: str) -> Figures:
         head = "run,role,what,statistic,value,unit,commit,machine"
         (tmp_path / "hollow.csv").write_text(f"{head}\n{run},sender,processor,p99,{value},% of a core,a,b\n")
         return read_figures(tmp_path)
 
-    told = replace(cost(100.0), hollow=("sender", "processor", "p99"))
-    assert part_of(told, figures_with(f"{FULL_RUN}seed 1", "40.0"), "after") == 0.25  # of 400 ms/s
+    replaced = replace(cost(100.0), hollow=("sender", "processor", "p99"))
+    assert breaking_point(replaced, figures_with(f"{FULL_RUN}seed 1", "40.0"), "after") == 0.25  # of 400 ms/s
     small = figures_with("virtual calm 20/100/50 seed 1", "40.0")
-    assert isinstance(part_of(told, small, "after"), NotMeasured)
-    assert isinstance(part_of(told, figures_with(FULL_RUN, "not measured: no run"), "after"), NotMeasured)
+    assert isinstance(breaking_point(replaced, small, "after"), NotMeasured)
+    assert isinstance(
+        breaking_point(replaced, figures_with(FULL_RUN, "not measured: no run"), "after"), NotMeasured
+    )
 
 
-def test_the_operators_divisions() -> None:
-    """The letter's own figures: 182 events a second, 33 bytes and 209 us an event, 480 us on the machines."""
+def test_derived_figures_of_the_target() -> None:
+    """As given with the target: 182 events/s, 33 bytes and 209 us per event, 480 us on control machines."""
     assert round(TARGET.events_per_sender) == 182
     assert round(TARGET.bytes_per_event) == 33
     assert round(TARGET.sender_us_per_event) == 209
@@ -128,10 +130,10 @@
 
 
 @pytest.mark.parametrize(
-    ("value", "told"), [(1_234_567.0, "1,230,000"), (0.01234, "0.0123"), (1_000.0, "1,000"), (999.6, "1,000")]
+    ("value", "text"), [(1_234_567.0, "1,230,000"), (0.01234, "0.0123"), (1_000.0, "1,000"), (999.6, "1,000")]
 )
-def test_numbers_have_three_digits(value: float, told: str) -> None:
-    assert number(value) == told
+def test_numbers_have_three_digits(value: float, text: str) -> None:
+    assert number(value) == text
 
 
 SIZES = (1, 10, 100, 1_000)
