--- a/benchmarks/capacity/budgets.py
+++ b/benchmarks/capacity/budgets.py
@@ -44,14 +44,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Mechanism:
-    """The mechanism that makes a cost bearable at the full size; ``missing`` if it is not implemented."""
+    """How a cost becomes bearable at the full size; ``missing`` if it is not implemented."""
 
     name: str
     missing: bool = True
-    this_round: bool = False
+    in_this_change: bool = False
 
 
-CHANGE_AND_CONTENTION = Mechanism("limits by change and contention", this_round=True)
+CHANGE_AND_CONTENTION = Mechanism("limits by change and contention", in_this_change=True)
 EXACT = Mechanism("none: exact limits are for few destinations", missing=False)
 SHARDS = Mechanism("real shards")
 HOSTS = Mechanism("transport between hosts")
--- a/benchmarks/capacity/page.py
+++ b/benchmarks/capacity/page.py
@@ -165,11 +165,11 @@
     return value if isinstance(value, float) else inf
 
 
-def carried_by(cost: Cost, before: Value, after: Value) -> str:
+def mechanism_text(cost: Cost, before: Value, after: Value) -> str:
     """The mechanism that makes a cost bearable, or the one that is missing."""
     if isinstance(before, float) and before >= 1.0:
         return "as it is"
-    if cost.mechanism.this_round and isinstance(after, float):
+    if cost.mechanism.in_this_change and isinstance(after, float):
         return cost.mechanism.name + ("" if after >= 1.0 else "; not enough")
     if cost.built and isinstance(after, float) and after >= 1.0:
         return cost.built
@@ -206,7 +206,7 @@
     found.sort(key=lambda one: _order(one[1]))
     rows = [
         (cost.role, cost.what, cost.driver, amount(cost.budget, cost.unit),
-         fraction_text(before), fraction_text(after), carried_by(cost, before, after))
+         fraction_text(before), fraction_text(after), mechanism_text(cost, before, after))
         for cost, before, after in found
     ]  # fmt: skip
     return table(("role", "budget of", "driver", "budget", "before", "after", "carried by"), rows)
@@ -281,7 +281,7 @@
             rows.append(
                 (cost.kind, cost.what, _formula(cost, figures), cost_text(before, cost.unit),
                  cost_text(after, cost.unit), amount(cost.budget, cost.unit) if cost.budget else "none",
-                 *map(fraction_text, points), carried_by(cost, *points))
+                 *map(fraction_text, points), mechanism_text(cost, *points))
             )  # fmt: skip
         head = ("kind", "of", "formula and slopes", "before", "after", "budget", "breaks at, before", "after")
         return table((*head, "carried by"), rows)
--- a/springspread/faults/hollow/sender.py
+++ b/springspread/faults/hollow/sender.py
@@ -47,7 +47,7 @@
 class ShardSession:
     """A sender's session with the allocator of one shard, across reconnections."""
 
-    __slots__ = ("_connection", "_wake_at", "cache", "sender", "session", "shard", "waiting", "zone")
+    __slots__ = ("_connection", "_send_at", "cache", "sender", "session", "shard", "waiting", "zone")
 
     def __init__(self, sender: HollowSender, shard: Acceptor, cache: LeaseCache) -> None:
         self.sender, self.shard, self.cache = sender, shard, cache
@@ -55,7 +55,7 @@
         self.session = SenderSession(sender.name, sender.epoch, FLEET, cache)
         self.waiting: list[WaitingCall] = []
         self._connection: Connection | None = None
-        self._wake_at = inf
+        self._send_at = inf
         self._connect()
 
     def _connect(self) -> None:
@@ -81,7 +81,7 @@
     def lost(self) -> None:
         """The connection was lost: reconnect after ``RECONNECT_MS``."""
         self._connection = None
-        self._wake_at = inf
+        self._send_at = inf
         self.sender.queue.at(self.sender.queue.now + RECONNECT_MS, self._connect)
 
     def close(self) -> None:
@@ -91,15 +91,15 @@
             self._connection.close()
 
     def _schedule_send(self, at: float) -> None:
-        if at < self._wake_at:
-            self._wake_at = at
+        if at < self._send_at:
+            self._send_at = at
             self.sender.queue.at(at, self._send_due, at)
 
     def _send_due(self, planned: float) -> None:
         connection, sender = self._connection, self.sender
-        if planned != self._wake_at:
-            return  # superseded by an earlier wake-up
-        self._wake_at = inf
+        if planned != self._send_at:
+            return  # superseded by an earlier send
+        self._send_at = inf
         if connection is None:
             return  # scheduled again when a connection opens
         clock, meter = sender.queue.clock, sender.meter
