--- a/benchmarks/hollow_fleet.py
+++ b/benchmarks/hollow_fleet.py
@@ -30,10 +30,10 @@
 from springspread.faults.hollow.comparison import compare
 from springspread.faults.hollow.faults import SCHEDULES
 from springspread.faults.hollow.fleet import FleetSize
-from springspread.faults.hollow.play import Plan, play
 from springspread.faults.hollow.report import Row, digest
-from springspread.faults.hollow.sockets import SocketPlan, play_sockets
-from springspread.faults.hollow.traffic import TrafficLaw
+from springspread.faults.hollow.runner import Plan, run_fleet
+from springspread.faults.hollow.sockets import SocketPlan, run_on_sockets
+from springspread.faults.hollow.traffic import TrafficModel
 from springspread.fleet.limits import LimitMode
 from springspread.rollout.document import Policy
 from springspread.simulator.day import draw
@@ -84,9 +84,9 @@
     parser.add_argument("--seed", type=int, default=1)
     parser.add_argument("--faults", default="calm", help=", ".join(SCHEDULES))
     parser.add_argument("--calm", action="store_true", help="the same as --faults calm")
-    parser.add_argument("--headroom", type=float, default=TrafficLaw(1, 1.0).headroom)
+    parser.add_argument("--headroom", type=float, default=TrafficModel(1, 1.0).headroom)
     parser.add_argument("--tight", type=float, default=0.0, help="part of the limits with little headroom")
-    parser.add_argument("--down", type=float, default=TrafficLaw(1, 1.0).down_part)
+    parser.add_argument("--down", type=float, default=TrafficModel(1, 1.0).down_fraction)
     parser.add_argument("--changes", type=int, default=0, help="changes of policy while measured")
     parser.add_argument("--config", type=Path, default=Path("deploy/sender.json"))
     parser.add_argument("--csv", type=Path)
@@ -124,12 +124,12 @@
     """Run the benchmark."""
     args = parse_arguments()
     policy = Policy(json.loads(args.config.read_text())["settings"], {})
-    law = TrafficLaw(
+    law = TrafficModel(
         args.destinations,
         args.per_s,
-        down_part=args.down,
+        down_fraction=args.down,
         headroom=args.headroom,
-        tight_part=args.tight,
+        tight_fraction=args.tight,
         mode=LimitMode(args.mode),
     )
     shape = f"{args.senders}/{args.destinations}/{args.per_s:g} seed {args.seed}"
@@ -141,14 +141,14 @@
             args.senders, args.processes, law, args.seconds, seed=args.seed, control=not args.no_control
         )
         mode = args.mode if plan.control else "driver alone"
-        write_figures(f"sockets {mode} {shape}", play_sockets(plan), args.csv)
+        write_figures(f"sockets {mode} {shape}", run_on_sockets(plan), args.csv)
         return
     size = FleetSize(args.senders, args.allocators, law, args.seed)
     faults = "calm" if args.calm else args.faults
-    fleet, rows = play(size, Plan(args.seconds, args.warm_s, faults, args.changes), policy)
+    fleet, rows = run_fleet(size, Plan(args.seconds, args.warm_s, faults, args.changes), policy)
     suffix = "" if not args.tight else f" tight={args.tight:g}"
-    suffix += "" if args.down == TrafficLaw(1, 1.0).down_part else f" down={args.down:g}"
-    suffix += "" if args.headroom == TrafficLaw(1, 1.0).headroom else f" headroom={args.headroom:g}"
+    suffix += "" if args.down == TrafficModel(1, 1.0).down_fraction else f" down={args.down:g}"
+    suffix += "" if args.headroom == TrafficModel(1, 1.0).headroom else f" headroom={args.headroom:g}"
     suffix += "" if law.mode is LimitMode.ADAPTIVE else f" {args.mode}"
     run = f"virtual {faults}{suffix} {shape}"
     write_figures(run, rows, args.csv)
--- a/springspread/faults/hollow/comparison.py
+++ b/springspread/faults/hollow/comparison.py
@@ -1,11 +1,10 @@
-"""Whether hollow senders say what real ones do: one small day of both, lines and bytes side by side.
-
-First the real daemon and its instances play a day on sockets; a relay before each instance counts lines, and
-the calls are recorded as they come to partners. Then as many hollow senders make the same calls at the same
-times, in virtual time, with one allocator on the same host. Calls that real senders asked a lease for and
-gave up are taken from their logs, and asked for by the hollow ones, too. What may differ: a real sender asks
-a little before its call arrives at the partner, the hollow ones at the arrival. Lines about limits are also
-told by kind of message.
+"""Validates hollow senders against real ones: lines and bytes of the same small day, side by side.
+
+First the real daemon and its instances run a day on sockets; a relay in front of each instance counts lines,
+and calls are recorded as they arrive at partners. Then as many hollow senders make the same calls at the same
+times, in virtual time, with one allocator on the same host. Calls that real senders gave up without a lease
+are taken from their logs. One difference remains: a real sender requests a lease shortly before its call
+arrives at the partner, a hollow one at the arrival. Lines about limits are also counted by kind of message.
 """
 
 from __future__ import annotations
@@ -27,7 +26,7 @@
 from springspread.faults.hollow.given_up import given_up
 from springspread.faults.hollow.meter import Volume
 from springspread.faults.hollow.report import Row
-from springspread.faults.hollow.traffic import Calls, TrafficLaw
+from springspread.faults.hollow.traffic import Calls, TrafficModel
 from springspread.faults.relay import Relay, Way
 from springspread.fleet.client import LEASE_WAIT_MS
 from springspread.fleet.limits import Limit, LimitMode
@@ -41,28 +40,28 @@
 from springspread.simulator.polling import AcceptedConnection
 from springspread.simulator.sockets import SocketSimulation
 
-WARM_MS = 10_000.0
-HOLLOW_START_MS = 1_000.0  # hollow calls begin so much after the recorded ones' zero
-AMPLE_PER_S = 1_000.0
+WARMUP_MS = 10_000.0
+HOLLOW_START_MS = 1_000.0  # offset of hollow calls from recorded ones
+AMPLE_LIMIT_PER_S = 1_000.0
 
 
 @dataclass(slots=True)
-class Recorded:
-    """A day's calls as a source for hollow senders, and what else happened; ms of the day."""
+class RecordedTraffic:
+    """A day's calls as a source for hollow senders, and their outcomes; times in ms of the day."""
 
     keys: list[str]
     limits: list[Limit]
-    calls: list[tuple[float, int, int]] = field(default_factory=list)  # when, sender, destination
+    calls: list[tuple[float, int, int]] = field(default_factory=list)  # time, sender, destination
     failures: list[tuple[float, int, int]] = field(default_factory=list)
     successes: list[tuple[float, int, int]] = field(default_factory=list)
     partner_rates: list[tuple[float, int, int, float]] = field(default_factory=list)
-    down: NDArray[np.bool_] = field(init=False)  # nobody: failures are recorded one by one
+    down: NDArray[np.bool_] = field(init=False)  # all false: failures are recorded one by one
 
     def __post_init__(self) -> None:
         self.down = np.zeros(len(self.keys), dtype=bool)
 
     def draw(self, begin: float, length_ms: float) -> Calls:
-        """The calls of a stretch of the hollow fleet's time."""
+        """The calls of an interval of the hollow fleet's time."""
         first = bisect_left(self.calls, (begin - HOLLOW_START_MS,))
         last = bisect_left(self.calls, (begin + length_ms - HOLLOW_START_MS,))
         found = self.calls[first:last]
@@ -73,21 +72,21 @@
         """The limit of a destination."""
         return self.limits[destination]
 
-    def multiply(self, destination: int, factor: float) -> None:
-        """Nothing multiplies what was recorded."""
+    def scale_demand(self, destination: int, factor: float) -> None:
+        """Recorded demand is not scaled."""
 
-    def serves_again(self, destination: int) -> None:
-        """Nothing is down for good in what was recorded."""
+    def recover(self, destination: int) -> None:
+        """No destination is marked as down in a record."""
 
 
 class RecordedTown(SocketSimulation):
-    """A day on sockets that is written down."""
+    """A day on sockets that records its calls."""
 
     def __init__(self, day: Day, folder: Path, mode: LimitMode) -> None:
         super().__init__(day, folder, mode)
         groups = {self._limit_key(self._key(name)): group for name, group in self._group.items()}
         limits = {key: self._limit(group, mode) for key, group in groups.items()}
-        self.recorded = Recorded(list(limits), list(limits.values()))
+        self.recorded = RecordedTraffic(list(limits), list(limits.values()))
         self._number_of = {key: number for number, key in enumerate(limits)}
         self._record_calls()
 
@@ -116,7 +115,7 @@
         vars(self.checker).update(call=recorded_call, failed=recorded_failure, done=recorded_end)
 
     def record_given_up(self) -> int:
-        """Add the calls that were given up to those that were made; how many there are."""
+        """Add the calls that were given up to the record; returns their number."""
         wall_s = time.time() - self._now() / 1000.0
         found = [
             (max(at - LEASE_WAIT_MS, 0.0), number, self._number(endpoint))
@@ -134,14 +133,14 @@
     ) -> None:
         if answer.limit_per_s:
             sender = int(self.checker.sender_of(ids[0])[1:])
-            told = (self._now(), sender, self._number(name), answer.limit_per_s)
-            self.recorded.partner_rates.append(told)
+            entry = (self._now(), sender, self._number(name), answer.limit_per_s)
+            self.recorded.partner_rates.append(entry)
         super()._send_answer(name, connection, ids, answer, bundle)
 
 
 @dataclass(slots=True)
-class Counts:
-    """Lines of one kind, by direction."""
+class DirectionVolumes:
+    """Traffic of one kind, by direction."""
 
     up: Volume = field(default_factory=Volume)
     down: Volume = field(default_factory=Volume)
@@ -158,12 +157,11 @@
     "KeyStatuses",
     "LeaseGrants",
 )
-"""Messages about limits; a request that asks for nothing says what was done with leases, or who waits no
-more."""
+"""Kinds of messages about limits, with lease requests by purpose."""
 
 
 def kind_of(line: bytes) -> str:
-    """Which of ``KINDS`` a line about limits is; raises ``Unreadable``."""
+    """The kind, one of ``KINDS``, of a line about limits; raises ``Unreadable``."""
     (message,) = Lines().feed(line)
     if not isinstance(message, LeaseRequest):
         return type(message).__name__
@@ -175,15 +173,15 @@
 
 
 class LineCounts:
-    """The lines of one sender while ``counting``: about limits, about policies, and about limits by kind."""
+    """Counts a sender's lines while ``counting``: about limits, about policies, and about limits by kind."""
 
     def __init__(self) -> None:
         self.counting = False
-        self.limits, self.policies = Counts(), Counts()
+        self.limits, self.policies = DirectionVolumes(), DirectionVolumes()
         self.kinds = {kind: Volume() for kind in KINDS}
 
-    def seen(self, way: Way, line: bytes) -> None:
-        """A line passes."""
+    def count_line(self, way: Way, line: bytes) -> None:
+        """Count a line that passes the relay."""
         if not self.counting:
             return
         of_limits = line.startswith(b"[")
@@ -194,30 +192,30 @@
 
 
 def with_limits(day: Day) -> Day:
-    """The day with a limit for each partner: one without any gets one that it never meets."""
+    """The day with a limit for each partner; one without a limit gets one that it never reaches."""
     specs = []
     for spec in day.partners:
         if not spec.profile.limit_per_s:
-            spec = replace(spec, profile=replace(spec.profile, limit_per_s=AMPLE_PER_S))
+            spec = replace(spec, profile=replace(spec.profile, limit_per_s=AMPLE_LIMIT_PER_S))
         specs.append(spec)
     return replace(day, partners=tuple(specs))
 
 
 def compare(day: Day, folder: Path, mode: LimitMode) -> list[Row]:
-    """A day of real instances and of hollow ones; raises ``RuntimeError`` where no fleet comes up."""
-    os.environ["RELAY_LOG_LEVEL"] = "debug"  # for calls that are given up
+    """Run a day with real and with hollow instances; raises ``RuntimeError`` if the fleet does not start."""
+    os.environ["RELAY_LOG_LEVEL"] = "debug"  # logs calls that are given up
     town = RecordedTown(with_limits(day), folder, mode)
     relays, counts = [], []
     for number in range(day.senders):
         place = folder / "fleet"
         relay, count = Relay(relay_path(place, instance_name(number)), place / "allot"), LineCounts()
-        relay.seen = count.seen
+        relay.seen = count.count_line
         relays.append(relay)
         counts.append(count)
-    window: list[tuple[float, float]] = []  # the day's time and the clock's, at the begin and the end
+    window: list[tuple[float, float]] = []  # time of day and clock, at the begin and the end
 
     def each_s(at: float, *_: object) -> None:
-        counting = WARM_MS <= at < day.length_ms
+        counting = WARMUP_MS <= at < day.length_ms
         if counting is not counts[0].counting:
             window.append((at, SYSTEM.now()))
         for count in counts:
@@ -230,47 +228,47 @@
         for relay in relays:
             relay.close()
     begin, end = window[0][0], window[1][0]
-    made, gave_up = len(town.recorded.calls), town.record_given_up()
+    calls_made, calls_given_up = len(town.recorded.calls), town.record_given_up()
     policy = Policy(json.loads((folder / "sender.json").read_text())["settings"], {})
-    hollow = play_hollow(day.senders, town.recorded, policy, mode, begin, end)
+    hollow = run_hollow(day.senders, town.recorded, policy, mode, begin, end)
     seconds = (end - begin) / 1000.0
     rows = [Row("real", "town late", "p99", live.late_ms[0], "ms")]
-    rows.append(Row("real", "calls", "per second", made / day.length_ms * 1000.0, "1/s"))
-    rows.append(Row("real", "calls given up", "per second", gave_up / day.length_ms * 1000.0, "1/s"))
+    rows.append(Row("real", "calls", "per second", calls_made / day.length_ms * 1000.0, "1/s"))
+    rows.append(Row("real", "calls given up", "per second", calls_given_up / day.length_ms * 1000.0, "1/s"))
     return rows + _rows(counts, hollow, seconds) + _kind_rows(counts, hollow, seconds)
 
 
-def play_hollow(
-    senders: int, recorded: Recorded, policy: Policy, mode: LimitMode, begin: float, end: float
+def run_hollow(
+    senders: int, recorded: RecordedTraffic, policy: Policy, mode: LimitMode, begin: float, end: float
 ) -> list[LineCounts]:
-    """The same calls by hollow senders; what each said of limits and of policies from begin to end."""
+    """Make the recorded calls with hollow senders; returns the lines of each one from begin to end."""
     recorded.calls.sort()
-    law = TrafficLaw(len(recorded.keys), 0.0, mode=mode)
-    size, booted_ms = FleetSize(senders, 1, law), SYSTEM.now()
-    fleet = HollowFleet(size, policy, traffic=recorded, one_host=True, booted_ms=booted_ms)
+    model = TrafficModel(len(recorded.keys), 0.0, mode=mode)
+    size, uptime_ms = FleetSize(senders, 1, model), SYSTEM.now()
+    fleet = HollowFleet(size, policy, traffic=recorded, one_host=True, uptime_ms=uptime_ms)
     for when, sender, destination in recorded.failures:
         fleet.queue.at(when + HOLLOW_START_MS, fleet.call_failed, sender, destination)
     for when, sender, destination in recorded.successes:
         fleet.queue.at(when + HOLLOW_START_MS, fleet.call_served, sender, destination)
     for when, sender, destination, per_s in recorded.partner_rates:
-        fleet.queue.at(when + HOLLOW_START_MS, fleet.partner_told, sender, destination, per_s)
+        fleet.queue.at(when + HOLLOW_START_MS, fleet.partner_rate_received, sender, destination, per_s)
     counts = [LineCounts() for _ in range(senders)]
     for hollow, count in zip(fleet.senders, counts, strict=True):
-        assert hollow is not None  # all have begun, and none is killed
-        hollow.line_listener = count.seen
+        assert hollow is not None  # all have started, and none is killed
+        hollow.line_listener = count.count_line
     fleet.run_until(HOLLOW_START_MS + begin)
     policies = [meter.copy() for meter in fleet.policy_meters]
     for count in counts:
         count.counting = True
     fleet.run_until(HOLLOW_START_MS + end)
     for count, now, then in zip(counts, fleet.policy_meters, policies, strict=True):
-        said = now.since(then)
-        count.policies = Counts(said.sent, said.received)
+        delta = now.since(then)
+        count.policies = DirectionVolumes(delta.sent, delta.received)
     return counts
 
 
 def _rows(real: list[LineCounts], hollow: list[LineCounts], seconds: float) -> list[Row]:
-    """Means over senders, side by side, and their ratio."""
+    """Means over senders, real and hollow, and their ratio."""
     rows = []
     for name in ("limits", "policies", "all"):
         for direction in ("up", "down"):
@@ -299,7 +297,7 @@
 
 
 def _side_by_side(what: str, volumes: list[list[Volume]], sender_seconds: float) -> list[Row]:
-    """Lines and bytes a second of a mean sender, real and hollow, and their ratio."""
+    """Mean lines and bytes per second of a sender, real and hollow, and their ratio."""
     rows = []
     for unit, per in (("lines", "1/s"), ("bytes", "B/s")):
         real, hollow = (
--- a/springspread/faults/hollow/connection.py
+++ b/springspread/faults/hollow/connection.py
@@ -1,4 +1,4 @@
-"""A modelled TCP connection between a sender and a control process: bytes, in order, after a time."""
+"""A modelled TCP connection between a sender and a control process: ordered bytes with latency."""
 
 from __future__ import annotations
 
@@ -21,37 +21,37 @@
     def accept(self, connection: Connection) -> None:
         """A connection is open."""
 
-    def arrived(self, connection: Connection, data: bytes) -> None:
-        """Bytes of a sender have come in."""
+    def data_received(self, connection: Connection, data: bytes) -> None:
+        """Handle bytes from a sender."""
 
     def closed(self, connection: Connection) -> None:
         """A connection has ended."""
 
 
 class Connector(Protocol):
-    """A sender's end of connections to one control process."""
+    """A sender's end of its connections to one control process."""
 
     zone: Zone
 
     def opened(self, connection: Connection) -> None:
-        """The connection that was asked for is open."""
+        """The requested connection is open."""
 
-    def arrived(self, connection: Connection, data: bytes) -> None:
-        """Bytes of the control process have come in."""
+    def data_received(self, connection: Connection, data: bytes) -> None:
+        """Handle bytes from the control process."""
 
     def lost(self) -> None:
-        """There is no connection: none could be made, or it ended."""
+        """The connection could not be made, or has ended."""
 
 
 class Connection:
-    """Both ends and what is on the way. Bytes that are on the way as it ends are lost."""
+    """Both ends and the bytes in flight, which are lost when the connection ends."""
 
     __slots__ = (
         "_arrives_down",
         "_arrives_up",
         "_network",
         "_queue",
-        "_way_ms",
+        "_transit_ms",
         "acceptor",
         "connector",
         "down_lines",
@@ -65,10 +65,10 @@
         self.connector, self.acceptor = connector, acceptor
         self.owner: Owner | None = None  # as the control process knows the sender
         self.up_lines, self.down_lines = Lines(), Lines()
-        self._way_ms = network.way_ms(connector.zone, acceptor.zone)
+        self._transit_ms = network.latency_ms(connector.zone, acceptor.zone)
         self._arrives_up = self._arrives_down = 0.0
         self.open = False
-        queue.at(queue.now + 2.0 * self._way_ms * network.jitter(), self._open)
+        queue.at(queue.now + 2.0 * self._transit_ms * network.jitter(), self._open)
 
     def _open(self) -> None:
         reachable = self._network.reachable(self.connector.zone, self.acceptor.zone)
@@ -81,24 +81,24 @@
         self.connector.opened(self)
 
     def send_up(self, data: bytes) -> None:
-        """The sender writes."""
+        """Write from the sender."""
         self._arrives_up = self._arrival(self._arrives_up)
-        self._queue.at(self._arrives_up, self._deliver, self.acceptor.arrived, data)
+        self._queue.at(self._arrives_up, self._deliver, self.acceptor.data_received, data)
 
     def send_down(self, data: bytes) -> None:
-        """The control process writes."""
+        """Write from the control process."""
         self._arrives_down = self._arrival(self._arrives_down)
-        self._queue.at(self._arrives_down, self._deliver, self.connector.arrived, data)
+        self._queue.at(self._arrives_down, self._deliver, self.connector.data_received, data)
 
     def _arrival(self, earlier: float) -> float:
-        return max(self._queue.now + self._way_ms * self._network.jitter(), earlier)
+        return max(self._queue.now + self._transit_ms * self._network.jitter(), earlier)
 
-    def _deliver(self, take: Callable[[Connection, bytes], None], data: bytes) -> None:
+    def _deliver(self, handler: Callable[[Connection, bytes], None], data: bytes) -> None:
         if self.open:
-            take(self, data)
+            handler(self, data)
 
     def close(self) -> None:
-        """It breaks; both ends notice at once."""
+        """Break the connection; both ends notice immediately."""
         if self.open:
             self.open = False
             del self.acceptor.connections[self]
