--- a/benchmarks/power_return.py
+++ b/benchmarks/power_return.py
@@ -17,7 +17,7 @@
 
 from benchmarks.tables import add, tell
 from springspread.faults.chaos import fleet_of
-from springspread.faults.comeback import Comeback, Returning
+from springspread.faults.fleet_recovery import Comeback, Returning
 
 NONE = "clock_ms = 0.0\npolicy_ms = 0.0\nlist_ms = 0.0\nowed_ms = 0.0\n"
 ARMS = {
