--- a/springspread/faults/daemon.py
+++ b/springspread/faults/daemon.py
@@ -16,8 +16,8 @@
 from pathlib import Path
 from typing import Any
 
+from springspread.faults.failpoints import Deed, Disk, Steps
 from springspread.faults.sabotage import SABOTAGES, VARIABLE
-from springspread.faults.steps import Deed, Disk, Steps
 from springspread.fleet import daemon as daemon_module
 from springspread.fleet.allocator_server import AllocatorServer
 from springspread.fleet.daemon import Daemon
--- a/springspread/faults/rounds.py
+++ b/springspread/faults/rounds.py
@@ -16,10 +16,10 @@
 from random import Random
 
 from springspread.faults.chaos import Chaos
+from springspread.faults.failpoints import Deed
 from springspread.faults.observer import begun, borders, gaps, mixtures, over_limit
 from springspread.faults.partner import GROUP, Outside
 from springspread.faults.schedule import Act, Kind
-from springspread.faults.steps import Deed
 from springspread.fleet.control_client import send_order
 
 LIMITS = ((300, 500.0), (60, 500.0), (600, 500.0))  # cut to a fifth, raised tenfold, halved
--- a/tests/faults/test_chaos.py
+++ b/tests/faults/test_chaos.py
@@ -1,10 +1,10 @@
 from pathlib import Path
 
 from springspread.faults.chaos import Chaos
+from springspread.faults.failpoints import Deed
 from springspread.faults.partner import Outside
 from springspread.faults.rounds import Rounds
 from springspread.faults.schedule import Act, Kind, drawn
-from springspread.faults.steps import Deed
 
 
 def test_changes_go_on_through_faults_between_processes(tmp_path: Path) -> None:
