--- a/springspread/faults/__init__.py
+++ b/springspread/faults/__init__.py
@@ -1,5 +1,5 @@
-"""The fleet under faults: what tries to break the promises between processes. The sender never imports it.
+"""Fault injection for a fleet and its policy changes. The sender itself never imports this package.
 
-``search`` looks at every interleaving of the machine of a change of policy, ``planted`` holds the faults that
-it must find: open ``search`` first.
+``model_checker`` explores the interleavings of a policy change; ``protocol_mutants`` holds faulty
+variants that it must reject.
 """
