--- a/benchmarks/rollout_search.py
+++ b/benchmarks/rollout_search.py
@@ -14,7 +14,7 @@
 from multiprocessing import Pool
 from pathlib import Path
 
-from springspread.faults.planted import PLANTED
+from springspread.faults.protocol_mutants import PLANTED
 from springspread.faults.search import Bounds, Found, search
 
 SIZES = {
--- a/springspread/faults/sabotage.py
+++ b/springspread/faults/sabotage.py
@@ -1,7 +1,7 @@
 """Builds of the real program with one fault each, for the observer to convict.
 
 A fault is put into the daemon's process or into each instance's, by ``FAULTS_SABOTAGE``; the launchers
-install it. The search plants its own faults in the machine alone (``planted``).
+install it. The search plants its own faults in the machine alone (``protocol_mutants``).
 """
 
 from __future__ import annotations
--- a/tests/faults/test_search.py
+++ b/tests/faults/test_search.py
@@ -1,6 +1,6 @@
 import pytest
 
-from springspread.faults.planted import PLANTED
+from springspread.faults.protocol_mutants import PLANTED
 from springspread.faults.search import Bounds, search
 
 SMALL = Bounds(1, moments=6, proposals=2, deaths=0, daemon_deaths=1, refusals=1)
