--- a/benchmarks/policy_rounds.py
+++ b/benchmarks/policy_rounds.py
@@ -16,7 +16,7 @@
 
 from benchmarks.tables import tell, write_table
 from springspread.faults.chaos import fleet_of
-from springspread.faults.rounds import Arm, Rounds, tell_broken
+from springspread.faults.policy_change_rounds import Arm, Rounds, tell_broken
 from springspread.faults.schedule import Kind
 
 MIXED = tuple(Kind)
--- a/benchmarks/policy_steps.py
+++ b/benchmarks/policy_steps.py
@@ -15,7 +15,7 @@
 from benchmarks.tables import tell, write_table
 from springspread.faults.chaos import fleet_of
 from springspread.faults.failpoints import Deed
-from springspread.faults.rounds import Rounds, tell_broken
+from springspread.faults.policy_change_rounds import Rounds, tell_broken
 
 MOST = 200
 
--- a/tests/faults/test_chaos.py
+++ b/tests/faults/test_chaos.py
@@ -3,7 +3,7 @@
 from springspread.faults.chaos import Chaos
 from springspread.faults.failpoints import Deed
 from springspread.faults.partner import Outside
-from springspread.faults.rounds import Rounds
+from springspread.faults.policy_change_rounds import Rounds
 from springspread.faults.schedule import Act, Kind, drawn
 
 
