--- a/benchmarks/crash_points.py
+++ b/benchmarks/crash_points.py
@@ -12,7 +12,7 @@
 from pathlib import Path
 
 from benchmarks.tables import tell, write_table
-from springspread.faults.crashes import planted, real, search
+from springspread.faults.crash_points import planted, real, search
 
 
 def main() -> None:
--- a/tests/faults/test_crashes.py
+++ b/tests/faults/test_crashes.py
@@ -1,6 +1,6 @@
 import pytest
 
-from springspread.faults.crashes import planted, search
+from springspread.faults.crash_points import planted, search
 from springspread.faults.disk import Disk, MemoryFiles
 
 PLANTED = dict(planted())
