--- a/benchmarks/rollout_search.py
+++ b/benchmarks/rollout_search.py
@@ -14,8 +14,8 @@
 from multiprocessing import Pool
 from pathlib import Path
 
+from springspread.faults.model_checker import Bounds, Found, search
 from springspread.faults.protocol_mutants import PLANTED
-from springspread.faults.search import Bounds, Found, search
 
 SIZES = {
     "3 instances, from the first start": (Bounds(3), False),
--- a/springspread/faults/protocol_mutants.py
+++ b/springspread/faults/protocol_mutants.py
@@ -6,7 +6,7 @@
 from dataclasses import replace
 from typing import Any
 
-from springspread.faults.search import TIMES, Machine, altered
+from springspread.faults.model_checker import TIMES, Machine, altered
 from springspread.rollout.coordinator import Coordinator, History, Step
 from springspread.rollout.participant import Participant
 from springspread.rollout.protocol import Begun, Decided, Effect, Grant, Prepare, Proposed, Send, Vote, Write
--- a/tests/faults/test_search.py
+++ b/tests/faults/test_search.py
@@ -1,7 +1,7 @@
 import pytest
 
+from springspread.faults.model_checker import Bounds, search
 from springspread.faults.protocol_mutants import PLANTED
-from springspread.faults.search import Bounds, search
 
 SMALL = Bounds(1, moments=6, proposals=2, deaths=0, daemon_deaths=1, refusals=1)
 # Found by benchmarks.rollout_search, which looks further.
