--- a/benchmarks/policy_virtual.py
+++ b/benchmarks/policy_virtual.py
@@ -16,7 +16,7 @@
 import numpy as np
 
 from benchmarks.tables import tell, write_table
-from springspread.faults.virtual import Costs, Virtual
+from springspread.faults.virtual_fleet import Costs, Virtual
 from springspread.fleet.wire import encode
 from springspread.rollout.document import Policy
 from springspread.rollout.protocol import Grant
--- a/tests/faults/test_virtual.py
+++ b/tests/faults/test_virtual.py
@@ -1,7 +1,7 @@
 import json
 from pathlib import Path
 
-from springspread.faults.virtual import Costs, Virtual
+from springspread.faults.virtual_fleet import Costs, Virtual
 from springspread.rollout.document import Policy
 
 POLICY = Policy(json.loads(Path("deploy/sender.json").read_text())["settings"], {})
