--- a/benchmarks/capacity/sender.py
+++ b/benchmarks/capacity/sender.py
@@ -158,7 +158,7 @@
 
 def configuration(folder: Path, most_held: int) -> Path:
     """A sender's configuration in a folder of its own."""
-    from springspread.faults.partner import Outside
+    from springspread.faults.external_services import Outside
 
     outside = Outside()
     (folder / "state").mkdir(exist_ok=True)
--- a/benchmarks/durability.py
+++ b/benchmarks/durability.py
@@ -24,7 +24,7 @@
 import numpy as np
 
 from benchmarks.tables import tell, write_table
-from springspread.faults.partner import GROUP, Outside
+from springspread.faults.external_services import GROUP, Outside
 
 READY_S = 20.0
 
--- a/benchmarks/recovery_size.py
+++ b/benchmarks/recovery_size.py
@@ -71,7 +71,7 @@
     parser.add_argument("--repeats", type=int, default=3)
     parser.add_argument("--csv", type=Path)
     args = parser.parse_args()
-    from springspread.faults.partner import Outside
+    from springspread.faults.external_services import Outside
 
     outside = Outside()
     for count in args.owed:
--- a/springspread/faults/chaos.py
+++ b/springspread/faults/chaos.py
@@ -26,8 +26,8 @@
 from typing import Any, TypeVar
 
 from springspread.faults.daemon import PROGRAM, relay_path
+from springspread.faults.external_services import GROUP, UNSAFE, Outside
 from springspread.faults.observer import begun, fullest, gaps, interleaved, mixtures, nowhere, recorded
-from springspread.faults.partner import GROUP, UNSAFE, Outside
 from springspread.faults.power import CLOCK, WRITE_BACK
 from springspread.faults.relay import Fault, Relay, Way, unseen
 from springspread.faults.sabotage import VARIABLE
--- a/springspread/faults/policy_change_rounds.py
+++ b/springspread/faults/policy_change_rounds.py
@@ -16,9 +16,9 @@
 from random import Random
 
 from springspread.faults.chaos import Chaos
+from springspread.faults.external_services import GROUP, Outside
 from springspread.faults.failpoints import Deed
 from springspread.faults.observer import begun, borders, gaps, mixtures, over_limit
-from springspread.faults.partner import GROUP, Outside
 from springspread.faults.schedule import Act, Kind
 from springspread.fleet.control_client import send_order
 
--- a/tests/faults/test_chaos.py
+++ b/tests/faults/test_chaos.py
@@ -1,8 +1,8 @@
 from pathlib import Path
 
 from springspread.faults.chaos import Chaos
+from springspread.faults.external_services import Outside
 from springspread.faults.failpoints import Deed
-from springspread.faults.partner import Outside
 from springspread.faults.policy_change_rounds import Rounds
 from springspread.faults.schedule import Act, Kind, drawn
 
