--- a/springspread/faults/chaos.py
+++ b/springspread/faults/chaos.py
@@ -29,7 +29,7 @@
 from springspread.faults.external_services import GROUP, UNSAFE, Outside
 from springspread.faults.observer import begun, fullest, gaps, interleaved, mixtures, nowhere, recorded
 from springspread.faults.power import CLOCK, WRITE_BACK
-from springspread.faults.relay import Fault, Relay, Way, unseen
+from springspread.faults.relay import Direction, Fault, Relay, unseen
 from springspread.faults.sabotage import VARIABLE
 from springspread.faults.schedule import Act, Kind
 from springspread.fleet.control_client import send_order
@@ -43,11 +43,11 @@
 OLD_TOML = 'folder = "fleet"\nconfig = "sender.json"\ninstances = {}\n'
 LIMIT_TOML = "[limits.g{}]\ncalls = {}\nspan_ms = {}\n"
 FAULTS = {
-    Kind.HALF_OPEN: (Fault.LOSE, (Way.UP, Way.DOWN)),
-    Kind.DEAF: (Fault.LOSE, (Way.DOWN,)),
-    Kind.MUTE: (Fault.LOSE, (Way.UP,)),
-    Kind.HOLD: (Fault.HOLD, (Way.UP, Way.DOWN)),
-    Kind.DOUBLE: (Fault.DOUBLE, (Way.UP, Way.DOWN)),
+    Kind.HALF_OPEN: (Fault.LOSE, (Direction.UP, Direction.DOWN)),
+    Kind.DEAF: (Fault.LOSE, (Direction.DOWN,)),
+    Kind.MUTE: (Fault.LOSE, (Direction.UP,)),
+    Kind.HOLD: (Fault.HOLD, (Direction.UP, Direction.DOWN)),
+    Kind.DOUBLE: (Fault.DOUBLE, (Direction.UP, Direction.DOWN)),
 }
 
 
@@ -303,7 +303,7 @@
             fault, ways = FAULTS[act.kind]
             relay.put(fault, *ways)
         elif act.kind is Kind.VOTED:
-            relay.seen = lambda _, line: relay.put(Fault.LOSE, Way.DOWN) if b'"vote"' in line else None
+            relay.seen = lambda _, line: relay.put(Fault.LOSE, Direction.DOWN) if b'"vote"' in line else None
         else:
             try:
                 os.kill(pid, signal.SIGKILL if act.kind is Kind.KILL else signal.SIGSTOP)
--- a/springspread/faults/hollow/comparison.py
+++ b/springspread/faults/hollow/comparison.py
@@ -28,7 +28,7 @@
 from springspread.faults.hollow.meter import Volume
 from springspread.faults.hollow.report import Row
 from springspread.faults.hollow.traffic import Calls, TrafficLaw
-from springspread.faults.relay import Relay, Way
+from springspread.faults.relay import Direction, Relay
 from springspread.fleet.client import LEASE_WAIT_MS
 from springspread.fleet.limits import Limit, LimitMode
 from springspread.fleet.messages import LeaseRequest
@@ -180,13 +180,13 @@
         self.limits, self.policies = Counts(), Counts()
         self.kinds = {kind: Volume() for kind in KINDS}
 
-    def seen(self, way: Way, line: bytes) -> None:
+    def seen(self, way: Direction, line: bytes) -> None:
         """A line passes."""
         if not self.counting:
             return
         of_limits = line.startswith(b"[")
         counts = self.limits if of_limits else self.policies
-        (counts.up if way is Way.UP else counts.down).add(1, len(line))
+        (counts.up if way is Direction.UP else counts.down).add(1, len(line))
         if of_limits:
             self.kinds[kind_of(line)].add(1, len(line))
 
--- a/springspread/faults/hollow/sender.py
+++ b/springspread/faults/hollow/sender.py
@@ -18,7 +18,7 @@
 from springspread.faults.hollow.events import EventQueue
 from springspread.faults.hollow.meter import Meter
 from springspread.faults.hollow.network import Network, Zone
-from springspread.faults.relay import Way
+from springspread.faults.relay import Direction
 from springspread.fleet.client import LEASE_WAIT_MS, RECONNECT_MS
 from springspread.fleet.lease_cache import LeaseCache
 from springspread.fleet.messages import KeyStatuses, LeaseGrants, Welcome
@@ -38,7 +38,7 @@
 CallListener = Callable[[float, int], None]
 """Is told of a call that begins: when, and its destination."""
 
-LineListener = Callable[[Way, bytes], None]
+LineListener = Callable[[Direction, bytes], None]
 """Is told of each line about limits, with its direction."""
 
 WaitListener = Callable[["HollowSender", WaitingCall, float, bool], None]
@@ -75,7 +75,7 @@
         data = b"".join(map(encode, messages))
         meter.cpu_ns += perf_counter_ns() - begun
         meter.sent.add(len(messages), len(data))
-        self.sender.lines_pass(Way.UP, data)
+        self.sender.lines_pass(Direction.UP, data)
         connection.send_up(data)
         self._wake(queue.now)
 
@@ -111,7 +111,7 @@
         meter.cpu_ns += perf_counter_ns() - begun
         if due:
             meter.sent.add(len(due), len(data))
-            sender.lines_pass(Way.UP, data)
+            sender.lines_pass(Direction.UP, data)
             connection.send_up(data)
         self._wake(sender.queue.now + max(wait_ms, 0.1))
 
@@ -126,7 +126,7 @@
             self.session.received(clock, message)
         meter.cpu_ns += perf_counter_ns() - begun
         meter.received.add(len(messages), len(data))
-        sender.lines_pass(Way.DOWN, data)
+        sender.lines_pass(Direction.DOWN, data)
         for call in list(self.waiting):
             self._try(call)
 
@@ -198,7 +198,7 @@
         self.alive = True
         self.sessions = [ShardSession(self, shard, LeaseCache()) for shard in shards]
 
-    def lines_pass(self, way: Way, data: bytes) -> None:
+    def lines_pass(self, way: Direction, data: bytes) -> None:
         """Lines about limits are written or read."""
         if self.line_listener is not None:
             for line in data.splitlines(keepends=True):
--- a/springspread/faults/hollow/sockets.py
+++ b/springspread/faults/hollow/sockets.py
@@ -27,7 +27,7 @@
 from springspread.faults.hollow.report import Row, spread
 from springspread.faults.hollow.spans import SpanClass, find_spans
 from springspread.faults.hollow.traffic import Traffic, TrafficLaw, key_of
-from springspread.faults.relay import Relay, Way
+from springspread.faults.relay import Direction, Relay
 from springspread.fleet.allocator_server import AllocatorServer
 from springspread.fleet.client import FleetShares
 from springspread.logs import make_log
@@ -150,10 +150,10 @@
 
     def __init__(self, begin: float, end: float) -> None:
         self._begin, self._end = begin, end
-        self.lines = dict.fromkeys(Way, 0)
-        self.bytes = dict.fromkeys(Way, 0)
+        self.lines = dict.fromkeys(Direction, 0)
+        self.bytes = dict.fromkeys(Direction, 0)
 
-    def seen(self, way: Way, line: bytes) -> None:
+    def seen(self, way: Direction, line: bytes) -> None:
         """A line passes."""
         if self._begin <= SYSTEM.now() < self._end:
             self.lines[way] += 1
@@ -233,7 +233,7 @@
         Row("allocator", "processor", "mean", 100.0 * used[0] / seconds, "% of a core"),
         Row("allocator", "memory", "most", used[1], "MB"),
     ]
-    for way, name in ((Way.UP, "up"), (Way.DOWN, "down")) if counts else ():
+    for way, name in ((Direction.UP, "up"), (Direction.DOWN, "down")) if counts else ():
         rows += spread("sender", f"lines {name}", [one.lines[way] / seconds for one in counts], "1/s")
         rows += spread("sender", f"payload {name}", [one.bytes[way] / seconds for one in counts], "B/s")
     return rows + _span_rows(plan, played, begin)
--- a/springspread/faults/relay.py
+++ b/springspread/faults/relay.py
@@ -18,7 +18,7 @@
 KEPT = 200  # lines to the instance that can be replayed
 
 
-class Way(Enum):
+class Direction(Enum):
     """A direction."""
 
     UP = "to the daemon"
@@ -40,22 +40,22 @@
     def __init__(self, path: Path, daemon: Path) -> None:
         """``path``: where the instance connects; ``daemon``: the daemon's own socket."""
         self._daemon, self._open = daemon, True
-        self._faults = dict.fromkeys(Way, Fault.NONE)
+        self._faults = dict.fromkeys(Direction, Fault.NONE)
         self._away = False
         self._changed = threading.Condition()
         self._pairs: list[tuple[socket.socket, socket.socket]] = []
         self._past: deque[bytes] = deque(maxlen=KEPT)
-        self.seen: Callable[[Way, bytes], None] = unseen
+        self.seen: Callable[[Direction, bytes], None] = unseen
         path.unlink(missing_ok=True)
         self._listener = socket.socket(socket.AF_UNIX)
         self._listener.bind(str(path))
         self._listener.listen(16)
         threading.Thread(target=self._accept, name="relay", daemon=True).start()
 
-    def put(self, fault: Fault, *ways: Way) -> None:
+    def put(self, fault: Fault, *ways: Direction) -> None:
         """Begin a fault in some directions, or in both."""
         with self._changed:
-            for way in ways or tuple(Way):
+            for way in ways or tuple(Direction):
                 self._faults[way] = fault
             self._changed.notify_all()
 
@@ -108,10 +108,10 @@
                 continue
             with self._changed:
                 self._pairs.append((instance, daemon))
-            for way, source, sink in ((Way.UP, instance, daemon), (Way.DOWN, daemon, instance)):
+            for way, source, sink in ((Direction.UP, instance, daemon), (Direction.DOWN, daemon, instance)):
                 threading.Thread(target=self._pump, args=(way, source, sink), daemon=True).start()
 
-    def _pump(self, way: Way, source: socket.socket, sink: socket.socket) -> None:
+    def _pump(self, way: Direction, source: socket.socket, sink: socket.socket) -> None:
         rest = b""
         with suppress(OSError):
             while data := source.recv(65536):
@@ -121,22 +121,22 @@
         for sock in (source, sink):
             with suppress(OSError):
                 sock.shutdown(socket.SHUT_RDWR)
-        if way is Way.DOWN:
+        if way is Direction.DOWN:
             with self._changed:
                 self._pairs = [pair for pair in self._pairs if pair[1] is not source]
 
-    def _pass(self, way: Way, line: bytes, sink: socket.socket) -> None:
+    def _pass(self, way: Direction, line: bytes, sink: socket.socket) -> None:
         self.seen(way, line)
         with self._changed:
             while self._faults[way] is Fault.HOLD and self._open:
                 self._changed.wait()
             fault = self._faults[way]
-            if way is Way.DOWN and (b'"grant"' in line or b'"prepare"' in line):
+            if way is Direction.DOWN and (b'"grant"' in line or b'"prepare"' in line):
                 self._past.append(line)
         if fault is Fault.LOSE:
             return
         sink.sendall(line * (2 if fault is Fault.DOUBLE else 1))
 
 
-def unseen(way: Way, line: bytes) -> None:
+def unseen(way: Direction, line: bytes) -> None:
     """Nobody looks at what passes."""
--- a/tests/rollout/test_relay.py
+++ b/tests/rollout/test_relay.py
@@ -11,7 +11,7 @@
 
 from springspread.faults.daemon import RelayedDaemon, relay_path
 from springspread.faults.observer import begun, mixtures
-from springspread.faults.relay import Fault, Relay, Way
+from springspread.faults.relay import Direction, Fault, Relay
 from springspread.fleet.plan import read_fleet
 from tests.fleet.test_allocator_server import NullLog
 from tests.peer import until
@@ -73,7 +73,7 @@
 
 def test_instance_that_misses_the_decision_after_its_yes_holds(fleet: RelayedFleet) -> None:
     relay = fleet.relays["n001"]
-    relay.seen = lambda way, line: relay.put(Fault.LOSE, Way.DOWN) if b'"vote"' in line else None
+    relay.seen = lambda way, line: relay.put(Fault.LOSE, Direction.DOWN) if b'"vote"' in line else None
     assert fleet.propose(**calls_out(7))["state"] == "in force"
     wait_for_others_under(fleet, 2)
     relay.seen = lambda way, line: None
@@ -110,13 +110,20 @@
     finish_under(fleet, 2, {"n001"})
 
 
-@pytest.mark.parametrize(("way", "line"), [(Way.UP, b'"vote"'), (Way.DOWN, b'"grant"')])
-def test_instance_dies_after_its_yes_or_at_the_decision(fleet: RelayedFleet, way: Way, line: bytes) -> None:
+@pytest.mark.parametrize(("way", "line"), [(Direction.UP, b'"vote"'), (Direction.DOWN, b'"grant"')])
+def test_instance_dies_after_its_yes_or_at_the_decision(
+    fleet: RelayedFleet, way: Direction, line: bytes
+) -> None:
     pid, relay = fleet.rows()["n001"]["pid"], fleet.relays["n001"]
     matched: list[bytes] = []
 
-    def kill_at(direction: Way, data: bytes) -> None:
-        if not matched and direction is way and line in data and (way is Way.UP or b'"version":2' in data):
+    def kill_at(direction: Direction, data: bytes) -> None:
+        if (
+            not matched
+            and direction is way
+            and line in data
+            and (way is Direction.UP or b'"version":2' in data)
+        ):
             matched.append(data)
             os.kill(pid, signal.SIGKILL)
 
@@ -128,7 +135,7 @@
 
 def test_all_die_with_a_decision_on_record_that_reached_no_instance(fleet: RelayedFleet) -> None:
     for relay in fleet.relays.values():
-        relay.put(Fault.LOSE, Way.DOWN)
+        relay.put(Fault.LOSE, Direction.DOWN)
     assert fleet.propose(within=0.1, **calls_out(7))["state"] == "pending"
     until(lambda: fleet.daemon.order({"do": "outcome", "version": 2})["state"] == "decided", "it is decided")
     pids = [row["pid"] for row in fleet.rows().values()]
