--- a/springspread/faults/chaos.py
+++ b/springspread/faults/chaos.py
@@ -301,9 +301,11 @@
             relay.cut()
         elif act.kind in FAULTS:
             fault, ways = FAULTS[act.kind]
-            relay.put(fault, *ways)
+            relay.set_fault(fault, *ways)
         elif act.kind is Kind.VOTED:
-            relay.seen = lambda _, line: relay.put(Fault.LOSE, Direction.DOWN) if b'"vote"' in line else None
+            relay.seen = lambda _, line: (
+                relay.set_fault(Fault.LOSE, Direction.DOWN) if b'"vote"' in line else None
+            )
         else:
             try:
                 os.kill(pid, signal.SIGKILL if act.kind is Kind.KILL else signal.SIGSTOP)
--- a/springspread/faults/relay.py
+++ b/springspread/faults/relay.py
@@ -52,7 +52,7 @@
         self._listener.listen(16)
         threading.Thread(target=self._accept, name="relay", daemon=True).start()
 
-    def put(self, fault: Fault, *ways: Direction) -> None:
+    def set_fault(self, fault: Fault, *ways: Direction) -> None:
         """Begin a fault in some directions, or in both."""
         with self._changed:
             for way in ways or tuple(Direction):
@@ -73,7 +73,7 @@
         """Everything passes again."""
         with self._changed:
             self._away = False
-        self.put(Fault.NONE)
+        self.set_fault(Fault.NONE)
 
     def replay(self) -> int:
         """Say everything to the instance again that it was told lately; how many lines that was."""
@@ -89,7 +89,7 @@
         self._open = False
         self._listener.close()
         self.cut()
-        self.put(Fault.LOSE)
+        self.set_fault(Fault.LOSE)
 
     def _accept(self) -> None:
         while self._open:
--- a/tests/rollout/test_relay.py
+++ b/tests/rollout/test_relay.py
@@ -63,7 +63,7 @@
 
 
 def test_change_waits_for_the_grant_of_an_instance_that_is_cut_off(fleet: RelayedFleet) -> None:
-    fleet.relays["n001"].put(Fault.LOSE)
+    fleet.relays["n001"].set_fault(Fault.LOSE)
     assert fleet.propose(**calls_out(7))["state"] == "in force"
     wait_for_others_under(fleet, 2)
     fleet.relays["n001"].cut(away=False)
@@ -73,7 +73,7 @@
 
 def test_instance_that_misses_the_decision_after_its_yes_holds(fleet: RelayedFleet) -> None:
     relay = fleet.relays["n001"]
-    relay.seen = lambda way, line: relay.put(Fault.LOSE, Direction.DOWN) if b'"vote"' in line else None
+    relay.seen = lambda way, line: relay.set_fault(Fault.LOSE, Direction.DOWN) if b'"vote"' in line else None
     assert fleet.propose(**calls_out(7))["state"] == "in force"
     wait_for_others_under(fleet, 2)
     relay.seen = lambda way, line: None
@@ -84,7 +84,7 @@
 
 def test_replayed_grants_are_ignored(fleet: RelayedFleet) -> None:
     for relay in fleet.relays.values():
-        relay.put(Fault.DOUBLE)
+        relay.set_fault(Fault.DOUBLE)
     assert fleet.propose(**calls_out(7))["state"] == "in force"
     assert fleet.propose(**calls_out(8))["state"] == "in force"
     assert all(relay.replay() >= 6 for relay in fleet.relays.values())
@@ -92,7 +92,7 @@
 
 
 def test_delayed_lines_have_no_effect_after_the_decision(fleet: RelayedFleet) -> None:
-    fleet.relays["n002"].put(Fault.HOLD)
+    fleet.relays["n002"].set_fault(Fault.HOLD)
     assert fleet.propose(**calls_out(7))["state"] == "in force"
     wait_for_others_under(fleet, 2)
     fleet.relays["n002"].heal()
@@ -100,7 +100,7 @@
 
 
 def test_next_daemon_waits_for_grants_of_its_predecessor(fleet: RelayedFleet) -> None:
-    fleet.relays["n001"].put(Fault.LOSE)  # it has only the first daemon's grants
+    fleet.relays["n001"].set_fault(Fault.LOSE)  # it has only the first daemon's grants
     fleet.daemon.detach()
     fleet.daemon = RelayedDaemon(read_fleet(fleet.file), NullLog())
     assert fleet.propose(**calls_out(7))["state"] == "in force"
@@ -135,7 +135,7 @@
 
 def test_all_die_with_a_decision_on_record_that_reached_no_instance(fleet: RelayedFleet) -> None:
     for relay in fleet.relays.values():
-        relay.put(Fault.LOSE, Direction.DOWN)
+        relay.set_fault(Fault.LOSE, Direction.DOWN)
     assert fleet.propose(within=0.1, **calls_out(7))["state"] == "pending"
     until(lambda: fleet.daemon.order({"do": "outcome", "version": 2})["state"] == "decided", "it is decided")
     pids = [row["pid"] for row in fleet.rows().values()]
