--- a/springspread/faults/chaos.py
+++ b/springspread/faults/chaos.py
@@ -319,7 +319,7 @@
                     os.kill(pid, signal.SIGCONT)
             relay.seen = unseen
             if act.kind in (Kind.HALF_OPEN, Kind.DEAF, Kind.MUTE, Kind.VOTED):
-                relay.cut(away=False)  # lines are missing in it: it is of no use any more
+                relay.cut(refuse_new=False)  # lines are missing in it: it is of no use any more
             relay.heal()
 
         return over
--- a/springspread/faults/relay.py
+++ b/springspread/faults/relay.py
@@ -59,10 +59,10 @@
                 self._faults[way] = fault
             self._changed.notify_all()
 
-    def cut(self, away: bool = True) -> None:
-        """Break what is open, in the middle of a line; while ``away``, nobody gets through anew."""
+    def cut(self, refuse_new: bool = True) -> None:
+        """Break what is open, in the middle of a line; while ``refuse_new``, nobody gets through anew."""
         with self._changed:
-            self._away = away
+            self._away = refuse_new
             pairs, self._pairs = self._pairs, []
         for pair in pairs:
             for sock in pair:
--- a/tests/rollout/test_relay.py
+++ b/tests/rollout/test_relay.py
@@ -66,7 +66,7 @@
     fleet.relays["n001"].set_fault(Fault.LOSE)
     assert fleet.propose(**calls_out(7))["state"] == "in force"
     wait_for_others_under(fleet, 2)
-    fleet.relays["n001"].cut(away=False)
+    fleet.relays["n001"].cut(refuse_new=False)
     fleet.relays["n001"].heal()
     finish_under(fleet, 2, {"n001"})
 
@@ -77,7 +77,7 @@
     assert fleet.propose(**calls_out(7))["state"] == "in force"
     wait_for_others_under(fleet, 2)
     relay.seen = lambda way, line: None
-    relay.cut(away=False)
+    relay.cut(refuse_new=False)
     relay.heal()
     finish_under(fleet, 2, {"n001"})
 
@@ -105,7 +105,7 @@
     fleet.daemon = RelayedDaemon(read_fleet(fleet.file), NullLog())
     assert fleet.propose(**calls_out(7))["state"] == "in force"
     wait_for_others_under(fleet, 2)
-    fleet.relays["n001"].cut(away=False)
+    fleet.relays["n001"].cut(refuse_new=False)
     fleet.relays["n001"].heal()
     finish_under(fleet, 2, {"n001"})
 
@@ -143,7 +143,7 @@
     for pid in pids:
         os.kill(pid, signal.SIGKILL)
     for relay in fleet.relays.values():
-        relay.cut(away=False)
+        relay.cut(refuse_new=False)
         relay.heal()
     fleet.daemon = RelayedDaemon(read_fleet(fleet.file), NullLog())
     assert fleet.propose(**calls_out(7)) == {"state": "in force", "version": 2, "fault": ""}
