--- a/springspread/faults/chaos.py
+++ b/springspread/faults/chaos.py
@@ -303,7 +303,7 @@
             fault, ways = FAULTS[act.kind]
             relay.set_fault(fault, *ways)
         elif act.kind is Kind.VOTED:
-            relay.seen = lambda _, line: (
+            relay.line_listener = lambda _, line: (
                 relay.set_fault(Fault.LOSE, Direction.DOWN) if b'"vote"' in line else None
             )
         else:
@@ -317,7 +317,7 @@
             if act.kind is Kind.FREEZE and pid:
                 with suppress(ProcessLookupError):
                     os.kill(pid, signal.SIGCONT)
-            relay.seen = unseen
+            relay.line_listener = unseen
             if act.kind in (Kind.HALF_OPEN, Kind.DEAF, Kind.MUTE, Kind.VOTED):
                 relay.cut(refuse_new=False)  # lines are missing in it: it is of no use any more
             relay.heal()
--- a/springspread/faults/hollow/comparison.py
+++ b/springspread/faults/hollow/comparison.py
@@ -209,7 +209,7 @@
     for number in range(day.senders):
         place = folder / "fleet"
         relay, count = Relay(relay_path(place, name_of(number)), place / "allot"), LineCounts()
-        relay.seen = count.seen
+        relay.line_listener = count.seen
         relays.append(relay)
         counts.append(count)
     window: list[tuple[float, float]] = []  # the day's time and the clock's, at the begin and the end
--- a/springspread/faults/hollow/sockets.py
+++ b/springspread/faults/hollow/sockets.py
@@ -194,7 +194,7 @@
     for sender in range(min(RELAYED, plan.senders) if plan.control else 0):
         paths[sender] = folder / f"r{sender}"
         relay, count = Relay(paths[sender], daemon), LineCounts(*measured)
-        relay.seen = count.seen
+        relay.line_listener = count.seen
         relays.append(relay)
         counts.append(count)
     return paths, counts, relays
--- a/springspread/faults/relay.py
+++ b/springspread/faults/relay.py
@@ -45,7 +45,7 @@
         self._changed = threading.Condition()
         self._pairs: list[tuple[socket.socket, socket.socket]] = []
         self._past: deque[bytes] = deque(maxlen=KEPT)
-        self.seen: Callable[[Direction, bytes], None] = unseen
+        self.line_listener: Callable[[Direction, bytes], None] = unseen
         path.unlink(missing_ok=True)
         self._listener = socket.socket(socket.AF_UNIX)
         self._listener.bind(str(path))
@@ -126,7 +126,7 @@
                 self._pairs = [pair for pair in self._pairs if pair[1] is not source]
 
     def _pass(self, way: Direction, line: bytes, sink: socket.socket) -> None:
-        self.seen(way, line)
+        self.line_listener(way, line)
         with self._changed:
             while self._faults[way] is Fault.HOLD and self._open:
                 self._changed.wait()
--- a/tests/rollout/test_relay.py
+++ b/tests/rollout/test_relay.py
@@ -73,10 +73,12 @@
 
 def test_instance_that_misses_the_decision_after_its_yes_holds(fleet: RelayedFleet) -> None:
     relay = fleet.relays["n001"]
-    relay.seen = lambda way, line: relay.set_fault(Fault.LOSE, Direction.DOWN) if b'"vote"' in line else None
+    relay.line_listener = lambda way, line: (
+        relay.set_fault(Fault.LOSE, Direction.DOWN) if b'"vote"' in line else None
+    )
     assert fleet.propose(**calls_out(7))["state"] == "in force"
     wait_for_others_under(fleet, 2)
-    relay.seen = lambda way, line: None
+    relay.line_listener = lambda way, line: None
     relay.cut(refuse_new=False)
     relay.heal()
     finish_under(fleet, 2, {"n001"})
@@ -127,7 +129,7 @@
             matched.append(data)
             os.kill(pid, signal.SIGKILL)
 
-    relay.seen = kill_at
+    relay.line_listener = kill_at
     assert fleet.propose(**calls_out(7))["state"] == "in force"
     assert matched
     finish_under(fleet, 2, {"n001"})
