--- a/benchmarks/policy_chaos.py
+++ b/benchmarks/policy_chaos.py
@@ -19,10 +19,10 @@
 
 from benchmarks.tables import add, tell_long
 from springspread.faults.chaos import Chaos, Told, fleet_of
-from springspread.faults.schedule import Act, Kind, drawn, read, smaller, written
+from springspread.faults.schedule import Act, FaultKind, drawn, read, smaller, written
 
 LIMIT_MS = 1_000.0
-PROCESSES = (Kind.KILL, Kind.FREEZE, Kind.DAEMON)
+PROCESSES = (FaultKind.KILL, FaultKind.FREEZE, FaultKind.DAEMON)
 
 
 def play(args: argparse.Namespace, acts: Sequence[Act]) -> Told:
--- a/benchmarks/policy_rounds.py
+++ b/benchmarks/policy_rounds.py
@@ -17,13 +17,13 @@
 from benchmarks.tables import tell, write_table
 from springspread.faults.chaos import fleet_of
 from springspread.faults.policy_change_rounds import Arm, Rounds, tell_broken
-from springspread.faults.schedule import Kind
+from springspread.faults.schedule import FaultKind
 
-MIXED = tuple(Kind)
-ARMS: dict[str, tuple[tuple[Kind, ...], bool]] = {
+MIXED = tuple(FaultKind)
+ARMS: dict[str, tuple[tuple[FaultKind, ...], bool]] = {
     "none": ((), False),
     "none, limits move": ((), True),
-    **{kind.value: ((kind,), False) for kind in Kind},
+    **{kind.value: ((kind,), False) for kind in FaultKind},
     "any kind, limits move": (MIXED, True),
 }
 
--- a/springspread/faults/chaos.py
+++ b/springspread/faults/chaos.py
@@ -31,7 +31,7 @@
 from springspread.faults.power import CLOCK, WRITE_BACK
 from springspread.faults.relay import Direction, Fault, Relay, unseen
 from springspread.faults.sabotage import VARIABLE
-from springspread.faults.schedule import Act, Kind
+from springspread.faults.schedule import Act, FaultKind
 from springspread.fleet.control_client import send_order
 from springspread.fleet.folder import process_start_ticks
 
@@ -43,11 +43,11 @@
 OLD_TOML = 'folder = "fleet"\nconfig = "sender.json"\ninstances = {}\n'
 LIMIT_TOML = "[limits.g{}]\ncalls = {}\nspan_ms = {}\n"
 FAULTS = {
-    Kind.HALF_OPEN: (Fault.LOSE, (Direction.UP, Direction.DOWN)),
-    Kind.DEAF: (Fault.LOSE, (Direction.DOWN,)),
-    Kind.MUTE: (Fault.LOSE, (Direction.UP,)),
-    Kind.HOLD: (Fault.HOLD, (Direction.UP, Direction.DOWN)),
-    Kind.DOUBLE: (Fault.DOUBLE, (Direction.UP, Direction.DOWN)),
+    FaultKind.HALF_OPEN: (Fault.LOSE, (Direction.UP, Direction.DOWN)),
+    FaultKind.DEAF: (Fault.LOSE, (Direction.DOWN,)),
+    FaultKind.MUTE: (Fault.LOSE, (Direction.UP,)),
+    FaultKind.HOLD: (Fault.HOLD, (Direction.UP, Direction.DOWN)),
+    FaultKind.DOUBLE: (Fault.DOUBLE, (Direction.UP, Direction.DOWN)),
 }
 
 
@@ -288,37 +288,37 @@
         """Begin one; what ends it."""
         relay, name = self._relays[act.who], self._names[act.who]
         pid = int(self._rows.get(name, {}).get("pid", 0))
-        if act.kind is Kind.DAEMON:
+        if act.kind is FaultKind.DAEMON:
             self._daemon.kill()
             self._daemon.wait()
             self.told.acts[act.kind.value] += 1
             return self._again
         if not pid:
             return lambda: None
-        if act.kind is Kind.REPLAY:
+        if act.kind is FaultKind.REPLAY:
             relay.replay()
-        elif act.kind is Kind.CUT:
+        elif act.kind is FaultKind.CUT:
             relay.cut()
         elif act.kind in FAULTS:
             fault, ways = FAULTS[act.kind]
             relay.set_fault(fault, *ways)
-        elif act.kind is Kind.VOTED:
+        elif act.kind is FaultKind.VOTED:
             relay.line_listener = lambda _, line: (
                 relay.set_fault(Fault.LOSE, Direction.DOWN) if b'"vote"' in line else None
             )
         else:
             try:
-                os.kill(pid, signal.SIGKILL if act.kind is Kind.KILL else signal.SIGSTOP)
+                os.kill(pid, signal.SIGKILL if act.kind is FaultKind.KILL else signal.SIGSTOP)
             except ProcessLookupError:  # dead already, and no daemon there to start it again
                 return lambda: None
         self.told.acts[act.kind.value] += 1
 
         def over() -> None:
-            if act.kind is Kind.FREEZE and pid:
+            if act.kind is FaultKind.FREEZE and pid:
                 with suppress(ProcessLookupError):
                     os.kill(pid, signal.SIGCONT)
             relay.line_listener = unseen
-            if act.kind in (Kind.HALF_OPEN, Kind.DEAF, Kind.MUTE, Kind.VOTED):
+            if act.kind in (FaultKind.HALF_OPEN, FaultKind.DEAF, FaultKind.MUTE, FaultKind.VOTED):
                 relay.cut(refuse_new=False)  # lines are missing in it: it is of no use any more
             relay.heal()
 
@@ -351,9 +351,9 @@
         while (now := (time.monotonic() - start) * 1000.0) < length_ms or ends:
             while todo and todo[0].at <= now:
                 act = todo.pop(0)
-                if act.kind is Kind.DAEMON and self._daemon.poll() is not None:
+                if act.kind is FaultKind.DAEMON and self._daemon.poll() is not None:
                     continue
-                who = "" if act.kind is Kind.DAEMON else f"{self._names[act.who]} "
+                who = "" if act.kind is FaultKind.DAEMON else f"{self._names[act.who]} "
                 ends.append((now + act.lasts, self.befall(act), f"{who}{act.kind.value}"))
             for one in [one for one in ends if one[0] <= now]:
                 ends.remove(one)
--- a/springspread/faults/policy_change_rounds.py
+++ b/springspread/faults/policy_change_rounds.py
@@ -19,7 +19,7 @@
 from springspread.faults.external_services import GROUP, Outside
 from springspread.faults.failpoints import Deed
 from springspread.faults.observer import begun, borders, gaps, mixtures, over_limit
-from springspread.faults.schedule import Act, Kind
+from springspread.faults.schedule import Act, FaultKind
 from springspread.fleet.control_client import send_order
 
 LIMITS = ((300, 500.0), (60, 500.0), (600, 500.0))  # cut to a fifth, raised tenfold, halved
@@ -65,7 +65,9 @@
         self._slots, self._turn = 20, 0
         self._given: dict[int, str] = {}  # what was answered of each change
 
-    def arm(self, name: str, kinds: Sequence[Kind], count: int, many: int, seed: int, limits: bool) -> Arm:
+    def arm(
+        self, name: str, kinds: Sequence[FaultKind], count: int, many: int, seed: int, limits: bool
+    ) -> Arm:
         """``count`` changes; round each of them ``many`` instances meet one of ``kinds``.
 
         With ``limits`` each change moves the partner's limit, too.
@@ -82,9 +84,9 @@
             acts = []
             if kinds:
                 kind = rng.choice(list(kinds))
-                whose = [0] if kind is Kind.DAEMON else rng.sample(range(len(self._names)), many)
+                whose = [0] if kind is FaultKind.DAEMON else rng.sample(range(len(self._names)), many)
                 acts = [Act(rng.uniform(0.0, 800.0), kind, who, rng.uniform(50.0, 600.0)) for who in whose]
-                touched |= {self._names[act.who] for act in acts if kind is not Kind.DAEMON}
+                touched |= {self._names[act.who] for act in acts if kind is not FaultKind.DAEMON}
             number = self._round(arm, sorted(acts, key=lambda act: act.at), limit)
             if limit is not None:
                 limited[number] = limit
@@ -117,11 +119,11 @@
             now = 1000.0 * (time.monotonic() - start)
             while todo and todo[0].at <= now and not over.is_set():
                 act = todo.pop(0)
-                if act.kind is not Kind.DAEMON or self._daemon.poll() is None:
+                if act.kind is not FaultKind.DAEMON or self._daemon.poll() is None:
                     ends.append((act.lasts, self.befall(act)))
             for one in list(ends):
                 # A daemon comes back in its time; others are healed when the change has its answer.
-                if over.is_set() or (acts[0].kind is Kind.DAEMON and now >= acts[0].at + one[0]):
+                if over.is_set() or (acts[0].kind is FaultKind.DAEMON and now >= acts[0].at + one[0]):
                     ends.remove(one)
                     one[1]()
             self.look()
--- a/springspread/faults/schedule.py
+++ b/springspread/faults/schedule.py
@@ -11,7 +11,7 @@
 from random import Random
 
 
-class Kind(Enum):
+class FaultKind(Enum):
     """What may befall an instance's process, its way to the daemon, or the daemon."""
 
     KILL = "killed"
@@ -34,7 +34,7 @@
     """
 
     at: float
-    kind: Kind
+    kind: FaultKind
     who: int
     lasts: float
 
@@ -43,7 +43,7 @@
     """One act about every ``each_ms``; nobody meets two at a time, and all are over before the end."""
     rng, free, made, at = Random(f"{seed}/acts"), [0.0] * instances, list[Act](), 1_000.0
     while at < length_ms - 4_000.0:
-        kind, lasts = rng.choice(list(Kind)), rng.uniform(100.0, 4_000.0)
+        kind, lasts = rng.choice(list(FaultKind)), rng.uniform(100.0, 4_000.0)
         idle = [n for n in range(instances) if free[n] <= at]
         if idle:
             who = rng.choice(idle)
@@ -63,13 +63,13 @@
     for turn in range(int((length_ms - 4_000.0) / round_ms)):
         begin = 1_000.0 + turn * round_ms
         who = rng.sample(range(instances), instances)
-        made.append(Act(begin, Kind.VOTED, who[0], 2_000.0))
+        made.append(Act(begin, FaultKind.VOTED, who[0], 2_000.0))
         half_at = begin + 2_500.0 + rng.uniform(0.0, 500.0)
-        made.append(Act(half_at, Kind.HALF_OPEN, who[1 % instances], 4_000.0))
+        made.append(Act(half_at, FaultKind.HALF_OPEN, who[1 % instances], 4_000.0))
         if turn % 2 == 0:  # nobody else is silent then: waiting for another would be waiting for this one
-            made.append(Act(half_at + 100.0, Kind.DAEMON, 0, 150.0))
+            made.append(Act(half_at + 100.0, FaultKind.DAEMON, 0, 150.0))
             continue
-        for one, kind in zip(who[2:], (Kind.FREEZE, Kind.KILL, Kind.MUTE), strict=False):
+        for one, kind in zip(who[2:], (FaultKind.FREEZE, FaultKind.KILL, FaultKind.MUTE), strict=False):
             made.append(Act(half_at + rng.uniform(500.0, 1_000.0), kind, one, 1_000.0))
     return tuple(sorted(made, key=lambda act: act.at))
 
@@ -86,7 +86,7 @@
     for number, raw in enumerate(json.loads(text), 1):
         try:
             at, kind, who, lasts = raw
-            made.append(Act(float(at), Kind(kind), int(who), float(lasts)))
+            made.append(Act(float(at), FaultKind(kind), int(who), float(lasts)))
         except (TypeError, ValueError) as exc:
             raise ValueError(f"act {number}: {exc}") from exc
     return tuple(sorted(made, key=lambda act: act.at))
--- a/tests/faults/test_chaos.py
+++ b/tests/faults/test_chaos.py
@@ -4,16 +4,16 @@
 from springspread.faults.external_services import Outside
 from springspread.faults.failpoints import Deed
 from springspread.faults.policy_change_rounds import Rounds
-from springspread.faults.schedule import Act, Kind, drawn
+from springspread.faults.schedule import Act, FaultKind, drawn
 
 
 def test_changes_go_on_through_faults_between_processes(tmp_path: Path) -> None:
     acts = (
-        Act(500.0, Kind.DEAF, 0, 1500.0),
-        Act(1000.0, Kind.DAEMON, 0, 200.0),
-        Act(1500.0, Kind.FREEZE, 1, 2500.0),
-        Act(2500.0, Kind.KILL, 2, 100.0),
-        Act(3500.0, Kind.REPLAY, 2, 100.0),
+        Act(500.0, FaultKind.DEAF, 0, 1500.0),
+        Act(1000.0, FaultKind.DAEMON, 0, 200.0),
+        Act(1500.0, FaultKind.FREEZE, 1, 2500.0),
+        Act(2500.0, FaultKind.KILL, 2, 100.0),
+        Act(3500.0, FaultKind.REPLAY, 2, 100.0),
     )
     outside = Outside()
     chaos = Chaos(tmp_path, outside, 3)
@@ -29,7 +29,7 @@
 def test_a_schedule_is_drawn_from_its_seed_and_is_over_before_the_end() -> None:
     first, again, other = (drawn(seed, 4, 30_000.0, 500.0) for seed in (1, 1, 2))
     assert first == again != other
-    assert {act.kind for act in first + other} == set(Kind)
+    assert {act.kind for act in first + other} == set(FaultKind)
     assert all(act.at + act.lasts <= 28_000.0 and 0 <= act.who < 4 for act in first)
 
 
@@ -38,7 +38,7 @@
     rounds = Rounds(tmp_path, outside, 2, 1000.0)
     try:
         calm = rounds.arm("calm", (), 1, 0, 1, True)
-        killed = rounds.arm("killed", (Kind.KILL, Kind.DAEMON), 2, 1, 1, False)
+        killed = rounds.arm("killed", (FaultKind.KILL, FaultKind.DAEMON), 2, 1, 1, False)
     finally:
         rounds.close()
         outside.close()
--- a/tests/faults/test_schedule.py
+++ b/tests/faults/test_schedule.py
@@ -1,13 +1,13 @@
 import pytest
 
-from springspread.faults.schedule import Act, Kind, drawn, pressed, read, smaller, written
+from springspread.faults.schedule import Act, FaultKind, drawn, pressed, read, smaller, written
 
 ACTS = drawn(3, 6, 60_000.0, 1_000.0)
 
 
 def test_a_schedule_is_kept_and_read_again() -> None:
     assert len(ACTS) > 30 and read(written(ACTS)) == ACTS
-    with pytest.raises(ValueError, match="act 2: 'melted' is not a valid Kind"):
+    with pytest.raises(ValueError, match="act 2: 'melted' is not a valid FaultKind"):
         read('[[1.0, "killed", 0, 5.0], [2.0, "melted", 0, 5.0]]')
 
 
@@ -15,16 +15,16 @@
     acts = pressed(1, 5, 60_000.0)
     assert acts == pressed(1, 5, 60_000.0) != pressed(2, 5, 60_000.0)
     assert {act.kind for act in acts} == {
-        Kind.VOTED,
-        Kind.HALF_OPEN,
-        Kind.FREEZE,
-        Kind.KILL,
-        Kind.MUTE,
-        Kind.DAEMON,
+        FaultKind.VOTED,
+        FaultKind.HALF_OPEN,
+        FaultKind.FREEZE,
+        FaultKind.KILL,
+        FaultKind.MUTE,
+        FaultKind.DAEMON,
     }
     assert all(act.at + act.lasts <= 58_000.0 for act in acts)
     for who in range(5):
-        mine = [act for act in acts if act.who == who and act.kind is not Kind.DAEMON]
+        mine = [act for act in acts if act.who == who and act.kind is not FaultKind.DAEMON]
         assert all(one.at + one.lasts <= two.at for one, two in zip(mine, mine[1:], strict=False))
 
 
@@ -40,4 +40,4 @@
     plays.clear()
     few = smaller(ACTS, fails, 5)
     assert cause <= set(few) and len(plays) == 5
-    assert smaller((Act(0.0, Kind.KILL, 0, 1.0),), fails, 5) == (Act(0.0, Kind.KILL, 0, 1.0),)
+    assert smaller((Act(0.0, FaultKind.KILL, 0, 1.0),), fails, 5) == (Act(0.0, FaultKind.KILL, 0, 1.0),)
