--- a/benchmarks/policy_chaos.py
+++ b/benchmarks/policy_chaos.py
@@ -19,13 +19,13 @@
 
 from benchmarks.tables import add, tell_long
 from springspread.faults.chaos import Chaos, Told, fleet_of
-from springspread.faults.schedule import Act, FaultKind, drawn, read, smaller, written
+from springspread.faults.schedule import FaultKind, ScheduledFault, drawn, read, smaller, written
 
 LIMIT_MS = 1_000.0
 PROCESSES = (FaultKind.KILL, FaultKind.FREEZE, FaultKind.DAEMON)
 
 
-def play(args: argparse.Namespace, acts: Sequence[Act]) -> Told:
+def play(args: argparse.Namespace, acts: Sequence[ScheduledFault]) -> Told:
     """One run on a new fleet."""
     limit = (args.limit, LIMIT_MS) if args.limit else None
     made = {"lease_ms": args.lease_ms, "each_s": args.load_s, "limit": limit, "program": args.old}
--- a/springspread/faults/chaos.py
+++ b/springspread/faults/chaos.py
@@ -31,7 +31,7 @@
 from springspread.faults.power import CLOCK, WRITE_BACK
 from springspread.faults.relay import Direction, Fault, Relay, unseen
 from springspread.faults.sabotage import VARIABLE
-from springspread.faults.schedule import Act, FaultKind
+from springspread.faults.schedule import FaultKind, ScheduledFault
 from springspread.fleet.control_client import send_order
 from springspread.fleet.folder import process_start_ticks
 
@@ -284,7 +284,7 @@
 
     # Faults
 
-    def befall(self, act: Act) -> Callable[[], None]:
+    def befall(self, act: ScheduledFault) -> Callable[[], None]:
         """Begin one; what ends it."""
         relay, name = self._relays[act.who], self._names[act.who]
         pid = int(self._rows.get(name, {}).get("pid", 0))
@@ -330,7 +330,7 @@
 
     def play(
         self,
-        acts: Sequence[Act],
+        acts: Sequence[ScheduledFault],
         length_ms: float,
         show: Callable[[float, dict[str, dict[str, Any]], list[str]], None] | None = None,
         rival: bool = False,
--- a/springspread/faults/policy_change_rounds.py
+++ b/springspread/faults/policy_change_rounds.py
@@ -19,7 +19,7 @@
 from springspread.faults.external_services import GROUP, Outside
 from springspread.faults.failpoints import Deed
 from springspread.faults.observer import begun, borders, gaps, mixtures, over_limit
-from springspread.faults.schedule import Act, FaultKind
+from springspread.faults.schedule import FaultKind, ScheduledFault
 from springspread.fleet.control_client import send_order
 
 LIMITS = ((300, 500.0), (60, 500.0), (600, 500.0))  # cut to a fifth, raised tenfold, halved
@@ -85,7 +85,10 @@
             if kinds:
                 kind = rng.choice(list(kinds))
                 whose = [0] if kind is FaultKind.DAEMON else rng.sample(range(len(self._names)), many)
-                acts = [Act(rng.uniform(0.0, 800.0), kind, who, rng.uniform(50.0, 600.0)) for who in whose]
+                acts = [
+                    ScheduledFault(rng.uniform(0.0, 800.0), kind, who, rng.uniform(50.0, 600.0))
+                    for who in whose
+                ]
                 touched |= {self._names[act.who] for act in acts if kind is not FaultKind.DAEMON}
             number = self._round(arm, sorted(acts, key=lambda act: act.at), limit)
             if limit is not None:
@@ -97,7 +100,7 @@
         self._judge(arm, begun_at, touched, limited)
         return arm
 
-    def _round(self, arm: Arm, acts: Sequence[Act], limit: tuple[int, float] | None) -> int:
+    def _round(self, arm: Arm, acts: Sequence[ScheduledFault], limit: tuple[int, float] | None) -> int:
         """One change, its faults, its one answer; its number."""
         self._slots = 5 if self._slots >= 40 else self._slots + 1
         self._base["settings"]["specifics"]["callsOut"] = self._slots
--- a/springspread/faults/sabotage.py
+++ b/springspread/faults/sabotage.py
@@ -13,7 +13,7 @@
 from typing import Any
 
 from springspread.config import load_raw
-from springspread.faults.schedule import Act, FaultKind
+from springspread.faults.schedule import FaultKind, ScheduledFault
 from springspread.fleet.allocator_server import AllocatorServer
 from springspread.fleet.client import FleetShares
 from springspread.fleet.limits import Limit, LimitMode
@@ -25,10 +25,10 @@
 VARIABLE = "FAULTS_SABOTAGE"
 FOR_MS = 5_000.0
 HALF_OPEN_AS_IT_DIES = (
-    Act(3_000.0, FaultKind.HALF_OPEN, 0, 4_000.0),
-    Act(3_100.0, FaultKind.DAEMON, 0, 150.0),
+    ScheduledFault(3_000.0, FaultKind.HALF_OPEN, 0, 4_000.0),
+    ScheduledFault(3_100.0, FaultKind.DAEMON, 0, 150.0),
 )
-ALL_DIE = tuple(Act(3_000.0 + 500.0 * n, FaultKind.KILL, n % 5, 100.0) for n in range(10))
+ALL_DIE = tuple(ScheduledFault(3_000.0 + 500.0 * n, FaultKind.KILL, n % 5, 100.0) for n in range(10))
 
 
 @dataclass(frozen=True, slots=True)
@@ -43,7 +43,7 @@
     sender: bool
     install: Callable[[], None]
     limited: bool = False
-    acts: tuple[Act, ...] = ()
+    acts: tuple[ScheduledFault, ...] = ()
 
 
 def _acts_on_a_proposal() -> None:
--- a/springspread/faults/schedule.py
+++ b/springspread/faults/schedule.py
@@ -28,7 +28,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Act:
+class ScheduledFault:
     """From ``at`` for ``lasts`` (milliseconds); ``who`` is an instance's number, of no account for the
     daemon.
     """
@@ -39,60 +39,62 @@
     lasts: float
 
 
-def drawn(seed: int, instances: int, length_ms: float, each_ms: float) -> tuple[Act, ...]:
+def drawn(seed: int, instances: int, length_ms: float, each_ms: float) -> tuple[ScheduledFault, ...]:
     """One act about every ``each_ms``; nobody meets two at a time, and all are over before the end."""
-    rng, free, made, at = Random(f"{seed}/acts"), [0.0] * instances, list[Act](), 1_000.0
+    rng, free, made, at = Random(f"{seed}/acts"), [0.0] * instances, list[ScheduledFault](), 1_000.0
     while at < length_ms - 4_000.0:
         kind, lasts = rng.choice(list(FaultKind)), rng.uniform(100.0, 4_000.0)
         idle = [n for n in range(instances) if free[n] <= at]
         if idle:
             who = rng.choice(idle)
             free[who] = at + lasts + 500.0
-            made.append(Act(at, kind, who, min(lasts, length_ms - at - 2_000.0)))
+            made.append(ScheduledFault(at, kind, who, min(lasts, length_ms - at - 2_000.0)))
         at += rng.expovariate(1.0 / each_ms)
     return tuple(made)
 
 
-def pressed(seed: int, instances: int, length_ms: float) -> tuple[Act, ...]:
+def pressed(seed: int, instances: int, length_ms: float) -> tuple[ScheduledFault, ...]:
     """Faults where they hurt a change most, round after round.
 
     One instance goes deaf as soon as it has voted; later one is half-open, and right after that the daemon
     is killed, or, every second time, one instance is frozen, one killed and one not heard.
     """
-    rng, made, round_ms = Random(f"{seed}/pressed"), list[Act](), 9_000.0
+    rng, made, round_ms = Random(f"{seed}/pressed"), list[ScheduledFault](), 9_000.0
     for turn in range(int((length_ms - 4_000.0) / round_ms)):
         begin = 1_000.0 + turn * round_ms
         who = rng.sample(range(instances), instances)
-        made.append(Act(begin, FaultKind.VOTED, who[0], 2_000.0))
+        made.append(ScheduledFault(begin, FaultKind.VOTED, who[0], 2_000.0))
         half_at = begin + 2_500.0 + rng.uniform(0.0, 500.0)
-        made.append(Act(half_at, FaultKind.HALF_OPEN, who[1 % instances], 4_000.0))
+        made.append(ScheduledFault(half_at, FaultKind.HALF_OPEN, who[1 % instances], 4_000.0))
         if turn % 2 == 0:  # nobody else is silent then: waiting for another would be waiting for this one
-            made.append(Act(half_at + 100.0, FaultKind.DAEMON, 0, 150.0))
+            made.append(ScheduledFault(half_at + 100.0, FaultKind.DAEMON, 0, 150.0))
             continue
         for one, kind in zip(who[2:], (FaultKind.FREEZE, FaultKind.KILL, FaultKind.MUTE), strict=False):
-            made.append(Act(half_at + rng.uniform(500.0, 1_000.0), kind, one, 1_000.0))
+            made.append(ScheduledFault(half_at + rng.uniform(500.0, 1_000.0), kind, one, 1_000.0))
     return tuple(sorted(made, key=lambda act: act.at))
 
 
-def written(acts: Sequence[Act]) -> str:
+def written(acts: Sequence[ScheduledFault]) -> str:
     """As JSON, one act a line, to be kept and played again."""
     lines = [json.dumps([act.at, act.kind.value, act.who, act.lasts]) for act in acts]
     return "[\n" + ",\n".join(lines) + "\n]\n"
 
 
-def read(text: str) -> tuple[Act, ...]:
+def read(text: str) -> tuple[ScheduledFault, ...]:
     """What ``written`` made; raises ``ValueError`` that names the act."""
     made = []
     for number, raw in enumerate(json.loads(text), 1):
         try:
             at, kind, who, lasts = raw
-            made.append(Act(float(at), FaultKind(kind), int(who), float(lasts)))
+            made.append(ScheduledFault(float(at), FaultKind(kind), int(who), float(lasts)))
         except (TypeError, ValueError) as exc:
             raise ValueError(f"act {number}: {exc}") from exc
     return tuple(sorted(made, key=lambda act: act.at))
 
 
-def smaller(acts: Sequence[Act], fails: Callable[[tuple[Act, ...]], bool], tries: int) -> tuple[Act, ...]:
+def smaller(
+    acts: Sequence[ScheduledFault], fails: Callable[[tuple[ScheduledFault, ...]], bool], tries: int
+) -> tuple[ScheduledFault, ...]:
     """A part of a failing schedule that still fails, of which no single act can go; at most ``tries`` plays.
 
     Halves are left out first, then ever smaller parts (delta debugging, after Zeller and Hildebrandt).
--- a/tests/faults/test_chaos.py
+++ b/tests/faults/test_chaos.py
@@ -4,16 +4,16 @@
 from springspread.faults.external_services import Outside
 from springspread.faults.failpoints import Deed
 from springspread.faults.policy_change_rounds import Rounds
-from springspread.faults.schedule import Act, FaultKind, drawn
+from springspread.faults.schedule import FaultKind, ScheduledFault, drawn
 
 
 def test_changes_go_on_through_faults_between_processes(tmp_path: Path) -> None:
     acts = (
-        Act(500.0, FaultKind.DEAF, 0, 1500.0),
-        Act(1000.0, FaultKind.DAEMON, 0, 200.0),
-        Act(1500.0, FaultKind.FREEZE, 1, 2500.0),
-        Act(2500.0, FaultKind.KILL, 2, 100.0),
-        Act(3500.0, FaultKind.REPLAY, 2, 100.0),
+        ScheduledFault(500.0, FaultKind.DEAF, 0, 1500.0),
+        ScheduledFault(1000.0, FaultKind.DAEMON, 0, 200.0),
+        ScheduledFault(1500.0, FaultKind.FREEZE, 1, 2500.0),
+        ScheduledFault(2500.0, FaultKind.KILL, 2, 100.0),
+        ScheduledFault(3500.0, FaultKind.REPLAY, 2, 100.0),
     )
     outside = Outside()
     chaos = Chaos(tmp_path, outside, 3)
--- a/tests/faults/test_schedule.py
+++ b/tests/faults/test_schedule.py
@@ -1,6 +1,6 @@
 import pytest
 
-from springspread.faults.schedule import Act, FaultKind, drawn, pressed, read, smaller, written
+from springspread.faults.schedule import FaultKind, ScheduledFault, drawn, pressed, read, smaller, written
 
 ACTS = drawn(3, 6, 60_000.0, 1_000.0)
 
@@ -30,9 +30,9 @@
 
 def test_a_failing_schedule_is_made_as_small_as_its_cause() -> None:
     cause = {ACTS[4], ACTS[17], ACTS[-1]}
-    plays: list[tuple[Act, ...]] = []
+    plays: list[tuple[ScheduledFault, ...]] = []
 
-    def fails(part: tuple[Act, ...]) -> bool:
+    def fails(part: tuple[ScheduledFault, ...]) -> bool:
         plays.append(part)
         return cause <= set(part)
 
@@ -40,4 +40,6 @@
     plays.clear()
     few = smaller(ACTS, fails, 5)
     assert cause <= set(few) and len(plays) == 5
-    assert smaller((Act(0.0, FaultKind.KILL, 0, 1.0),), fails, 5) == (Act(0.0, FaultKind.KILL, 0, 1.0),)
+    assert smaller((ScheduledFault(0.0, FaultKind.KILL, 0, 1.0),), fails, 5) == (
+        ScheduledFault(0.0, FaultKind.KILL, 0, 1.0),
+    )
