--- a/benchmarks/policy_chaos.py
+++ b/benchmarks/policy_chaos.py
@@ -19,7 +19,7 @@
 
 from benchmarks.tables import add, tell_long
 from springspread.faults.chaos import Chaos, Told, fleet_of
-from springspread.faults.schedule import FaultKind, ScheduledFault, drawn, read, smaller, written
+from springspread.faults.schedule import FaultKind, ScheduledFault, random_schedule, read, smaller, written
 
 LIMIT_MS = 1_000.0
 PROCESSES = (FaultKind.KILL, FaultKind.FREEZE, FaultKind.DAEMON)
@@ -52,7 +52,7 @@
     parser.add_argument("--csv", type=Path)
     args = parser.parse_args()
     length_ms = 1000.0 * args.seconds
-    acts = () if args.calm else drawn(args.seed, args.instances, length_ms, 1000.0 * args.each_s)
+    acts = () if args.calm else random_schedule(args.seed, args.instances, length_ms, 1000.0 * args.each_s)
     if args.replay is not None:
         acts = read(args.replay.read_text())
     if args.processes or args.old:
--- a/springspread/cli/demo.py
+++ b/springspread/cli/demo.py
@@ -10,7 +10,7 @@
 def fleet_demo(instances: int, seconds: float, seed: int) -> int:
     """Run it; returns the exit status: 0 if every promise held, else 1."""
     from springspread.faults.chaos import Chaos, fleet_of
-    from springspread.faults.schedule import drawn
+    from springspread.faults.schedule import random_schedule
 
     def show(now: float, rows: dict[str, dict[str, Any]], faults: list[str]) -> None:
         policies = "  ".join(f"{name}:{row['policy'] or '-'}" for name, row in sorted(rows.items()))
@@ -18,7 +18,7 @@
 
     click.echo("the policy that each instance acts under (-: none), and the injected faults")
     with fleet_of(Chaos, instances) as (chaos, _):
-        result = chaos.play(drawn(seed, instances, 1000 * seconds, 1500.0), 1000 * seconds, show)
+        result = chaos.play(random_schedule(seed, instances, 1000 * seconds, 1500.0), 1000 * seconds, show)
     for line in (
         *result.mixtures,
         *result.undone,
--- a/springspread/faults/schedule.py
+++ b/springspread/faults/schedule.py
@@ -39,7 +39,9 @@
     lasts: float
 
 
-def drawn(seed: int, instances: int, length_ms: float, each_ms: float) -> tuple[ScheduledFault, ...]:
+def random_schedule(
+    seed: int, instances: int, length_ms: float, each_ms: float
+) -> tuple[ScheduledFault, ...]:
     """One act about every ``each_ms``; nobody meets two at a time, and all are over before the end."""
     rng, free, made, at = Random(f"{seed}/acts"), [0.0] * instances, list[ScheduledFault](), 1_000.0
     while at < length_ms - 4_000.0:
--- a/tests/faults/test_chaos.py
+++ b/tests/faults/test_chaos.py
@@ -4,7 +4,7 @@
 from springspread.faults.external_services import Outside
 from springspread.faults.failpoints import Deed
 from springspread.faults.policy_change_rounds import Rounds
-from springspread.faults.schedule import FaultKind, ScheduledFault, drawn
+from springspread.faults.schedule import FaultKind, ScheduledFault, random_schedule
 
 
 def test_changes_go_on_through_faults_between_processes(tmp_path: Path) -> None:
@@ -27,7 +27,7 @@
 
 
 def test_a_schedule_is_drawn_from_its_seed_and_is_over_before_the_end() -> None:
-    first, again, other = (drawn(seed, 4, 30_000.0, 500.0) for seed in (1, 1, 2))
+    first, again, other = (random_schedule(seed, 4, 30_000.0, 500.0) for seed in (1, 1, 2))
     assert first == again != other
     assert {act.kind for act in first + other} == set(FaultKind)
     assert all(act.at + act.lasts <= 28_000.0 and 0 <= act.who < 4 for act in first)
--- a/tests/faults/test_schedule.py
+++ b/tests/faults/test_schedule.py
@@ -1,8 +1,16 @@
 import pytest
 
-from springspread.faults.schedule import FaultKind, ScheduledFault, drawn, pressed, read, smaller, written
-
-ACTS = drawn(3, 6, 60_000.0, 1_000.0)
+from springspread.faults.schedule import (
+    FaultKind,
+    ScheduledFault,
+    pressed,
+    random_schedule,
+    read,
+    smaller,
+    written,
+)
+
+ACTS = random_schedule(3, 6, 60_000.0, 1_000.0)
 
 
 def test_a_schedule_is_kept_and_read_again() -> None:
