--- a/benchmarks/policy_sabotage.py
+++ b/benchmarks/policy_sabotage.py
@@ -14,7 +14,7 @@
 from benchmarks.tables import tell, write_table
 from springspread.faults.chaos import Chaos, Told, fleet_of
 from springspread.faults.sabotage import SABOTAGES
-from springspread.faults.schedule import pressed
+from springspread.faults.schedule import worst_case_schedule
 
 INSTANCES = 5
 LEASE_MS = 5_000.0  # longer than a new daemon takes to begin and to decide
@@ -24,7 +24,7 @@
 def play(sabotage: str, limited: bool, seconds: float, seed: int) -> Told:
     """One run of a build."""
     own = SABOTAGES[sabotage].acts if sabotage else ()
-    acts = own or pressed(seed, INSTANCES, 1000.0 * seconds)
+    acts = own or worst_case_schedule(seed, INSTANCES, 1000.0 * seconds)
     limit = LIMIT if limited else None
     with fleet_of(Chaos, INSTANCES, lease_ms=LEASE_MS, limit=limit, sabotage=sabotage) as (chaos, _):
         return chaos.play(acts, 1000.0 * seconds, rival=not own)
--- a/springspread/faults/schedule.py
+++ b/springspread/faults/schedule.py
@@ -55,7 +55,7 @@
     return tuple(made)
 
 
-def pressed(seed: int, instances: int, length_ms: float) -> tuple[ScheduledFault, ...]:
+def worst_case_schedule(seed: int, instances: int, length_ms: float) -> tuple[ScheduledFault, ...]:
     """Faults where they hurt a change most, round after round.
 
     One instance goes deaf as soon as it has voted; later one is half-open, and right after that the daemon
--- a/tests/faults/test_schedule.py
+++ b/tests/faults/test_schedule.py
@@ -3,10 +3,10 @@
 from springspread.faults.schedule import (
     FaultKind,
     ScheduledFault,
-    pressed,
     random_schedule,
     read,
     smaller,
+    worst_case_schedule,
     written,
 )
 
@@ -20,8 +20,8 @@
 
 
 def test_a_pressed_schedule_hurts_each_round_and_nobody_twice_at_a_time() -> None:
-    acts = pressed(1, 5, 60_000.0)
-    assert acts == pressed(1, 5, 60_000.0) != pressed(2, 5, 60_000.0)
+    acts = worst_case_schedule(1, 5, 60_000.0)
+    assert acts == worst_case_schedule(1, 5, 60_000.0) != worst_case_schedule(2, 5, 60_000.0)
     assert {act.kind for act in acts} == {
         FaultKind.VOTED,
         FaultKind.HALF_OPEN,
