--- a/benchmarks/policy_chaos.py
+++ b/benchmarks/policy_chaos.py
@@ -19,7 +19,14 @@
 
 from benchmarks.tables import add, tell_long
 from springspread.faults.chaos import Chaos, Told, fleet_of
-from springspread.faults.schedule import FaultKind, ScheduledFault, random_schedule, read, smaller, written
+from springspread.faults.schedule import (
+    FaultKind,
+    ScheduledFault,
+    parse_schedule,
+    random_schedule,
+    smaller,
+    written,
+)
 
 LIMIT_MS = 1_000.0
 PROCESSES = (FaultKind.KILL, FaultKind.FREEZE, FaultKind.DAEMON)
@@ -54,7 +61,7 @@
     length_ms = 1000.0 * args.seconds
     acts = () if args.calm else random_schedule(args.seed, args.instances, length_ms, 1000.0 * args.each_s)
     if args.replay is not None:
-        acts = read(args.replay.read_text())
+        acts = parse_schedule(args.replay.read_text())
     if args.processes or args.old:
         acts = tuple(act for act in acts if act.kind in PROCESSES)
     told = play(args, acts)
--- a/springspread/faults/schedule.py
+++ b/springspread/faults/schedule.py
@@ -82,7 +82,7 @@
     return "[\n" + ",\n".join(lines) + "\n]\n"
 
 
-def read(text: str) -> tuple[ScheduledFault, ...]:
+def parse_schedule(text: str) -> tuple[ScheduledFault, ...]:
     """What ``written`` made; raises ``ValueError`` that names the act."""
     made = []
     for number, raw in enumerate(json.loads(text), 1):
--- a/tests/faults/test_schedule.py
+++ b/tests/faults/test_schedule.py
@@ -3,8 +3,8 @@
 from springspread.faults.schedule import (
     FaultKind,
     ScheduledFault,
+    parse_schedule,
     random_schedule,
-    read,
     smaller,
     worst_case_schedule,
     written,
@@ -14,9 +14,9 @@
 
 
 def test_a_schedule_is_kept_and_read_again() -> None:
-    assert len(ACTS) > 30 and read(written(ACTS)) == ACTS
+    assert len(ACTS) > 30 and parse_schedule(written(ACTS)) == ACTS
     with pytest.raises(ValueError, match="act 2: 'melted' is not a valid FaultKind"):
-        read('[[1.0, "killed", 0, 5.0], [2.0, "melted", 0, 5.0]]')
+        parse_schedule('[[1.0, "killed", 0, 5.0], [2.0, "melted", 0, 5.0]]')
 
 
 def test_a_pressed_schedule_hurts_each_round_and_nobody_twice_at_a_time() -> None:
