--- a/benchmarks/policy_chaos.py
+++ b/benchmarks/policy_chaos.py
@@ -22,10 +22,10 @@
 from springspread.faults.schedule import (
     FaultKind,
     ScheduledFault,
+    format_schedule,
     parse_schedule,
     random_schedule,
     smaller,
-    written,
 )
 
 LIMIT_MS = 1_000.0
@@ -68,7 +68,7 @@
     if not told.held:
         if args.smaller:
             acts = smaller(acts, lambda part: not play(args, part).held, args.smaller)
-        args.keep.write_text(written(acts))
+        args.keep.write_text(format_schedule(acts))
         print(f"{args.keep}: the schedule, {len(acts)} acts; play it again with --replay")
     times = np.array(told.in_force or [float("nan")])
     row = {
--- a/springspread/faults/schedule.py
+++ b/springspread/faults/schedule.py
@@ -76,14 +76,14 @@
     return tuple(sorted(made, key=lambda act: act.at))
 
 
-def written(acts: Sequence[ScheduledFault]) -> str:
+def format_schedule(acts: Sequence[ScheduledFault]) -> str:
     """As JSON, one act a line, to be kept and played again."""
     lines = [json.dumps([act.at, act.kind.value, act.who, act.lasts]) for act in acts]
     return "[\n" + ",\n".join(lines) + "\n]\n"
 
 
 def parse_schedule(text: str) -> tuple[ScheduledFault, ...]:
-    """What ``written`` made; raises ``ValueError`` that names the act."""
+    """What ``format_schedule`` made; raises ``ValueError`` that names the act."""
     made = []
     for number, raw in enumerate(json.loads(text), 1):
         try:
--- a/tests/faults/test_schedule.py
+++ b/tests/faults/test_schedule.py
@@ -3,18 +3,18 @@
 from springspread.faults.schedule import (
     FaultKind,
     ScheduledFault,
+    format_schedule,
     parse_schedule,
     random_schedule,
     smaller,
     worst_case_schedule,
-    written,
 )
 
 ACTS = random_schedule(3, 6, 60_000.0, 1_000.0)
 
 
 def test_a_schedule_is_kept_and_read_again() -> None:
-    assert len(ACTS) > 30 and parse_schedule(written(ACTS)) == ACTS
+    assert len(ACTS) > 30 and parse_schedule(format_schedule(ACTS)) == ACTS
     with pytest.raises(ValueError, match="act 2: 'melted' is not a valid FaultKind"):
         parse_schedule('[[1.0, "killed", 0, 5.0], [2.0, "melted", 0, 5.0]]')
 
