--- a/benchmarks/policy_chaos.py
+++ b/benchmarks/policy_chaos.py
@@ -23,9 +23,9 @@
     FaultKind,
     ScheduledFault,
     format_schedule,
+    minimize_schedule,
     parse_schedule,
     random_schedule,
-    smaller,
 )
 
 LIMIT_MS = 1_000.0
@@ -67,7 +67,7 @@
     told = play(args, acts)
     if not told.held:
         if args.smaller:
-            acts = smaller(acts, lambda part: not play(args, part).held, args.smaller)
+            acts = minimize_schedule(acts, lambda part: not play(args, part).held, args.smaller)
         args.keep.write_text(format_schedule(acts))
         print(f"{args.keep}: the schedule, {len(acts)} acts; play it again with --replay")
     times = np.array(told.in_force or [float("nan")])
--- a/springspread/faults/schedule.py
+++ b/springspread/faults/schedule.py
@@ -94,7 +94,7 @@
     return tuple(sorted(made, key=lambda act: act.at))
 
 
-def smaller(
+def minimize_schedule(
     acts: Sequence[ScheduledFault], fails: Callable[[tuple[ScheduledFault, ...]], bool], tries: int
 ) -> tuple[ScheduledFault, ...]:
     """A part of a failing schedule that still fails, of which no single act can go; at most ``tries`` plays.
--- a/tests/faults/test_schedule.py
+++ b/tests/faults/test_schedule.py
@@ -4,9 +4,9 @@
     FaultKind,
     ScheduledFault,
     format_schedule,
+    minimize_schedule,
     parse_schedule,
     random_schedule,
-    smaller,
     worst_case_schedule,
 )
 
@@ -44,10 +44,10 @@
         plays.append(part)
         return cause <= set(part)
 
-    assert set(smaller(ACTS, fails, 500)) == cause and len(plays) < 120
+    assert set(minimize_schedule(ACTS, fails, 500)) == cause and len(plays) < 120
     plays.clear()
-    few = smaller(ACTS, fails, 5)
+    few = minimize_schedule(ACTS, fails, 5)
     assert cause <= set(few) and len(plays) == 5
-    assert smaller((ScheduledFault(0.0, FaultKind.KILL, 0, 1.0),), fails, 5) == (
+    assert minimize_schedule((ScheduledFault(0.0, FaultKind.KILL, 0, 1.0),), fails, 5) == (
         ScheduledFault(0.0, FaultKind.KILL, 0, 1.0),
     )
