--- a/benchmarks/policy_chaos.py
+++ b/benchmarks/policy_chaos.py
@@ -18,7 +18,7 @@
 import numpy as np
 
 from benchmarks.tables import add, tell_long
-from springspread.faults.chaos import Chaos, Told, fleet_of
+from springspread.faults.chaos import Chaos, ChaosResult, fleet_of
 from springspread.faults.schedule import (
     FaultKind,
     ScheduledFault,
@@ -32,7 +32,7 @@
 PROCESSES = (FaultKind.KILL, FaultKind.FREEZE, FaultKind.DAEMON)
 
 
-def play(args: argparse.Namespace, acts: Sequence[ScheduledFault]) -> Told:
+def play(args: argparse.Namespace, acts: Sequence[ScheduledFault]) -> ChaosResult:
     """One run on a new fleet."""
     limit = (args.limit, LIMIT_MS) if args.limit else None
     made = {"lease_ms": args.lease_ms, "each_s": args.load_s, "limit": limit, "program": args.old}
--- a/benchmarks/policy_sabotage.py
+++ b/benchmarks/policy_sabotage.py
@@ -12,7 +12,7 @@
 from pathlib import Path
 
 from benchmarks.tables import tell, write_table
-from springspread.faults.chaos import Chaos, Told, fleet_of
+from springspread.faults.chaos import Chaos, ChaosResult, fleet_of
 from springspread.faults.sabotage import SABOTAGES
 from springspread.faults.schedule import worst_case_schedule
 
@@ -21,7 +21,7 @@
 LIMIT = (40, 1_000.0)  # a little less than what is handed in, so that there is always something owed
 
 
-def play(sabotage: str, limited: bool, seconds: float, seed: int) -> Told:
+def play(sabotage: str, limited: bool, seconds: float, seed: int) -> ChaosResult:
     """One run of a build."""
     own = SABOTAGES[sabotage].acts if sabotage else ()
     acts = own or worst_case_schedule(seed, INSTANCES, 1000.0 * seconds)
--- a/springspread/faults/chaos.py
+++ b/springspread/faults/chaos.py
@@ -52,7 +52,7 @@
 
 
 @dataclass(slots=True)
-class Told:
+class ChaosResult:
     """What came of it. Times are seconds from a proposal until it is in force."""
 
     proposals: int = 0
@@ -146,7 +146,7 @@
         self._lock = threading.Lock()
         self._listens: dict[str, str] = {}
         self._rows: dict[str, dict[str, Any]] = {}
-        self.told = Told()
+        self.told = ChaosResult()
         self._ids = count(1)
         self.unsafe: set[str] = set()
         self.handed_at: dict[str, float] = {}
@@ -334,7 +334,7 @@
         length_ms: float,
         show: Callable[[float, dict[str, dict[str, Any]], list[str]], None] | None = None,
         rival: bool = False,
-    ) -> Told:
+    ) -> ChaosResult:
         """Play it to its end, heal everything, and judge.
 
         ``show`` is told each second: the time (ms), the daemon's rows by name, and what is being done to
