--- a/benchmarks/power_cuts.py
+++ b/benchmarks/power_cuts.py
@@ -55,18 +55,18 @@
         "instances": args.instances,
         "cuts": args.cuts,
         "losses": "whole" if args.whole else "parts, blocks",
-        "messages": len(chaos.told.handed),
+        "messages": len(chaos.result.handed),
         "unsafe": len(chaos.unsafe),
-        "without_end": len(chaos.told.without_end),
+        "without_end": len(chaos.result.without_end),
         "unsafe_twice": len(twice),
-        "two_ends": len(chaos.told.two_ends),
+        "two_ends": len(chaos.result.two_ends),
         "over_limit": round(fullest(outside.arrivals, LIMIT), 3),
         "ran_and_told_as_not": len(ran_and_told),  # an answer that was on its way, or on record nowhere yet
     }
     tell_long(row)
     add(args.csv, row)
     over = fullest(outside.arrivals, LIMIT) > 1.0
-    found = bool(chaos.told.without_end or twice or chaos.told.two_ends or over)
+    found = bool(chaos.result.without_end or twice or chaos.result.two_ends or over)
     sys.exit(found if args.durability == "power" else not found)
 
 
--- a/springspread/faults/chaos.py
+++ b/springspread/faults/chaos.py
@@ -146,7 +146,7 @@
         self._lock = threading.Lock()
         self._listens: dict[str, str] = {}
         self._rows: dict[str, dict[str, Any]] = {}
-        self.told = ChaosResult()
+        self.result = ChaosResult()
         self._ids = count(1)
         self.unsafe: set[str] = set()
         self.handed_at: dict[str, float] = {}
@@ -232,7 +232,7 @@
                 connection.request("POST", "/api", b"hello", head)
                 status = connection.getresponse().status
                 if status in (200, 202):
-                    self.told.handed.add(id)
+                    self.result.handed.add(id)
                     self.handed_at[id] = time.monotonic() * 1000.0
                     if cls == UNSAFE:
                         self.unsafe.add(id)
@@ -249,7 +249,7 @@
             self._base["settings"]["specifics"]["callsOut"] = slots
             limits = {f"g{GROUP}": self._limit} if self._limit else {}
             text = json.dumps({"settings": self._base["settings"], "limits": limits})
-            self.told.proposals += 1
+            self.result.proposals += 1
             begun_at, state, fault, number = time.monotonic(), "unheard", "", 0
             with suppress(OSError, ValueError):
                 answer = send_order(
@@ -257,21 +257,21 @@
                 )
                 state, fault, number = answer["state"], answer["fault"], answer["version"]
             if state == "in force":
-                self.told.in_force.append(time.monotonic() - begun_at)
+                self.result.in_force.append(time.monotonic() - begun_at)
             elif state == "refused":
-                self.told.refused[fault] += 1
+                self.result.refused[fault] += 1
             elif state == "unheard":
-                self.told.unheard += 1
+                self.result.unheard += 1
                 self._over.wait(0.5)
             else:
-                self.told.undecided += 1
+                self.result.undecided += 1
             if number and state in ("in force", "refused"):
                 given[number] = state
             with suppress(OSError, ValueError):
                 for row in send_order(self._folder / "control", {"do": "history"})["history"]:
                     was, now = given.get(row["version"]), row["state"]
                     if was and was != now:
-                        self.told.undone.append(f"policy {row['version']} was {was} and is {now}")
+                        self.result.undone.append(f"policy {row['version']} was {was} and is {now}")
             self._over.wait(0.05)
 
     def _rival(self) -> None:
@@ -291,7 +291,7 @@
         if act.kind is FaultKind.DAEMON:
             self._daemon.kill()
             self._daemon.wait()
-            self.told.acts[act.kind.value] += 1
+            self.result.acts[act.kind.value] += 1
             return self._again
         if not pid:
             return lambda: None
@@ -311,7 +311,7 @@
                 os.kill(pid, signal.SIGKILL if act.kind is FaultKind.KILL else signal.SIGSTOP)
             except ProcessLookupError:  # dead already, and no daemon there to start it again
                 return lambda: None
-        self.told.acts[act.kind.value] += 1
+        self.result.acts[act.kind.value] += 1
 
         def over() -> None:
             if act.kind is FaultKind.FREEZE and pid:
@@ -365,17 +365,17 @@
             time.sleep(0.05)
         self.end_load()
         found = begun(self._folder)
-        self.told.calls, self.told.mixtures = len(found), mixtures(found)
+        self.result.calls, self.result.mixtures = len(found), mixtures(found)
         if self._program is None:
             record = recorded(self._folder)
-            self.told.nowhere, self.told.interleaved = nowhere(found, record), interleaved(record)
-        self.told.within, self.told.across = gaps(found)
+            self.result.nowhere, self.result.interleaved = nowhere(found, record), interleaved(record)
+        self.result.within, self.result.across = gaps(found)
         with self._outside.lock:
-            self.told.delivered = len(self._outside.applied)
+            self.result.delivered = len(self._outside.applied)
             if self._limit is not None:
-                self.told.limit_ratio = fullest(self._outside.arrivals, self._limit)
-                self.told.begun_ratio = fullest([call.at for call in found], self._limit)
-        return self.told
+                self.result.limit_ratio = fullest(self._outside.arrivals, self._limit)
+                self.result.begun_ratio = fullest([call.at for call in found], self._limit)
+        return self.result
 
     def load(self) -> None:
         """Hand each instance its messages from now on."""
@@ -391,14 +391,14 @@
             thread.join(30.0)
         self._threads.clear()
         end = time.monotonic() + ENDS_S
-        while (lost := self.told.handed - self._outside.ended) and time.monotonic() < end:
+        while (lost := self.result.handed - self._outside.ended) and time.monotonic() < end:
             time.sleep(0.1)
-        self.told.without_end = lost
+        self.result.without_end = lost
         told = {
             id: {*said, *(["delivered"] if id in self._answered else [])}
             for id, said in self._outside.noticed.items()
         }
-        self.told.two_ends = {id for id, said in told.items() if len(said) > 1}
+        self.result.two_ends = {id for id, said in told.items() if len(said) > 1}
 
     def power_cut(
         self, clock_s: float = 0.0, spared: Collection[str] = (), between: Callable[[], None] | None = None
--- a/springspread/faults/damage.py
+++ b/springspread/faults/damage.py
@@ -73,7 +73,7 @@
     def return_with(self, damages: Sequence[tuple[str, str]]) -> Outcome:
         """Lose the power with messages owed, damage files (name, how), and return."""
         outside = self._outside
-        self.told.handed.clear()
+        self.result.handed.clear()
         outside.shut.set()
         self.load()
         time.sleep(OWED_S)
@@ -96,10 +96,10 @@
         self.until_whole()
         self.end_load()
         held = {name.split("/")[0] for name, _ in damages if "/state/" in name}
-        gone = {id for id in self.told.without_end if id.split("-")[0] in held}
+        gone = {id for id in self.result.without_end if id.split("-")[0] in held}
         twice = sum(outside.applied[id] > 1 for id in self.unsafe)
-        lost = len(self.told.without_end) - len(gone)
-        return Outcome(refused, lost, len(gone), twice, len(self.told.two_ends))
+        lost = len(self.result.without_end) - len(gone)
+        return Outcome(refused, lost, len(gone), twice, len(self.result.two_ends))
 
     def _refused(self) -> str:
         """Why the daemon did not start; empty where it did."""
--- a/springspread/faults/fleet_recovery.py
+++ b/springspread/faults/fleet_recovery.py
@@ -65,7 +65,7 @@
         self._config.write_text(json.dumps(self._base))
         self.power_cut(clock_s)
         power_on = time.monotonic() * 1000.0
-        owed = self.told.handed - self.unsafe - outside.ended
+        owed = self.result.handed - self.unsafe - outside.ended
         logs = {path: path.stat().st_size for path in self._folder.glob("n*/log")}
         Timer(away_s, outside.shut.clear).start()
         while time.monotonic() * 1000.0 < power_on + 1000.0 * length_s:
@@ -77,7 +77,7 @@
     def _judged(
         self, power_on: float, length_s: float, owed: Iterable[str], logs: Mapping[Path, int]
     ) -> Comeback:
-        made, outside = Comeback(without_end=len(self.told.without_end)), self._outside
+        made, outside = Comeback(without_end=len(self.result.without_end)), self._outside
         made.unsafe_twice = sum(outside.applied[id] > 1 for id in self.unsafe)
         first, never = outside.first, float("inf")
         for id in owed:
--- a/springspread/faults/policy_change_rounds.py
+++ b/springspread/faults/policy_change_rounds.py
@@ -74,7 +74,7 @@
         """
         arm, rng = Arm(name), Random(f"{seed}/{name}")
         limited: dict[int, tuple[int, float]] = {}
-        self.told.handed.clear()
+        self.result.handed.clear()
         self.load()
         begun_at = time.monotonic() * 1000.0
         touched: set[str] = set()
@@ -95,8 +95,8 @@
                 limited[number] = limit
             time.sleep(rng.uniform(0.05, 0.3))
         self.end_load()
-        arm.without_end, arm.two_ends = self.told.without_end, self.told.two_ends
-        arm.messages = len(self.told.handed)
+        arm.without_end, arm.two_ends = self.result.without_end, self.result.two_ends
+        arm.messages = len(self.result.handed)
         self._judge(arm, begun_at, touched, limited)
         return arm
 
@@ -191,9 +191,9 @@
         thread.join()
         arm.changes = 1
         self.end_load()
-        arm.without_end, arm.two_ends = self.told.without_end, self.told.two_ends
-        arm.messages = len(self.told.handed)
-        self.told.handed.clear()
+        arm.without_end, arm.two_ends = self.result.without_end, self.result.two_ends
+        arm.messages = len(self.result.handed)
+        self.result.handed.clear()
         self._judge(arm, begun_at, set(), {})
         return told.read_text() if told.exists() else "", arm
 
--- a/tests/faults/test_return.py
+++ b/tests/faults/test_return.py
@@ -69,15 +69,15 @@
     with fleet_of(Chaos, 3, lease_ms=1000.0, each_s=0.05, power="power") as (chaos, outside):
         outside.shut.set()
         chaos.load()
-        until(lambda: len(chaos.told.handed) > 40, "messages are owed")
+        until(lambda: len(chaos.result.handed) > 40, "messages are owed")
         chaos.power_cut(3600.0)
-        before = set(chaos.told.handed) - chaos.unsafe
+        before = set(chaos.result.handed) - chaos.unsafe
         outside.shut.clear()
         chaos.until_whole()
         rows = chaos.recovery()
         chaos.end_load()
     assert len(before) > 15
-    assert not before - set(outside.applied) and not chaos.told.without_end
+    assert not before - set(outside.applied) and not chaos.result.without_end
     assert {row["name"] for row in rows} == {"n000", "n001", "n002"}
     assert sum(row["ended"] + row["owed"] for row in rows) >= len(before) / 2
 
@@ -87,7 +87,7 @@
     with fleet_of(Chaos, 1, lease_ms=1000.0, each_s=0.02, power="power", recovery=own) as (chaos, outside):
         outside.shut.set()
         chaos.load()
-        until(lambda: len(chaos.told.handed) > 20, "more is owed than there are slots")
+        until(lambda: len(chaos.result.handed) > 20, "more is owed than there are slots")
         chaos.power_cut()
         until(lambda: any(row["gate"] == "owed" for row in chaos.recovery()), "it stands before clients")
         (row,) = chaos.recovery()
@@ -96,7 +96,7 @@
         chaos.until_whole()
         until(lambda: [row["gate"] for row in chaos.recovery()] == ["open"], "its report that it is open")
         chaos.end_load()
-    assert not chaos.told.without_end
+    assert not chaos.result.without_end
 
 
 def test_files_that_come_back_damaged_cost_what_they_held_and_nothing_else() -> None:
@@ -121,6 +121,6 @@
         chaos.until_whole()
         assert (chaos.rows["n001"]["pid"], chaos.rows["n001"]["epoch"]) == (pid, epoch)
         chaos.end_load()
-    assert not chaos.told.without_end and not chaos.told.two_ends
+    assert not chaos.result.without_end and not chaos.result.two_ends
     assert all(outside.applied[id] <= 1 for id in chaos.unsafe)
     assert fullest(outside.arrivals, limit) <= 1.0
