--- a/benchmarks/policy_chaos.py
+++ b/benchmarks/policy_chaos.py
@@ -65,9 +65,9 @@
     if args.processes or args.old:
         acts = tuple(act for act in acts if act.kind in PROCESSES)
     told = play(args, acts)
-    if not told.held:
+    if not told.promises_kept:
         if args.smaller:
-            acts = minimize_schedule(acts, lambda part: not play(args, part).held, args.smaller)
+            acts = minimize_schedule(acts, lambda part: not play(args, part).promises_kept, args.smaller)
         args.keep.write_text(format_schedule(acts))
         print(f"{args.keep}: the schedule, {len(acts)} acts; play it again with --replay")
     times = np.array(told.in_force or [float("nan")])
@@ -109,7 +109,7 @@
     ]:
         print(f"  {line}")
     add(args.csv, row)
-    sys.exit(0 if told.held else 1)
+    sys.exit(0 if told.promises_kept else 1)
 
 
 if __name__ == "__main__":
--- a/springspread/cli/demo.py
+++ b/springspread/cli/demo.py
@@ -25,9 +25,9 @@
         *(f"{id}: no outcome" for id in sorted(result.without_end)),
     ):
         click.echo(f"BROKEN {line}")
-    outcome = "every promise held" if result.held else "a promise was broken"
+    outcome = "every promise held" if result.promises_kept else "a promise was broken"
     click.echo(
         f"{outcome}; {len(result.in_force)} policy changes in force, {sum(result.refused.values())} refused; "
         f"{result.calls} calls, {len(result.handed)} messages"
     )
-    return 0 if result.held else 1
+    return 0 if result.promises_kept else 1
--- a/springspread/faults/chaos.py
+++ b/springspread/faults/chaos.py
@@ -77,7 +77,7 @@
     two_ends: set[str] = field(default_factory=set)  # answered as delivered and told as not, or told as both
 
     @property
-    def held(self) -> bool:
+    def promises_kept(self) -> bool:
         """Whether every promise that is judged here was kept."""
         return not self.broken
 
