--- a/benchmarks/policy_sabotage.py
+++ b/benchmarks/policy_sabotage.py
@@ -48,7 +48,7 @@
                     "build": name or "the true one",
                     "limit": limited,
                     "promise": SABOTAGES[name].promise if name else "",
-                    "broken": " ".join(map(str, sorted(told.broken))),
+                    "broken": " ".join(map(str, sorted(told.violated_promises))),
                     "changes": len(told.in_force),
                     "calls": told.calls,
                     "nowhere": len(told.nowhere),
@@ -57,7 +57,7 @@
                     "undone": len(told.undone),
                     "without_end": len(told.without_end),
                     "interleaved": len(told.interleaved),
-                    "right": bool(told.broken) == bool(name),
+                    "right": bool(told.violated_promises) == bool(name),
                 }
             )
             tell(rows[-1])
--- a/springspread/faults/chaos.py
+++ b/springspread/faults/chaos.py
@@ -79,10 +79,10 @@
     @property
     def promises_kept(self) -> bool:
         """Whether every promise that is judged here was kept."""
-        return not self.broken
+        return not self.violated_promises
 
     @property
-    def broken(self) -> set[int]:
+    def violated_promises(self) -> set[int]:
         """The promises that were broken, by number (``docs/design/policy-change.md``)."""
         found = {
             1: self.nowhere,
