--- a/benchmarks/policy_rounds.py
+++ b/benchmarks/policy_rounds.py
@@ -75,7 +75,7 @@
                 rows.append(row(arm))
                 tell(rows[-1])
                 tell_broken(arm)
-                broken += arm.broken
+                broken += arm.violation_count
     write_table(args.csv, rows)
     sys.exit(1 if broken else 0)
 
--- a/benchmarks/policy_steps.py
+++ b/benchmarks/policy_steps.py
@@ -35,10 +35,10 @@
                     break
                 seconds = round(max(arm.seconds, default=float("nan")), 2)
                 row = {"deed": deed.value, "at": at, "moment": name, "seconds": seconds, "calls": arm.calls}
-                rows.append({**row, "messages": arm.messages, "broken": arm.broken})
+                rows.append({**row, "messages": arm.messages, "broken": arm.violation_count})
                 tell(rows[-1])
                 tell_broken(arm)
-                broken += arm.broken
+                broken += arm.violation_count
     write_table(args.csv, rows)
     sys.exit(1 if broken else 0)
 
--- a/springspread/faults/policy_change_rounds.py
+++ b/springspread/faults/policy_change_rounds.py
@@ -49,7 +49,7 @@
     service: list[tuple[float, float]] = field(default_factory=list)
 
     @property
-    def broken(self) -> int:
+    def violation_count(self) -> int:
         """How many times a promise was broken."""
         kinds = (self.late, self.undone, self.mixtures, self.over_limit, self.without_end, self.two_ends)
         return sum(len(kind) for kind in kinds)
