--- a/benchmarks/damaged_folders.py
+++ b/benchmarks/damaged_folders.py
@@ -38,7 +38,7 @@
             row |= {"two_ends": told.two_ends, "refused": refused}
             tell(row)
             add(args.csv, row)
-            return told.broken
+            return told.promise_violated
 
         for kind in dict.fromkeys(name.rstrip("0123456789") for name in fleet.files):
             for how in HOWS:  # a damaged journal goes on under another number
--- a/benchmarks/power_return.py
+++ b/benchmarks/power_return.py
@@ -90,7 +90,7 @@
             for second, counts in enumerate(told.seconds):
                 kinds = {kind: counts.get(kind, 0) for kind in ("offered", "taken", "refused", "delivered")}
                 add(args.by_second, {"arm": name, "clock": clock, "second": second, **kinds})
-            broken |= told.broken
+            broken |= told.promise_violated
     sys.exit(broken)
 
 
--- a/springspread/faults/damage.py
+++ b/springspread/faults/damage.py
@@ -54,7 +54,7 @@
     two_ends: int
 
     @property
-    def broken(self) -> bool:
+    def promise_violated(self) -> bool:
         """Whether a promise was."""
         return bool(self.lost or self.unsafe_twice or self.two_ends)
 
--- a/springspread/faults/fleet_recovery.py
+++ b/springspread/faults/fleet_recovery.py
@@ -45,7 +45,7 @@
     seconds: list[Counter[str]] = field(default_factory=list)
 
     @property
-    def broken(self) -> bool:
+    def promise_violated(self) -> bool:
         """Whether a promise was."""
         return bool(self.unsafe_twice or self.without_end)
 
--- a/tests/faults/test_return.py
+++ b/tests/faults/test_return.py
@@ -102,10 +102,10 @@
 def test_files_that_come_back_damaged_cost_what_they_held_and_nothing_else() -> None:
     with fleet_of(Damaged, 2, lease_ms=1000.0, each_s=0.05, power="power") as (fleet, _):
         told = fleet.return_with([("members.json", "flipped"), ("n000/config.json", "missing")])
-        assert not told.broken and not told.refused and not told.gone
+        assert not told.promise_violated and not told.refused and not told.gone
         (journal,) = (name for name in fleet.files if "journal." in name)
         told = fleet.return_with([(journal, "torn"), ("leases.0", "emptied")])
-        assert not told.broken and not told.refused and told.gone
+        assert not told.promise_violated and not told.refused and told.gone
 
 
 def test_an_instance_that_was_frozen_through_the_outage_goes_on_beside_those_that_returned() -> None:
