--- a/benchmarks/crash_points.py
+++ b/benchmarks/crash_points.py
@@ -28,7 +28,7 @@
         broken = ""
         for seed in range(args.seeds):
             found = search(seed, args.steps, make)
-            states, points, broken = states + found.states, points + found.points, broken or found.broken
+            states, points, broken = states + found.states, points + found.points, broken or found.violation
             if broken:
                 break
         right &= bool(broken) == bool(name)
--- a/benchmarks/rollout_search.py
+++ b/benchmarks/rollout_search.py
@@ -50,12 +50,14 @@
     rows, wrong = [], 0
     with Pool() as pool:
         for name, found, took in pool.imap(look, jobs):
-            wrong += bool(found.broken) == (name in SIZES)
-            whole = found.worlds < args.most and not found.broken
+            wrong += bool(found.violation) == (name in SIZES)
+            whole = found.worlds < args.most and not found.violation
             rows.append(
-                (name, found.worlds, whole, found.decided, found.broken, len(found.trace), round(took))
+                (name, found.worlds, whole, found.decided, found.violation, len(found.trace), round(took))
+            )
+            print(
+                f"{name}: {found.worlds} worlds{' (all)' * whole}, {found.violation or 'no promise broken'}"
             )
-            print(f"{name}: {found.worlds} worlds{' (all)' * whole}, {found.broken or 'no promise broken'}")
             for step in found.trace:
                 print(f"    {step}")
     if args.csv is not None:
--- a/springspread/faults/crash_points.py
+++ b/springspread/faults/crash_points.py
@@ -38,7 +38,7 @@
     endings: dict[int, tuple[bool, float]] = field(default_factory=dict)
     over: set[int] = field(default_factory=set)
 
-    def broken(self, owed: dict[int, PendingMessage]) -> str:
+    def violation(self, owed: dict[int, PendingMessage]) -> str:
         """What is wrong with what a journal says is owed; empty where nothing is."""
         for number in sorted(self.taken - self.over):
             if number not in owed:
@@ -102,7 +102,7 @@
 
     states: int = 0
     points: int = 0
-    broken: str = ""
+    violation: str = ""
 
 
 def search(seed: int, steps: int, make: Make = real, again: int = 3, most: int = 1 << 60) -> Searched:
@@ -115,7 +115,7 @@
         found.points += 1
         for left in disk.losses():
             _recover(left, facts, make, found, f"seed {seed}, operation {point}", again)
-            if found.broken or found.states >= most:
+            if found.violation or found.states >= most:
                 return found
     return found
 
@@ -126,9 +126,9 @@
 
 def _recover(left: Disk, facts: Facts, make: Make, found: Searched, place: str, again: int) -> None:
     found.states += 1
-    found.broken = facts.broken(make(MemoryFiles(deepcopy(left))).pending)
-    if found.broken:
-        found.broken = f"{place}: {found.broken}"
+    found.violation = facts.violation(make(MemoryFiles(deepcopy(left))).pending)
+    if found.violation:
+        found.violation = f"{place}: {found.violation}"
         return
     if not again:
         return
@@ -138,7 +138,7 @@
             return
         for second in disk.losses():
             _recover(second, facts, make, found, f"{place}, recovery {point}", 0)
-            if found.broken:
+            if found.violation:
                 return
 
 
--- a/springspread/faults/model_checker.py
+++ b/springspread/faults/model_checker.py
@@ -92,7 +92,7 @@
     """What a search came to: worlds seen, and where a promise broke the shortest way there."""
 
     worlds: int = 0
-    broken: str = ""
+    violation: str = ""
     trace: list[str] = field(default_factory=list)
     decided: int = 0  # worlds in which a change had been decided
 
@@ -137,7 +137,7 @@
                 continue
             seen[key] = (name, world.key)
             if broken:
-                found.broken = broken
+                found.violation = broken
                 at = key
                 while at != first.key:
                     step, at = seen[at]
--- a/tests/faults/test_crashes.py
+++ b/tests/faults/test_crashes.py
@@ -10,16 +10,16 @@
 
 def test_no_crash_point_loses_what_was_told() -> None:
     found = search(0, 140)
-    assert not found.broken and found.points > 200 and found.states > 800
+    assert not found.violation and found.points > 200 and found.states > 800
 
 
 @pytest.mark.parametrize("name", [name for name in PLANTED if name not in DEEP])
 def test_a_planted_fault_is_found(name: str) -> None:
-    assert search(0, 140, PLANTED[name], again=0).broken
+    assert search(0, 140, PLANTED[name], again=0).violation
 
 
 def test_a_removal_that_is_not_synced_brings_a_message_back() -> None:
-    assert "may have run" in search(0, 250, PLANTED["a removal is not synced"], again=0).broken
+    assert "may have run" in search(0, 250, PLANTED["a removal is not synced"], again=0).violation
 
 
 def test_a_disk_loses_what_was_not_synced_and_nothing_else() -> None:
