--- a/benchmarks/policy_chaos.py
+++ b/benchmarks/policy_chaos.py
@@ -81,7 +81,7 @@
         "in_force": len(told.in_force),
         "refused": sum(told.refused.values()),
         "undecided": told.undecided,
-        "unheard": told.unheard,
+        "unheard": told.unanswered,
         "calls": told.calls,
         "messages": len(told.handed),
         "mixtures": len(told.mixtures),
--- a/benchmarks/policy_rounds.py
+++ b/benchmarks/policy_rounds.py
@@ -44,7 +44,7 @@
         "without_end": len(arm.without_end),
         "two_ends": len(arm.two_ends),
         "over_limit": len(arm.over_limit),
-        "unheard": arm.unheard,
+        "unheard": arm.unanswered,
         "p50_s": round(float(np.percentile(times, 50)), 2),
         "p99_s": round(float(np.percentile(times, 99)), 2),
         "most_s": round(float(times.max()), 2),
--- a/springspread/faults/chaos.py
+++ b/springspread/faults/chaos.py
@@ -59,7 +59,7 @@
     in_force: list[float] = field(default_factory=list)
     refused: Counter[str] = field(default_factory=Counter)
     undecided: int = 0
-    unheard: int = 0  # no daemon was there, or it died before it answered
+    unanswered: int = 0  # no daemon was there, or it died before it answered
     undone: list[str] = field(default_factory=list)  # answers that a later one contradicts
     acts: Counter[str] = field(default_factory=Counter)
     calls: int = 0
@@ -261,7 +261,7 @@
             elif state == "refused":
                 self.result.refused[fault] += 1
             elif state == "unheard":
-                self.result.unheard += 1
+                self.result.unanswered += 1
                 self._over.wait(0.5)
             else:
                 self.result.undecided += 1
--- a/springspread/faults/policy_change_rounds.py
+++ b/springspread/faults/policy_change_rounds.py
@@ -35,7 +35,7 @@
     name: str
     changes: int = 0
     acts: int = 0
-    unheard: int = 0
+    unanswered: int = 0
     seconds: list[float] = field(default_factory=list)
     late: list[str] = field(default_factory=list)  # changes without an answer
     undone: list[str] = field(default_factory=list)
@@ -152,7 +152,7 @@
                 return number
             if state == "refused" and number:
                 self._held(arm, number, state)
-            arm.unheard += state == "unheard"
+            arm.unanswered += state == "unheard"
             time.sleep(0.05)
         arm.late.append(f"change {number}: no answer in {FORCE_S:g} s: {fault}")
         return number
