--- a/benchmarks/policy_chaos.py
+++ b/benchmarks/policy_chaos.py
@@ -85,7 +85,7 @@
         "calls": told.calls,
         "messages": len(told.handed),
         "mixtures": len(told.mixtures),
-        "undone": len(told.undone),
+        "undone": len(told.contradicted),
         "without_end": len(told.without_end),
         "two_ends": len(told.two_ends),
         "limit_ratio": round(told.limit_ratio, 3),
@@ -104,7 +104,7 @@
         print(f"  {what:24} {count}")
     for line in [
         *told.mixtures[:10],
-        *told.undone[:10],
+        *told.contradicted[:10],
         *(f"{n} refused: {why}" for why, n in told.refused.items()),
     ]:
         print(f"  {line}")
--- a/benchmarks/policy_rounds.py
+++ b/benchmarks/policy_rounds.py
@@ -39,7 +39,7 @@
         "messages": arm.messages,
         "calls": arm.calls,
         "mixtures": len(arm.mixtures),
-        "undone": len(arm.undone),
+        "undone": len(arm.contradicted),
         "late": len(arm.late),
         "without_end": len(arm.without_end),
         "two_ends": len(arm.two_ends),
--- a/benchmarks/policy_sabotage.py
+++ b/benchmarks/policy_sabotage.py
@@ -54,7 +54,7 @@
                     "nowhere": len(told.nowhere),
                     "mixtures": len(told.mixtures),
                     "limit_ratio": round(told.limit_ratio, 3),
-                    "undone": len(told.undone),
+                    "undone": len(told.contradicted),
                     "without_end": len(told.without_end),
                     "interleaved": len(told.interleaved),
                     "right": bool(told.violated_promises) == bool(name),
--- a/springspread/cli/demo.py
+++ b/springspread/cli/demo.py
@@ -21,7 +21,7 @@
         result = chaos.play(random_schedule(seed, instances, 1000 * seconds, 1500.0), 1000 * seconds, show)
     for line in (
         *result.mixtures,
-        *result.undone,
+        *result.contradicted,
         *(f"{id}: no outcome" for id in sorted(result.without_end)),
     ):
         click.echo(f"BROKEN {line}")
--- a/springspread/faults/chaos.py
+++ b/springspread/faults/chaos.py
@@ -60,7 +60,7 @@
     refused: Counter[str] = field(default_factory=Counter)
     undecided: int = 0
     unanswered: int = 0  # no daemon was there, or it died before it answered
-    undone: list[str] = field(default_factory=list)  # answers that a later one contradicts
+    contradicted: list[str] = field(default_factory=list)  # answers that a later one contradicts
     acts: Counter[str] = field(default_factory=Counter)
     calls: int = 0
     mixtures: list[str] = field(default_factory=list)
@@ -87,7 +87,7 @@
         found = {
             1: self.nowhere,
             2: self.mixtures or self.limit_ratio > 1.0,
-            4: self.undone,
+            4: self.contradicted,
             5: self.without_end or self.two_ends,
             7: self.interleaved,
         }
@@ -271,7 +271,7 @@
                 for row in send_order(self._folder / "control", {"do": "history"})["history"]:
                     was, now = given.get(row["version"]), row["state"]
                     if was and was != now:
-                        self.result.undone.append(f"policy {row['version']} was {was} and is {now}")
+                        self.result.contradicted.append(f"policy {row['version']} was {was} and is {now}")
             self._over.wait(0.05)
 
     def _rival(self) -> None:
--- a/springspread/faults/policy_change_rounds.py
+++ b/springspread/faults/policy_change_rounds.py
@@ -38,7 +38,7 @@
     unanswered: int = 0
     seconds: list[float] = field(default_factory=list)
     late: list[str] = field(default_factory=list)  # changes without an answer
-    undone: list[str] = field(default_factory=list)
+    contradicted: list[str] = field(default_factory=list)
     mixtures: list[str] = field(default_factory=list)
     over_limit: list[str] = field(default_factory=list)
     without_end: set[str] = field(default_factory=set)
@@ -51,7 +51,14 @@
     @property
     def violation_count(self) -> int:
         """How many times a promise was broken."""
-        kinds = (self.late, self.undone, self.mixtures, self.over_limit, self.without_end, self.two_ends)
+        kinds = (
+            self.late,
+            self.contradicted,
+            self.mixtures,
+            self.over_limit,
+            self.without_end,
+            self.two_ends,
+        )
         return sum(len(kind) for kind in kinds)
 
 
@@ -165,7 +172,7 @@
             states = {row["version"]: row["state"] for row in rows}
             for one, was in self._given.items():
                 if states.get(one) != was:
-                    arm.undone.append(f"policy {one} was {was} and is {states.get(one)}")
+                    arm.contradicted.append(f"policy {one} was {was} and is {states.get(one)}")
 
     def moment(self, at: int, deed: Deed) -> tuple[str, Arm]:
         """One change whose daemon meets its ``at``-th moment, and another daemon after it; the moment's name.
@@ -239,5 +246,5 @@
 def tell_broken(arm: Arm) -> None:
     """The first faults of an arm, a line for each."""
     ends = [*sorted(arm.without_end)[:5], *sorted(arm.two_ends)[:5]]
-    for line in [*arm.mixtures, *arm.undone, *arm.late, *arm.over_limit][:5] + ends:
+    for line in [*arm.mixtures, *arm.contradicted, *arm.late, *arm.over_limit][:5] + ends:
         print(f"  BROKEN {line}", flush=True)
--- a/tests/faults/test_chaos.py
+++ b/tests/faults/test_chaos.py
@@ -22,7 +22,7 @@
     finally:
         chaos.close()
         outside.close()
-    assert told.promises_kept, (told.mixtures, told.undone, told.without_end)
+    assert told.promises_kept, (told.mixtures, told.contradicted, told.without_end)
     assert len(told.in_force) >= 2 and sum(told.acts.values()) == 5 and told.calls > 50
 
 
