--- a/benchmarks/policy_chaos.py
+++ b/benchmarks/policy_chaos.py
@@ -100,7 +100,7 @@
         "change_most_ms": round(max(told.across, default=float("nan")), 1),
     }
     tell_long(row)
-    for what, count in sorted(told.acts.items()):
+    for what, count in sorted(told.fault_counts.items()):
         print(f"  {what:24} {count}")
     for line in [
         *told.mixtures[:10],
--- a/springspread/faults/chaos.py
+++ b/springspread/faults/chaos.py
@@ -61,7 +61,7 @@
     undecided: int = 0
     unanswered: int = 0  # no daemon was there, or it died before it answered
     contradicted: list[str] = field(default_factory=list)  # answers that a later one contradicts
-    acts: Counter[str] = field(default_factory=Counter)
+    fault_counts: Counter[str] = field(default_factory=Counter)
     calls: int = 0
     mixtures: list[str] = field(default_factory=list)
     # Times between an instance's calls (ms): under one policy, and over a change.
@@ -291,7 +291,7 @@
         if act.kind is FaultKind.DAEMON:
             self._daemon.kill()
             self._daemon.wait()
-            self.result.acts[act.kind.value] += 1
+            self.result.fault_counts[act.kind.value] += 1
             return self._again
         if not pid:
             return lambda: None
@@ -311,7 +311,7 @@
                 os.kill(pid, signal.SIGKILL if act.kind is FaultKind.KILL else signal.SIGSTOP)
             except ProcessLookupError:  # dead already, and no daemon there to start it again
                 return lambda: None
-        self.result.acts[act.kind.value] += 1
+        self.result.fault_counts[act.kind.value] += 1
 
         def over() -> None:
             if act.kind is FaultKind.FREEZE and pid:
--- a/tests/faults/test_chaos.py
+++ b/tests/faults/test_chaos.py
@@ -23,7 +23,7 @@
         chaos.close()
         outside.close()
     assert told.promises_kept, (told.mixtures, told.contradicted, told.without_end)
-    assert len(told.in_force) >= 2 and sum(told.acts.values()) == 5 and told.calls > 50
+    assert len(told.in_force) >= 2 and sum(told.fault_counts.values()) == 5 and told.calls > 50
 
 
 def test_a_schedule_is_drawn_from_its_seed_and_is_over_before_the_end() -> None:
