--- a/benchmarks/policy_rounds.py
+++ b/benchmarks/policy_rounds.py
@@ -35,7 +35,7 @@
     return {
         "fault": arm.name,
         "changes": arm.changes,
-        "faults": arm.acts,
+        "faults": arm.fault_count,
         "messages": arm.messages,
         "calls": arm.calls,
         "mixtures": len(arm.mixtures),
--- a/springspread/faults/policy_change_rounds.py
+++ b/springspread/faults/policy_change_rounds.py
@@ -34,7 +34,7 @@
 
     name: str
     changes: int = 0
-    acts: int = 0
+    fault_count: int = 0
     unanswered: int = 0
     seconds: list[float] = field(default_factory=list)
     late: list[str] = field(default_factory=list)  # changes without an answer
@@ -141,7 +141,7 @@
         thread.join()
         self._again()
         arm.changes += 1
-        arm.acts += len(acts) - len(todo)
+        arm.fault_count += len(acts) - len(todo)
         return answer[0]
 
     def _settled(self, arm: Arm, text: str) -> int:
--- a/tests/faults/test_chaos.py
+++ b/tests/faults/test_chaos.py
@@ -42,7 +42,7 @@
     finally:
         rounds.close()
         outside.close()
-    assert (calm.changes, killed.changes, killed.acts) == (1, 2, 2)
+    assert (calm.changes, killed.changes, killed.fault_count) == (1, 2, 2)
     assert not calm.violation_count and not killed.violation_count, (calm, killed)
     assert len(calm.seconds) == 1 and calm.service and calm.calls and killed.messages
 
