--- a/benchmarks/policy_chaos.py
+++ b/benchmarks/policy_chaos.py
@@ -96,8 +96,8 @@
         "most_s": round(float(times.max()), 2),
         "gap_p99_ms": round(float(np.percentile(told.gaps_within_policy or [float("nan")], 99)), 1),
         "gap_most_ms": round(max(told.gaps_within_policy, default=float("nan")), 1),
-        "change_p99_ms": round(float(np.percentile(told.across or [float("nan")], 99)), 1),
-        "change_most_ms": round(max(told.across, default=float("nan")), 1),
+        "change_p99_ms": round(float(np.percentile(told.gaps_across_change or [float("nan")], 99)), 1),
+        "change_most_ms": round(max(told.gaps_across_change, default=float("nan")), 1),
     }
     tell_long(row)
     for what, count in sorted(told.fault_counts.items()):
--- a/springspread/faults/chaos.py
+++ b/springspread/faults/chaos.py
@@ -66,7 +66,7 @@
     mixtures: list[str] = field(default_factory=list)
     # Times between an instance's calls (ms): under one policy, and over a change.
     gaps_within_policy: list[float] = field(default_factory=list)
-    across: list[float] = field(default_factory=list)
+    gaps_across_change: list[float] = field(default_factory=list)
     handed: set[str] = field(default_factory=set)
     without_end: set[str] = field(default_factory=set)
     delivered: int = 0
@@ -369,7 +369,7 @@
         if self._program is None:
             record = recorded(self._folder)
             self.result.nowhere, self.result.interleaved = nowhere(found, record), interleaved(record)
-        self.result.gaps_within_policy, self.result.across = gaps(found)
+        self.result.gaps_within_policy, self.result.gaps_across_change = gaps(found)
         with self._outside.lock:
             self.result.delivered = len(self._outside.applied)
             if self._limit is not None:
