--- a/benchmarks/policy_chaos.py
+++ b/benchmarks/policy_chaos.py
@@ -83,7 +83,7 @@
         "undecided": told.undecided,
         "unheard": told.unanswered,
         "calls": told.calls,
-        "messages": len(told.handed),
+        "messages": len(told.accepted),
         "mixtures": len(told.mixtures),
         "undone": len(told.contradicted),
         "without_end": len(told.without_end),
--- a/benchmarks/power_cuts.py
+++ b/benchmarks/power_cuts.py
@@ -55,7 +55,7 @@
         "instances": args.instances,
         "cuts": args.cuts,
         "losses": "whole" if args.whole else "parts, blocks",
-        "messages": len(chaos.result.handed),
+        "messages": len(chaos.result.accepted),
         "unsafe": len(chaos.unsafe),
         "without_end": len(chaos.result.without_end),
         "unsafe_twice": len(twice),
--- a/springspread/cli/demo.py
+++ b/springspread/cli/demo.py
@@ -28,6 +28,6 @@
     outcome = "every promise held" if result.promises_kept else "a promise was broken"
     click.echo(
         f"{outcome}; {len(result.in_force)} policy changes in force, {sum(result.refused.values())} refused; "
-        f"{result.calls} calls, {len(result.handed)} messages"
+        f"{result.calls} calls, {len(result.accepted)} messages"
     )
     return 0 if result.promises_kept else 1
--- a/springspread/faults/chaos.py
+++ b/springspread/faults/chaos.py
@@ -67,7 +67,7 @@
     # Times between an instance's calls (ms): under one policy, and over a change.
     gaps_within_policy: list[float] = field(default_factory=list)
     gaps_across_change: list[float] = field(default_factory=list)
-    handed: set[str] = field(default_factory=set)
+    accepted: set[str] = field(default_factory=set)
     without_end: set[str] = field(default_factory=set)
     delivered: int = 0
     nowhere: list[str] = field(default_factory=list)
@@ -232,7 +232,7 @@
                 connection.request("POST", "/api", b"hello", head)
                 status = connection.getresponse().status
                 if status in (200, 202):
-                    self.result.handed.add(id)
+                    self.result.accepted.add(id)
                     self.handed_at[id] = time.monotonic() * 1000.0
                     if cls == UNSAFE:
                         self.unsafe.add(id)
@@ -391,7 +391,7 @@
             thread.join(30.0)
         self._threads.clear()
         end = time.monotonic() + ENDS_S
-        while (lost := self.result.handed - self._outside.ended) and time.monotonic() < end:
+        while (lost := self.result.accepted - self._outside.ended) and time.monotonic() < end:
             time.sleep(0.1)
         self.result.without_end = lost
         told = {
--- a/springspread/faults/damage.py
+++ b/springspread/faults/damage.py
@@ -73,7 +73,7 @@
     def return_with(self, damages: Sequence[tuple[str, str]]) -> Outcome:
         """Lose the power with messages owed, damage files (name, how), and return."""
         outside = self._outside
-        self.result.handed.clear()
+        self.result.accepted.clear()
         outside.shut.set()
         self.load()
         time.sleep(OWED_S)
--- a/springspread/faults/fleet_recovery.py
+++ b/springspread/faults/fleet_recovery.py
@@ -65,7 +65,7 @@
         self._config.write_text(json.dumps(self._base))
         self.power_cut(clock_s)
         power_on = time.monotonic() * 1000.0
-        owed = self.result.handed - self.unsafe - outside.ended
+        owed = self.result.accepted - self.unsafe - outside.ended
         logs = {path: path.stat().st_size for path in self._folder.glob("n*/log")}
         Timer(away_s, outside.shut.clear).start()
         while time.monotonic() * 1000.0 < power_on + 1000.0 * length_s:
--- a/springspread/faults/policy_change_rounds.py
+++ b/springspread/faults/policy_change_rounds.py
@@ -81,7 +81,7 @@
         """
         arm, rng = Arm(name), Random(f"{seed}/{name}")
         limited: dict[int, tuple[int, float]] = {}
-        self.result.handed.clear()
+        self.result.accepted.clear()
         self.load()
         begun_at = time.monotonic() * 1000.0
         touched: set[str] = set()
@@ -103,7 +103,7 @@
             time.sleep(rng.uniform(0.05, 0.3))
         self.end_load()
         arm.without_end, arm.two_ends = self.result.without_end, self.result.two_ends
-        arm.messages = len(self.result.handed)
+        arm.messages = len(self.result.accepted)
         self._judge(arm, begun_at, touched, limited)
         return arm
 
@@ -199,8 +199,8 @@
         arm.changes = 1
         self.end_load()
         arm.without_end, arm.two_ends = self.result.without_end, self.result.two_ends
-        arm.messages = len(self.result.handed)
-        self.result.handed.clear()
+        arm.messages = len(self.result.accepted)
+        self.result.accepted.clear()
         self._judge(arm, begun_at, set(), {})
         return told.read_text() if told.exists() else "", arm
 
--- a/tests/faults/test_return.py
+++ b/tests/faults/test_return.py
@@ -69,9 +69,9 @@
     with fleet_of(Chaos, 3, lease_ms=1000.0, each_s=0.05, power="power") as (chaos, outside):
         outside.shut.set()
         chaos.load()
-        until(lambda: len(chaos.result.handed) > 40, "messages are owed")
+        until(lambda: len(chaos.result.accepted) > 40, "messages are owed")
         chaos.power_cut(3600.0)
-        before = set(chaos.result.handed) - chaos.unsafe
+        before = set(chaos.result.accepted) - chaos.unsafe
         outside.shut.clear()
         chaos.until_whole()
         rows = chaos.recovery()
@@ -87,7 +87,7 @@
     with fleet_of(Chaos, 1, lease_ms=1000.0, each_s=0.02, power="power", recovery=own) as (chaos, outside):
         outside.shut.set()
         chaos.load()
-        until(lambda: len(chaos.result.handed) > 20, "more is owed than there are slots")
+        until(lambda: len(chaos.result.accepted) > 20, "more is owed than there are slots")
         chaos.power_cut()
         until(lambda: any(row["gate"] == "owed" for row in chaos.recovery()), "it stands before clients")
         (row,) = chaos.recovery()
