--- a/benchmarks/policy_sabotage.py
+++ b/benchmarks/policy_sabotage.py
@@ -51,7 +51,7 @@
                     "broken": " ".join(map(str, sorted(told.violated_promises))),
                     "changes": len(told.in_force),
                     "calls": told.calls,
-                    "nowhere": len(told.nowhere),
+                    "nowhere": len(told.undecided_policy_calls),
                     "mixtures": len(told.mixtures),
                     "limit_ratio": round(told.limit_ratio, 3),
                     "undone": len(told.contradicted),
--- a/springspread/faults/chaos.py
+++ b/springspread/faults/chaos.py
@@ -70,7 +70,7 @@
     accepted: set[str] = field(default_factory=set)
     without_end: set[str] = field(default_factory=set)
     delivered: int = 0
-    nowhere: list[str] = field(default_factory=list)
+    undecided_policy_calls: list[str] = field(default_factory=list)
     interleaved: list[str] = field(default_factory=list)
     limit_ratio: float = 0.0  # the most calls in a span, over the limit, as they arrived
     begun_ratio: float = 0.0  # the same, by the moments at which instances wrote first bytes
@@ -85,7 +85,7 @@
     def violated_promises(self) -> set[int]:
         """The promises that were broken, by number (``docs/design/policy-change.md``)."""
         found = {
-            1: self.nowhere,
+            1: self.undecided_policy_calls,
             2: self.mixtures or self.limit_ratio > 1.0,
             4: self.contradicted,
             5: self.without_end or self.two_ends,
@@ -368,7 +368,10 @@
         self.result.calls, self.result.mixtures = len(found), mixtures(found)
         if self._program is None:
             record = recorded(self._folder)
-            self.result.nowhere, self.result.interleaved = nowhere(found, record), interleaved(record)
+            self.result.undecided_policy_calls, self.result.interleaved = (
+                nowhere(found, record),
+                interleaved(record),
+            )
         self.result.gaps_within_policy, self.result.gaps_across_change = gaps(found)
         with self._outside.lock:
             self.result.delivered = len(self._outside.applied)
