--- a/benchmarks/policy_sabotage.py
+++ b/benchmarks/policy_sabotage.py
@@ -56,7 +56,7 @@
                     "limit_ratio": round(told.limit_ratio, 3),
                     "undone": len(told.contradicted),
                     "without_end": len(told.without_end),
-                    "interleaved": len(told.interleaved),
+                    "interleaved": len(told.overlapping_changes),
                     "right": bool(told.violated_promises) == bool(name),
                 }
             )
--- a/springspread/faults/chaos.py
+++ b/springspread/faults/chaos.py
@@ -71,7 +71,7 @@
     without_end: set[str] = field(default_factory=set)
     delivered: int = 0
     undecided_policy_calls: list[str] = field(default_factory=list)
-    interleaved: list[str] = field(default_factory=list)
+    overlapping_changes: list[str] = field(default_factory=list)
     limit_ratio: float = 0.0  # the most calls in a span, over the limit, as they arrived
     begun_ratio: float = 0.0  # the same, by the moments at which instances wrote first bytes
     two_ends: set[str] = field(default_factory=set)  # answered as delivered and told as not, or told as both
@@ -89,7 +89,7 @@
             2: self.mixtures or self.limit_ratio > 1.0,
             4: self.contradicted,
             5: self.without_end or self.two_ends,
-            7: self.interleaved,
+            7: self.overlapping_changes,
         }
         return {promise for promise, broken in found.items() if broken}
 
@@ -368,7 +368,7 @@
         self.result.calls, self.result.mixtures = len(found), mixtures(found)
         if self._program is None:
             record = recorded(self._folder)
-            self.result.undecided_policy_calls, self.result.interleaved = (
+            self.result.undecided_policy_calls, self.result.overlapping_changes = (
                 nowhere(found, record),
                 interleaved(record),
             )
