--- a/benchmarks/policy_chaos.py
+++ b/benchmarks/policy_chaos.py
@@ -86,7 +86,7 @@
         "messages": len(told.accepted),
         "mixtures": len(told.mixtures),
         "undone": len(told.contradicted),
-        "without_end": len(told.without_end),
+        "without_end": len(told.without_outcome),
         "two_ends": len(told.two_ends),
         "limit_ratio": round(told.limit_ratio, 3),
         "begun_ratio": round(told.begun_ratio, 3),
--- a/benchmarks/policy_rounds.py
+++ b/benchmarks/policy_rounds.py
@@ -41,7 +41,7 @@
         "mixtures": len(arm.mixtures),
         "undone": len(arm.contradicted),
         "late": len(arm.late),
-        "without_end": len(arm.without_end),
+        "without_end": len(arm.without_outcome),
         "two_ends": len(arm.two_ends),
         "over_limit": len(arm.over_limit),
         "unheard": arm.unanswered,
--- a/benchmarks/policy_sabotage.py
+++ b/benchmarks/policy_sabotage.py
@@ -55,7 +55,7 @@
                     "mixtures": len(told.mixtures),
                     "limit_ratio": round(told.limit_ratio, 3),
                     "undone": len(told.contradicted),
-                    "without_end": len(told.without_end),
+                    "without_end": len(told.without_outcome),
                     "interleaved": len(told.overlapping_changes),
                     "right": bool(told.violated_promises) == bool(name),
                 }
--- a/benchmarks/power_cuts.py
+++ b/benchmarks/power_cuts.py
@@ -57,7 +57,7 @@
         "losses": "whole" if args.whole else "parts, blocks",
         "messages": len(chaos.result.accepted),
         "unsafe": len(chaos.unsafe),
-        "without_end": len(chaos.result.without_end),
+        "without_end": len(chaos.result.without_outcome),
         "unsafe_twice": len(twice),
         "two_ends": len(chaos.result.two_ends),
         "over_limit": round(fullest(outside.arrivals, LIMIT), 3),
@@ -66,7 +66,7 @@
     tell_long(row)
     add(args.csv, row)
     over = fullest(outside.arrivals, LIMIT) > 1.0
-    found = bool(chaos.result.without_end or twice or chaos.result.two_ends or over)
+    found = bool(chaos.result.without_outcome or twice or chaos.result.two_ends or over)
     sys.exit(found if args.durability == "power" else not found)
 
 
--- a/benchmarks/power_return.py
+++ b/benchmarks/power_return.py
@@ -83,7 +83,7 @@
                 "handshakes": told.handshakes,
                 "list_requests": told.list_requests,
                 "unsafe_twice": told.unsafe_twice,
-                "without_end": told.without_end,
+                "without_end": told.without_outcome,
             }
             tell(row)
             add(args.csv, row)
--- a/springspread/cli/demo.py
+++ b/springspread/cli/demo.py
@@ -22,7 +22,7 @@
     for line in (
         *result.mixtures,
         *result.contradicted,
-        *(f"{id}: no outcome" for id in sorted(result.without_end)),
+        *(f"{id}: no outcome" for id in sorted(result.without_outcome)),
     ):
         click.echo(f"BROKEN {line}")
     outcome = "every promise held" if result.promises_kept else "a promise was broken"
--- a/springspread/faults/chaos.py
+++ b/springspread/faults/chaos.py
@@ -68,7 +68,7 @@
     gaps_within_policy: list[float] = field(default_factory=list)
     gaps_across_change: list[float] = field(default_factory=list)
     accepted: set[str] = field(default_factory=set)
-    without_end: set[str] = field(default_factory=set)
+    without_outcome: set[str] = field(default_factory=set)
     delivered: int = 0
     undecided_policy_calls: list[str] = field(default_factory=list)
     overlapping_changes: list[str] = field(default_factory=list)
@@ -88,7 +88,7 @@
             1: self.undecided_policy_calls,
             2: self.mixtures or self.limit_ratio > 1.0,
             4: self.contradicted,
-            5: self.without_end or self.two_ends,
+            5: self.without_outcome or self.two_ends,
             7: self.overlapping_changes,
         }
         return {promise for promise, broken in found.items() if broken}
@@ -396,7 +396,7 @@
         end = time.monotonic() + ENDS_S
         while (lost := self.result.accepted - self._outside.ended) and time.monotonic() < end:
             time.sleep(0.1)
-        self.result.without_end = lost
+        self.result.without_outcome = lost
         told = {
             id: {*said, *(["delivered"] if id in self._answered else [])}
             for id, said in self._outside.noticed.items()
--- a/springspread/faults/damage.py
+++ b/springspread/faults/damage.py
@@ -96,9 +96,9 @@
         self.until_whole()
         self.end_load()
         held = {name.split("/")[0] for name, _ in damages if "/state/" in name}
-        gone = {id for id in self.result.without_end if id.split("-")[0] in held}
+        gone = {id for id in self.result.without_outcome if id.split("-")[0] in held}
         twice = sum(outside.applied[id] > 1 for id in self.unsafe)
-        lost = len(self.result.without_end) - len(gone)
+        lost = len(self.result.without_outcome) - len(gone)
         return Outcome(refused, lost, len(gone), twice, len(self.result.two_ends))
 
     def _refused(self) -> str:
--- a/springspread/faults/fleet_recovery.py
+++ b/springspread/faults/fleet_recovery.py
@@ -41,13 +41,13 @@
     handshakes: int = 0
     list_requests: int = 0
     unsafe_twice: int = 0
-    without_end: int = 0
+    without_outcome: int = 0
     seconds: list[Counter[str]] = field(default_factory=list)
 
     @property
     def promise_violated(self) -> bool:
         """Whether a promise was."""
-        return bool(self.unsafe_twice or self.without_end)
+        return bool(self.unsafe_twice or self.without_outcome)
 
 
 class Returning(Chaos):
@@ -77,7 +77,7 @@
     def _judged(
         self, power_on: float, length_s: float, owed: Iterable[str], logs: Mapping[Path, int]
     ) -> Comeback:
-        made, outside = Comeback(without_end=len(self.result.without_end)), self._outside
+        made, outside = Comeback(without_outcome=len(self.result.without_outcome)), self._outside
         made.unsafe_twice = sum(outside.applied[id] > 1 for id in self.unsafe)
         first, never = outside.first, float("inf")
         for id in owed:
--- a/tests/faults/test_chaos.py
+++ b/tests/faults/test_chaos.py
@@ -22,7 +22,7 @@
     finally:
         chaos.close()
         outside.close()
-    assert told.promises_kept, (told.mixtures, told.contradicted, told.without_end)
+    assert told.promises_kept, (told.mixtures, told.contradicted, told.without_outcome)
     assert len(told.in_force) >= 2 and sum(told.fault_counts.values()) == 5 and told.calls > 50
 
 
@@ -70,5 +70,5 @@
     finally:
         chaos.close()
         outside.close()
-    assert told.promises_kept, (told.limit_ratio, told.begun_ratio, told.without_end)
+    assert told.promises_kept, (told.limit_ratio, told.begun_ratio, told.without_outcome)
     assert told.calls > 60 and told.limit_ratio > 0.5
--- a/tests/faults/test_return.py
+++ b/tests/faults/test_return.py
@@ -77,7 +77,7 @@
         rows = chaos.recovery()
         chaos.end_load()
     assert len(before) > 15
-    assert not before - set(outside.applied) and not chaos.result.without_end
+    assert not before - set(outside.applied) and not chaos.result.without_outcome
     assert {row["name"] for row in rows} == {"n000", "n001", "n002"}
     assert sum(row["ended"] + row["owed"] for row in rows) >= len(before) / 2
 
@@ -96,7 +96,7 @@
         chaos.until_whole()
         until(lambda: [row["gate"] for row in chaos.recovery()] == ["open"], "its report that it is open")
         chaos.end_load()
-    assert not chaos.result.without_end
+    assert not chaos.result.without_outcome
 
 
 def test_files_that_come_back_damaged_cost_what_they_held_and_nothing_else() -> None:
@@ -121,6 +121,6 @@
         chaos.until_whole()
         assert (chaos.rows["n001"]["pid"], chaos.rows["n001"]["epoch"]) == (pid, epoch)
         chaos.end_load()
-    assert not chaos.result.without_end and not chaos.result.two_ends
+    assert not chaos.result.without_outcome and not chaos.result.two_ends
     assert all(outside.applied[id] <= 1 for id in chaos.unsafe)
     assert fullest(outside.arrivals, limit) <= 1.0
