--- a/benchmarks/damaged_folders.py
+++ b/benchmarks/damaged_folders.py
@@ -35,7 +35,7 @@
             what = " + ".join(f"{name} {how}" for name, how in damages)
             refused = told.refused[-150:]
             row = {"damage": what, "lost": told.lost, "gone": told.gone, "unsafe_twice": told.unsafe_twice}
-            row |= {"two_ends": told.two_ends, "refused": refused}
+            row |= {"two_ends": told.conflicting_outcomes, "refused": refused}
             tell(row)
             add(args.csv, row)
             return told.promise_violated
--- a/benchmarks/policy_chaos.py
+++ b/benchmarks/policy_chaos.py
@@ -87,7 +87,7 @@
         "mixtures": len(told.mixtures),
         "undone": len(told.contradicted),
         "without_end": len(told.without_outcome),
-        "two_ends": len(told.two_ends),
+        "two_ends": len(told.conflicting_outcomes),
         "limit_ratio": round(told.limit_ratio, 3),
         "begun_ratio": round(told.begun_ratio, 3),
         "delivered": told.delivered,
--- a/benchmarks/policy_rounds.py
+++ b/benchmarks/policy_rounds.py
@@ -42,7 +42,7 @@
         "undone": len(arm.contradicted),
         "late": len(arm.late),
         "without_end": len(arm.without_outcome),
-        "two_ends": len(arm.two_ends),
+        "two_ends": len(arm.conflicting_outcomes),
         "over_limit": len(arm.over_limit),
         "unheard": arm.unanswered,
         "p50_s": round(float(np.percentile(times, 50)), 2),
--- a/benchmarks/power_cuts.py
+++ b/benchmarks/power_cuts.py
@@ -59,14 +59,14 @@
         "unsafe": len(chaos.unsafe),
         "without_end": len(chaos.result.without_outcome),
         "unsafe_twice": len(twice),
-        "two_ends": len(chaos.result.two_ends),
+        "two_ends": len(chaos.result.conflicting_outcomes),
         "over_limit": round(fullest(outside.arrivals, LIMIT), 3),
         "ran_and_told_as_not": len(ran_and_told),  # an answer that was on its way, or on record nowhere yet
     }
     tell_long(row)
     add(args.csv, row)
     over = fullest(outside.arrivals, LIMIT) > 1.0
-    found = bool(chaos.result.without_outcome or twice or chaos.result.two_ends or over)
+    found = bool(chaos.result.without_outcome or twice or chaos.result.conflicting_outcomes or over)
     sys.exit(found if args.durability == "power" else not found)
 
 
--- a/springspread/faults/chaos.py
+++ b/springspread/faults/chaos.py
@@ -74,7 +74,9 @@
     overlapping_changes: list[str] = field(default_factory=list)
     limit_ratio: float = 0.0  # the most calls in a span, over the limit, as they arrived
     begun_ratio: float = 0.0  # the same, by the moments at which instances wrote first bytes
-    two_ends: set[str] = field(default_factory=set)  # answered as delivered and told as not, or told as both
+    conflicting_outcomes: set[str] = field(
+        default_factory=set
+    )  # answered as delivered and told as not, or told as both
 
     @property
     def promises_kept(self) -> bool:
@@ -88,7 +90,7 @@
             1: self.undecided_policy_calls,
             2: self.mixtures or self.limit_ratio > 1.0,
             4: self.contradicted,
-            5: self.without_outcome or self.two_ends,
+            5: self.without_outcome or self.conflicting_outcomes,
             7: self.overlapping_changes,
         }
         return {promise for promise, broken in found.items() if broken}
@@ -401,7 +403,7 @@
             id: {*said, *(["delivered"] if id in self._answered else [])}
             for id, said in self._outside.noticed.items()
         }
-        self.result.two_ends = {id for id, said in told.items() if len(said) > 1}
+        self.result.conflicting_outcomes = {id for id, said in told.items() if len(said) > 1}
 
     def power_cut(
         self, clock_s: float = 0.0, spared: Collection[str] = (), between: Callable[[], None] | None = None
--- a/springspread/faults/damage.py
+++ b/springspread/faults/damage.py
@@ -51,12 +51,12 @@
     lost: int
     gone: int
     unsafe_twice: int
-    two_ends: int
+    conflicting_outcomes: int
 
     @property
     def promise_violated(self) -> bool:
         """Whether a promise was."""
-        return bool(self.lost or self.unsafe_twice or self.two_ends)
+        return bool(self.lost or self.unsafe_twice or self.conflicting_outcomes)
 
 
 class Damaged(Chaos):
@@ -99,7 +99,7 @@
         gone = {id for id in self.result.without_outcome if id.split("-")[0] in held}
         twice = sum(outside.applied[id] > 1 for id in self.unsafe)
         lost = len(self.result.without_outcome) - len(gone)
-        return Outcome(refused, lost, len(gone), twice, len(self.result.two_ends))
+        return Outcome(refused, lost, len(gone), twice, len(self.result.conflicting_outcomes))
 
     def _refused(self) -> str:
         """Why the daemon did not start; empty where it did."""
--- a/springspread/faults/policy_change_rounds.py
+++ b/springspread/faults/policy_change_rounds.py
@@ -42,7 +42,7 @@
     mixtures: list[str] = field(default_factory=list)
     over_limit: list[str] = field(default_factory=list)
     without_outcome: set[str] = field(default_factory=set)
-    two_ends: set[str] = field(default_factory=set)
+    conflicting_outcomes: set[str] = field(default_factory=set)
     messages: int = 0
     calls: int = 0
     stall_ms: float = 0.0  # the longest time between two calls of an instance that met no fault
@@ -57,7 +57,7 @@
             self.mixtures,
             self.over_limit,
             self.without_outcome,
-            self.two_ends,
+            self.conflicting_outcomes,
         )
         return sum(len(kind) for kind in kinds)
 
@@ -102,7 +102,10 @@
                 limited[number] = limit
             time.sleep(rng.uniform(0.05, 0.3))
         self.end_load()
-        arm.without_outcome, arm.two_ends = self.result.without_outcome, self.result.two_ends
+        arm.without_outcome, arm.conflicting_outcomes = (
+            self.result.without_outcome,
+            self.result.conflicting_outcomes,
+        )
         arm.messages = len(self.result.accepted)
         self._judge(arm, begun_at, touched, limited)
         return arm
@@ -198,7 +201,10 @@
         thread.join()
         arm.changes = 1
         self.end_load()
-        arm.without_outcome, arm.two_ends = self.result.without_outcome, self.result.two_ends
+        arm.without_outcome, arm.conflicting_outcomes = (
+            self.result.without_outcome,
+            self.result.conflicting_outcomes,
+        )
         arm.messages = len(self.result.accepted)
         self.result.accepted.clear()
         self._judge(arm, begun_at, set(), {})
@@ -245,6 +251,6 @@
 
 def tell_broken(arm: Arm) -> None:
     """The first faults of an arm, a line for each."""
-    ends = [*sorted(arm.without_outcome)[:5], *sorted(arm.two_ends)[:5]]
+    ends = [*sorted(arm.without_outcome)[:5], *sorted(arm.conflicting_outcomes)[:5]]
     for line in [*arm.mixtures, *arm.contradicted, *arm.late, *arm.over_limit][:5] + ends:
         print(f"  BROKEN {line}", flush=True)
--- a/tests/faults/test_return.py
+++ b/tests/faults/test_return.py
@@ -121,6 +121,6 @@
         chaos.until_whole()
         assert (chaos.rows["n001"]["pid"], chaos.rows["n001"]["epoch"]) == (pid, epoch)
         chaos.end_load()
-    assert not chaos.result.without_outcome and not chaos.result.two_ends
+    assert not chaos.result.without_outcome and not chaos.result.conflicting_outcomes
     assert all(outside.applied[id] <= 1 for id in chaos.unsafe)
     assert fullest(outside.arrivals, limit) <= 1.0
