--- a/benchmarks/policy_chaos.py
+++ b/benchmarks/policy_chaos.py
@@ -89,7 +89,7 @@
         "without_end": len(told.without_outcome),
         "two_ends": len(told.conflicting_outcomes),
         "limit_ratio": round(told.limit_ratio, 3),
-        "begun_ratio": round(told.begun_ratio, 3),
+        "begun_ratio": round(told.start_ratio, 3),
         "delivered": told.delivered,
         "p50_s": round(float(np.percentile(times, 50)), 2),
         "p99_s": round(float(np.percentile(times, 99)), 2),
--- a/springspread/faults/chaos.py
+++ b/springspread/faults/chaos.py
@@ -73,7 +73,7 @@
     undecided_policy_calls: list[str] = field(default_factory=list)
     overlapping_changes: list[str] = field(default_factory=list)
     limit_ratio: float = 0.0  # the most calls in a span, over the limit, as they arrived
-    begun_ratio: float = 0.0  # the same, by the moments at which instances wrote first bytes
+    start_ratio: float = 0.0  # the same, by the moments at which instances wrote first bytes
     conflicting_outcomes: set[str] = field(
         default_factory=set
     )  # answered as delivered and told as not, or told as both
@@ -379,7 +379,7 @@
             self.result.delivered = len(self._outside.applied)
             if self._limit is not None:
                 self.result.limit_ratio = fullest(self._outside.arrivals, self._limit)
-                self.result.begun_ratio = fullest([call.at for call in found], self._limit)
+                self.result.start_ratio = fullest([call.at for call in found], self._limit)
         return self.result
 
     def load(self) -> None:
--- a/tests/faults/test_chaos.py
+++ b/tests/faults/test_chaos.py
@@ -70,5 +70,5 @@
     finally:
         chaos.close()
         outside.close()
-    assert told.promises_kept, (told.limit_ratio, told.begun_ratio, told.without_outcome)
+    assert told.promises_kept, (told.limit_ratio, told.start_ratio, told.without_outcome)
     assert told.calls > 60 and told.limit_ratio > 0.5
