--- a/benchmarks/power_cuts.py
+++ b/benchmarks/power_cuts.py
@@ -43,7 +43,7 @@
             # Some come while the fleet returns from the one before.
             end = time.monotonic() + rng.choice((0.2, 1.0, 2.0, 3.0))
             while time.monotonic() < end:
-                chaos.look()
+                chaos.refresh_status()
                 time.sleep(0.05)
             chaos.power_cut()
         chaos.until_whole()
--- a/springspread/faults/chaos.py
+++ b/springspread/faults/chaos.py
@@ -162,11 +162,11 @@
     def until_whole(self) -> None:
         """Wait until every instance is in the fleet; raises ``TimeoutError``."""
         end = time.monotonic() + READY_S
-        self.look()
+        self.refresh_status()
         while not all(self._rows.get(n, {}).get("in_fleet") and self._listens.get(n) for n in self._names):
             if time.monotonic() > end:
                 raise TimeoutError("the fleet was not whole in time")
-            self.look()
+            self.refresh_status()
             time.sleep(0.1)
 
     def _start(self, *moment: str) -> subprocess.Popen[bytes]:
@@ -184,7 +184,7 @@
         with (self._folder / "daemon.log").open("ab") as log:
             return subprocess.Popen(line, env=env, stderr=log, cwd=self._program)
 
-    def look(self) -> None:
+    def refresh_status(self) -> None:
         """Ask the daemon who is there; not again for a while, as its answer costs it time."""
         if time.monotonic() < self._looked + LOOK_S:
             return
@@ -208,7 +208,7 @@
 
     def serving(self) -> list[str]:
         """Who is in the fleet and serves, asked anew."""
-        self.look()
+        self.refresh_status()
         return [name for name, row in self._rows.items() if row["in_fleet"] and row["listen"]]
 
     def recovery(self) -> list[dict[str, Any]]:
@@ -360,7 +360,7 @@
             for one in [one for one in ends if one[0] <= now]:
                 ends.remove(one)
                 one[1]()
-            self.look()
+            self.refresh_status()
             if show is not None and now >= shown:
                 shown = now + 1000.0
                 show(now, self._rows, [what for _, _, what in ends])
@@ -435,7 +435,7 @@
     def close(self) -> None:
         """End every process that it started."""
         self._over.set()
-        self.look()
+        self.refresh_status()
         self._daemon.terminate()
         with suppress(subprocess.TimeoutExpired):
             self._daemon.wait(15.0)
--- a/springspread/faults/fleet_recovery.py
+++ b/springspread/faults/fleet_recovery.py
@@ -69,7 +69,7 @@
         logs = {path: path.stat().st_size for path in self._folder.glob("n*/log")}
         Timer(away_s, outside.shut.clear).start()
         while time.monotonic() * 1000.0 < power_on + 1000.0 * length_s:
-            self.look()
+            self.refresh_status()
             time.sleep(0.05)
         self.end_load()
         return self._judged(power_on, length_s, owed, logs)
--- a/springspread/faults/policy_change_rounds.py
+++ b/springspread/faults/policy_change_rounds.py
@@ -139,7 +139,7 @@
                 if over.is_set() or (acts[0].kind is FaultKind.DAEMON and now >= acts[0].at + one[0]):
                     ends.remove(one)
                     one[1]()
-            self.look()
+            self.refresh_status()
             time.sleep(0.02)
         thread.join()
         self._again()
