--- a/benchmarks/power_cuts.py
+++ b/benchmarks/power_cuts.py
@@ -46,7 +46,7 @@
                 chaos.refresh_status()
                 time.sleep(0.05)
             chaos.power_cut()
-        chaos.until_whole()
+        chaos.wait_until_ready()
         chaos.end_load()
     twice = [id for id in chaos.unsafe if outside.applied[id] > 1]
     ran_and_told = [id for id in chaos.unsafe if outside.applied[id] and outside.noticed.get(id)]
--- a/springspread/faults/chaos.py
+++ b/springspread/faults/chaos.py
@@ -157,9 +157,9 @@
         self._threads: list[threading.Thread] = []
         self._answered: set[str] = set()
         self._daemon = self._start()
-        self.until_whole()
+        self.wait_until_ready()
 
-    def until_whole(self) -> None:
+    def wait_until_ready(self) -> None:
         """Wait until every instance is in the fleet; raises ``TimeoutError``."""
         end = time.monotonic() + READY_S
         self.refresh_status()
--- a/springspread/faults/damage.py
+++ b/springspread/faults/damage.py
@@ -93,7 +93,7 @@
                 (self._folder / name).write_bytes(data)
             self._again()
         outside.shut.clear()
-        self.until_whole()
+        self.wait_until_ready()
         self.end_load()
         held = {name.split("/")[0] for name, _ in damages if "/state/" in name}
         gone = {id for id in self.result.without_outcome if id.split("-")[0] in held}
--- a/springspread/faults/policy_change_rounds.py
+++ b/springspread/faults/policy_change_rounds.py
@@ -187,7 +187,7 @@
         self._daemon.kill()
         self._daemon.wait()
         self._daemon = self._start(str(at), deed.value, str(told))
-        self.until_whole()
+        self.wait_until_ready()
         arm = Arm(f"{deed.value} {at}")
         begun_at = time.monotonic() * 1000.0
         self.load()
--- a/tests/faults/test_return.py
+++ b/tests/faults/test_return.py
@@ -73,7 +73,7 @@
         chaos.power_cut(3600.0)
         before = set(chaos.result.accepted) - chaos.unsafe
         outside.shut.clear()
-        chaos.until_whole()
+        chaos.wait_until_ready()
         rows = chaos.recovery()
         chaos.end_load()
     assert len(before) > 15
@@ -93,7 +93,7 @@
         (row,) = chaos.recovery()
         assert row["owed"] > 5 and not chaos.listening  # it serves nobody
         outside.shut.clear()
-        chaos.until_whole()
+        chaos.wait_until_ready()
         until(lambda: [row["gate"] for row in chaos.recovery()] == ["open"], "its report that it is open")
         chaos.end_load()
     assert not chaos.result.without_outcome
@@ -118,7 +118,7 @@
         chaos.power_cut(spared=["n001"])
         until(lambda: len(chaos.serving()) == 2, "the others serve")
         os.kill(pid, signal.SIGCONT)
-        chaos.until_whole()
+        chaos.wait_until_ready()
         assert (chaos.rows["n001"]["pid"], chaos.rows["n001"]["epoch"]) == (pid, epoch)
         chaos.end_load()
     assert not chaos.result.without_outcome and not chaos.result.conflicting_outcomes
