--- a/benchmarks/power_cuts.py
+++ b/benchmarks/power_cuts.py
@@ -47,7 +47,7 @@
                 time.sleep(0.05)
             chaos.power_cut()
         chaos.wait_until_ready()
-        chaos.end_load()
+        chaos.stop_load()
     twice = [id for id in chaos.unsafe if outside.applied[id] > 1]
     ran_and_told = [id for id in chaos.unsafe if outside.applied[id] and outside.noticed.get(id)]
     row = {
--- a/springspread/faults/chaos.py
+++ b/springspread/faults/chaos.py
@@ -365,7 +365,7 @@
                 shown = now + 1000.0
                 show(now, self._rows, [what for _, _, what in ends])
             time.sleep(0.05)
-        self.end_load()
+        self.stop_load()
         found = begun(self._folder)
         self.result.calls, self.result.mixtures = len(found), mixtures(found)
         if self._program is None:
@@ -388,7 +388,7 @@
         for number in range(len(self._names)):
             self._spawn(partial(self._load, number))
 
-    def end_load(self) -> None:
+    def stop_load(self) -> None:
         """Hand in nothing more, and see what became of all of it."""
         self._again()
         self._over.set()
--- a/springspread/faults/damage.py
+++ b/springspread/faults/damage.py
@@ -94,7 +94,7 @@
             self._again()
         outside.shut.clear()
         self.wait_until_ready()
-        self.end_load()
+        self.stop_load()
         held = {name.split("/")[0] for name, _ in damages if "/state/" in name}
         gone = {id for id in self.result.without_outcome if id.split("-")[0] in held}
         twice = sum(outside.applied[id] > 1 for id in self.unsafe)
--- a/springspread/faults/fleet_recovery.py
+++ b/springspread/faults/fleet_recovery.py
@@ -71,7 +71,7 @@
         while time.monotonic() * 1000.0 < power_on + 1000.0 * length_s:
             self.refresh_status()
             time.sleep(0.05)
-        self.end_load()
+        self.stop_load()
         return self._judged(power_on, length_s, owed, logs)
 
     def _judged(
--- a/springspread/faults/policy_change_rounds.py
+++ b/springspread/faults/policy_change_rounds.py
@@ -101,7 +101,7 @@
             if limit is not None:
                 limited[number] = limit
             time.sleep(rng.uniform(0.05, 0.3))
-        self.end_load()
+        self.stop_load()
         arm.without_outcome, arm.conflicting_outcomes = (
             self.result.without_outcome,
             self.result.conflicting_outcomes,
@@ -200,7 +200,7 @@
         over.set()
         thread.join()
         arm.changes = 1
-        self.end_load()
+        self.stop_load()
         arm.without_outcome, arm.conflicting_outcomes = (
             self.result.without_outcome,
             self.result.conflicting_outcomes,
--- a/tests/faults/test_return.py
+++ b/tests/faults/test_return.py
@@ -75,7 +75,7 @@
         outside.shut.clear()
         chaos.wait_until_ready()
         rows = chaos.recovery()
-        chaos.end_load()
+        chaos.stop_load()
     assert len(before) > 15
     assert not before - set(outside.applied) and not chaos.result.without_outcome
     assert {row["name"] for row in rows} == {"n000", "n001", "n002"}
@@ -95,7 +95,7 @@
         outside.shut.clear()
         chaos.wait_until_ready()
         until(lambda: [row["gate"] for row in chaos.recovery()] == ["open"], "its report that it is open")
-        chaos.end_load()
+        chaos.stop_load()
     assert not chaos.result.without_outcome
 
 
@@ -120,7 +120,7 @@
         os.kill(pid, signal.SIGCONT)
         chaos.wait_until_ready()
         assert (chaos.rows["n001"]["pid"], chaos.rows["n001"]["epoch"]) == (pid, epoch)
-        chaos.end_load()
+        chaos.stop_load()
     assert not chaos.result.without_outcome and not chaos.result.conflicting_outcomes
     assert all(outside.applied[id] <= 1 for id in chaos.unsafe)
     assert fullest(outside.arrivals, limit) <= 1.0
