--- a/benchmarks/power_cuts.py
+++ b/benchmarks/power_cuts.py
@@ -38,7 +38,7 @@
     made = {"lease_ms": 1000.0, "each_s": args.each_s, "limit": LIMIT, "power": args.durability}
     made |= {"write_back": back}
     with fleet_of(Chaos, args.instances, **made) as (chaos, outside):
-        chaos.load()
+        chaos.start_load()
         for _ in range(args.cuts):
             # Some come while the fleet returns from the one before.
             end = time.monotonic() + rng.choice((0.2, 1.0, 2.0, 3.0))
--- a/springspread/faults/chaos.py
+++ b/springspread/faults/chaos.py
@@ -342,7 +342,7 @@
         ``show`` is told each second: the time (ms), the daemon's rows by name, and what is being done to
         whom. A ``rival`` proposes, all along, what no instance can use.
         """
-        self.load()
+        self.start_load()
         if self._program is None:
             self._spawn(self._change)
         if rival:
@@ -382,7 +382,7 @@
                 self.result.start_ratio = fullest([call.at for call in found], self._limit)
         return self.result
 
-    def load(self) -> None:
+    def start_load(self) -> None:
         """Hand each instance its messages from now on."""
         self._over.clear()
         for number in range(len(self._names)):
--- a/springspread/faults/damage.py
+++ b/springspread/faults/damage.py
@@ -75,7 +75,7 @@
         outside = self._outside
         self.result.accepted.clear()
         outside.shut.set()
-        self.load()
+        self.start_load()
         time.sleep(OWED_S)
         self._over.set()
         before = {name: (self._folder / name).read_bytes() for name, _ in damages}
--- a/springspread/faults/fleet_recovery.py
+++ b/springspread/faults/fleet_recovery.py
@@ -56,7 +56,7 @@
     def come_back(self, length_s: float, clock_s: float = 0.0, away_s: float = 0.0) -> Comeback:
         """Lose the power and return, under load, for so long; the partner is ``away_s`` longer away."""
         outside = self._outside
-        self.load()
+        self.start_load()
         time.sleep(1.0)
         outside.shut.set()
         time.sleep(SHUT_S)
--- a/springspread/faults/policy_change_rounds.py
+++ b/springspread/faults/policy_change_rounds.py
@@ -82,7 +82,7 @@
         arm, rng = Arm(name), Random(f"{seed}/{name}")
         limited: dict[int, tuple[int, float]] = {}
         self.result.accepted.clear()
-        self.load()
+        self.start_load()
         begun_at = time.monotonic() * 1000.0
         touched: set[str] = set()
         for _ in range(count):
@@ -190,7 +190,7 @@
         self.wait_until_ready()
         arm = Arm(f"{deed.value} {at}")
         begun_at = time.monotonic() * 1000.0
-        self.load()
+        self.start_load()
         over = threading.Event()
         thread = threading.Thread(target=self._after_moment, args=(told, over), daemon=True)
         thread.start()
--- a/tests/faults/test_return.py
+++ b/tests/faults/test_return.py
@@ -68,7 +68,7 @@
 def test_a_fleet_whose_clock_comes_up_an_hour_late_gives_up_nothing_that_has_time_left() -> None:
     with fleet_of(Chaos, 3, lease_ms=1000.0, each_s=0.05, power="power") as (chaos, outside):
         outside.shut.set()
-        chaos.load()
+        chaos.start_load()
         until(lambda: len(chaos.result.accepted) > 40, "messages are owed")
         chaos.power_cut(3600.0)
         before = set(chaos.result.accepted) - chaos.unsafe
@@ -86,7 +86,7 @@
     own = "owed_ms = 600000.0"
     with fleet_of(Chaos, 1, lease_ms=1000.0, each_s=0.02, power="power", recovery=own) as (chaos, outside):
         outside.shut.set()
-        chaos.load()
+        chaos.start_load()
         until(lambda: len(chaos.result.accepted) > 20, "more is owed than there are slots")
         chaos.power_cut()
         until(lambda: any(row["gate"] == "owed" for row in chaos.recovery()), "it stands before clients")
@@ -111,7 +111,7 @@
 def test_an_instance_that_was_frozen_through_the_outage_goes_on_beside_those_that_returned() -> None:
     limit = (40, 1_000.0)
     with fleet_of(Chaos, 3, lease_ms=1000.0, each_s=0.04, power="power", limit=limit) as (chaos, outside):
-        chaos.load()
+        chaos.start_load()
         until(lambda: len(outside.applied) > 20, "it serves")
         pid, epoch = (chaos.rows["n001"][key] for key in ("pid", "epoch"))
         os.kill(pid, signal.SIGSTOP)
