--- a/benchmarks/policy_steps.py
+++ b/benchmarks/policy_steps.py
@@ -13,7 +13,7 @@
 from pathlib import Path
 
 from benchmarks.tables import tell, write_table
-from springspread.faults.chaos import fleet_of
+from springspread.faults.chaos import running_fleet
 from springspread.faults.failpoints import Deed
 from springspread.faults.policy_change_rounds import Rounds, tell_broken
 
@@ -27,7 +27,7 @@
     parser.add_argument("--csv", type=Path)
     args = parser.parse_args()
     rows, broken = [], 0
-    with fleet_of(Rounds, args.instances, lease_ms=1000.0, each_s=0.05) as (rounds, _):
+    with running_fleet(Rounds, args.instances, lease_ms=1000.0, each_s=0.05) as (rounds, _):
         for deed in Deed:
             for at in range(1, MOST):
                 name, arm = rounds.moment(at, deed)
--- a/springspread/faults/chaos.py
+++ b/springspread/faults/chaos.py
@@ -447,7 +447,7 @@
 
 
 @contextmanager
-def fleet_of(kind: type[Kept], instances: int, **made: Any) -> Iterator[tuple[Kept, Outside]]:
+def running_fleet(kind: type[Kept], instances: int, **made: Any) -> Iterator[tuple[Kept, Outside]]:
     """A fleet under test with its outside, in a folder of its own; ``made`` as ``Chaos`` takes it."""
     outside = Outside()
     with tempfile.TemporaryDirectory(prefix="springspread-fleet-") as place:
