--- a/benchmarks/power_return.py
+++ b/benchmarks/power_return.py
@@ -73,7 +73,7 @@
                 "kept": told.kept,
                 "given_up": told.given_up,
                 "late": told.late,
-                "offered": told.offered,
+                "offered": told.submitted,
                 "refused": told.refused,
                 "taken": told.taken,
                 "failed": told.failed,
--- a/springspread/faults/chaos.py
+++ b/springspread/faults/chaos.py
@@ -152,7 +152,7 @@
         self._ids = count(1)
         self.unsafe: set[str] = set()
         self.handed_at: dict[str, float] = {}
-        self.offered: dict[str, tuple[float, int]] = {}  # when (ms), and the status; 0: none
+        self.submitted: dict[str, tuple[float, int]] = {}  # when (ms), and the status; 0: none
         self._looked = 0.0
         self._threads: list[threading.Thread] = []
         self._answered: set[str] = set()
@@ -240,7 +240,7 @@
                         self.unsafe.add(id)
                 if status == 200:
                     self._answered.add(id)
-            self.offered[id] = (began, status)
+            self.submitted[id] = (began, status)
             connection.close()
 
     def _change(self) -> None:
--- a/springspread/faults/fleet_recovery.py
+++ b/springspread/faults/fleet_recovery.py
@@ -31,7 +31,7 @@
     kept: int = 0  # of these, delivered in their time
     given_up: int = 0  # of these, told as not delivered before their time
     late: int = 0  # of these, ended after their time
-    offered: int = 0
+    submitted: int = 0
     refused: int = 0
     taken: int = 0
     failed: int = 0  # taken after power on, and not delivered in time
@@ -93,11 +93,11 @@
         for at in delivered:
             if at < power_on + 1000.0 * len(rows):
                 rows[int((at - power_on) / 1000.0)]["delivered"] += 1
-        for id, (at, status) in self.offered.items():
+        for id, (at, status) in self.submitted.items():
             if at < power_on or at >= power_on + 1000.0 * len(rows):
                 continue
             taken = status in (200, 202)
-            made.offered += 1
+            made.submitted += 1
             made.taken += taken
             made.refused += not taken
             made.failed += taken and first.get(id, never) > at + LIFE_MS
