--- a/benchmarks/damaged_folders.py
+++ b/benchmarks/damaged_folders.py
@@ -27,7 +27,7 @@
     parser.add_argument("--csv", type=Path)
     args = parser.parse_args()
     rng, broken = Random(f"{args.seed}/damage"), False
-    made = {"lease_ms": 1000.0, "each_s": 0.05, "power": "power"}
+    made = {"lease_ms": 1000.0, "message_interval_s": 0.05, "power": "power"}
     with running_fleet(Damaged, 2, **made) as (fleet, _):
 
         def play(damages: Sequence[tuple[str, str]]) -> bool:
--- a/benchmarks/policy_chaos.py
+++ b/benchmarks/policy_chaos.py
@@ -35,7 +35,7 @@
 def play(args: argparse.Namespace, acts: Sequence[ScheduledFault]) -> ChaosResult:
     """One run on a new fleet."""
     limit = (args.limit, LIMIT_MS) if args.limit else None
-    made = {"lease_ms": args.lease_ms, "each_s": args.load_s, "limit": limit, "program": args.old}
+    made = {"lease_ms": args.lease_ms, "message_interval_s": args.load_s, "limit": limit, "program": args.old}
     with running_fleet(Chaos, args.instances, **made) as (chaos, _):
         return chaos.play(acts, 1000.0 * args.seconds)
 
--- a/benchmarks/policy_rounds.py
+++ b/benchmarks/policy_rounds.py
@@ -67,7 +67,7 @@
     parser.add_argument("--csv", type=Path)
     args = parser.parse_args()
     broken, rows = 0, []
-    made = {"lease_ms": args.lease_ms, "each_s": args.load_s}
+    made = {"lease_ms": args.lease_ms, "message_interval_s": args.load_s}
     with running_fleet(Rounds, args.instances, **made) as (rounds, _):
         for name, (kinds, limits) in ARMS.items():
             if args.only in (None, name):
--- a/benchmarks/policy_steps.py
+++ b/benchmarks/policy_steps.py
@@ -27,7 +27,7 @@
     parser.add_argument("--csv", type=Path)
     args = parser.parse_args()
     rows, broken = [], 0
-    with running_fleet(Rounds, args.instances, lease_ms=1000.0, each_s=0.05) as (rounds, _):
+    with running_fleet(Rounds, args.instances, lease_ms=1000.0, message_interval_s=0.05) as (rounds, _):
         for deed in Deed:
             for at in range(1, MOST):
                 name, arm = rounds.moment(at, deed)
--- a/benchmarks/power_cuts.py
+++ b/benchmarks/power_cuts.py
@@ -35,7 +35,7 @@
     args = parser.parse_args()
     rng = Random(f"{args.seed}/cuts")
     back = "" if args.whole else str(args.seed)
-    made = {"lease_ms": 1000.0, "each_s": args.each_s, "limit": LIMIT, "power": args.durability}
+    made = {"lease_ms": 1000.0, "message_interval_s": args.each_s, "limit": LIMIT, "power": args.durability}
     made |= {"write_back": back}
     with running_fleet(Chaos, args.instances, **made) as (chaos, outside):
         chaos.start_load()
--- a/benchmarks/power_return.py
+++ b/benchmarks/power_return.py
@@ -35,7 +35,7 @@
 def play(args: argparse.Namespace, recovery: str, clock_s: float) -> Comeback:
     """One return of a new fleet."""
     a_second = args.instances / args.each_s
-    made = {"lease_ms": 1000.0, "each_s": args.each_s, "limit": (int(LIMIT * a_second), 1_000.0)}
+    made = {"lease_ms": 1000.0, "message_interval_s": args.each_s, "limit": (int(LIMIT * a_second), 1_000.0)}
     made |= {"power": "power", "recovery": recovery}
     with running_fleet(Returning, args.instances, **made) as (fleet, _):
         return fleet.come_back(args.seconds, clock_s, args.away_s)
--- a/springspread/faults/chaos.py
+++ b/springspread/faults/chaos.py
@@ -105,7 +105,7 @@
         outside: Outside,
         instances: int,
         lease_ms: float = 1500.0,
-        each_s: float = 0.1,
+        message_interval_s: float = 0.1,
         limit: tuple[int, float] | None = None,
         program: Path | None = None,
         sabotage: str = "",
@@ -114,7 +114,7 @@
         write_back: str = "",
         recovery: str = "",
     ) -> None:
-        """``place`` is an empty folder; each instance is handed a message every ``each_s``.
+        """``place`` is an empty folder; each instance is handed a message every ``message_interval_s``.
 
         ``limit``: calls and span (ms) at the partner, under every policy. ``program``: another checkout's
         daemon and instances, from before there were policies; without relays, and nothing is proposed.
@@ -127,7 +127,7 @@
         self._limit, self._program, self._sabotage = limit, program, sabotage
         self._power, self._write_back = power, write_back
         self._instance = "springspread.faults.power" if power else instance
-        self._each_s = each_s
+        self._each_s = message_interval_s
         self._file, self._config, self._folder = place / "fleet.toml", place / "sender.json", place / "fleet"
         toml = (TOML if program is None else OLD_TOML).format(instances, lease_ms)
         if limit is not None:
--- a/springspread/faults/policy_change_rounds.py
+++ b/springspread/faults/policy_change_rounds.py
@@ -66,9 +66,14 @@
     """Made as ``Chaos``; any number of ``arm``, then ``close``."""
 
     def __init__(
-        self, place: Path, outside: Outside, instances: int, lease_ms: float = 1500.0, each_s: float = 0.1
+        self,
+        place: Path,
+        outside: Outside,
+        instances: int,
+        lease_ms: float = 1500.0,
+        message_interval_s: float = 0.1,
     ) -> None:
-        super().__init__(place, outside, instances, lease_ms, each_s)
+        super().__init__(place, outside, instances, lease_ms, message_interval_s)
         self._slots, self._turn = 20, 0
         self._given: dict[int, str] = {}  # what was answered of each change
 
--- a/tests/faults/test_chaos.py
+++ b/tests/faults/test_chaos.py
@@ -64,7 +64,9 @@
 def test_a_call_that_was_held_up_since_it_got_its_right_does_not_break_the_limit(tmp_path: Path) -> None:
     outside = Outside()
     limit = (30, 1_000.0)
-    chaos = Chaos(tmp_path, outside, 3, each_s=0.06, limit=limit, instance="springspread.faults.stalls")
+    chaos = Chaos(
+        tmp_path, outside, 3, message_interval_s=0.06, limit=limit, instance="springspread.faults.stalls"
+    )
     try:
         told = chaos.play((), 6_500.0)
     finally:
--- a/tests/faults/test_return.py
+++ b/tests/faults/test_return.py
@@ -66,7 +66,7 @@
 
 
 def test_a_fleet_whose_clock_comes_up_an_hour_late_gives_up_nothing_that_has_time_left() -> None:
-    with running_fleet(Chaos, 3, lease_ms=1000.0, each_s=0.05, power="power") as (chaos, outside):
+    with running_fleet(Chaos, 3, lease_ms=1000.0, message_interval_s=0.05, power="power") as (chaos, outside):
         outside.shut.set()
         chaos.start_load()
         until(lambda: len(chaos.result.accepted) > 40, "messages are owed")
@@ -84,7 +84,7 @@
 
 def test_clients_are_refused_with_a_time_to_come_back_until_what_is_owed_goes_on() -> None:
     own = "owed_ms = 600000.0"
-    with running_fleet(Chaos, 1, lease_ms=1000.0, each_s=0.02, power="power", recovery=own) as (
+    with running_fleet(Chaos, 1, lease_ms=1000.0, message_interval_s=0.02, power="power", recovery=own) as (
         chaos,
         outside,
     ):
@@ -103,7 +103,7 @@
 
 
 def test_files_that_come_back_damaged_cost_what_they_held_and_nothing_else() -> None:
-    with running_fleet(Damaged, 2, lease_ms=1000.0, each_s=0.05, power="power") as (fleet, _):
+    with running_fleet(Damaged, 2, lease_ms=1000.0, message_interval_s=0.05, power="power") as (fleet, _):
         told = fleet.return_with([("members.json", "flipped"), ("n000/config.json", "missing")])
         assert not told.promise_violated and not told.refused and not told.gone
         (journal,) = (name for name in fleet.files if "journal." in name)
@@ -113,7 +113,7 @@
 
 def test_an_instance_that_was_frozen_through_the_outage_goes_on_beside_those_that_returned() -> None:
     limit = (40, 1_000.0)
-    with running_fleet(Chaos, 3, lease_ms=1000.0, each_s=0.04, power="power", limit=limit) as (
+    with running_fleet(Chaos, 3, lease_ms=1000.0, message_interval_s=0.04, power="power", limit=limit) as (
         chaos,
         outside,
     ):
