--- a/benchmarks/capacity/sender.py
+++ b/benchmarks/capacity/sender.py
@@ -158,9 +158,9 @@
 
 def configuration(folder: Path, most_held: int) -> Path:
     """A sender's configuration in a folder of its own."""
-    from springspread.faults.external_services import Outside
+    from springspread.faults.external_services import ExternalServices
 
-    outside = Outside()
+    outside = ExternalServices()
     (folder / "state").mkdir(exist_ok=True)
     raw = outside.configuration() | {"name": "n0", "listen": "127.0.0.1:0", "state": str(folder / "state")}
     raw["settings"]["limits"]["mostHeld"] = most_held
--- a/benchmarks/durability.py
+++ b/benchmarks/durability.py
@@ -24,7 +24,7 @@
 import numpy as np
 
 from benchmarks.tables import tell, write_table
-from springspread.faults.external_services import GROUP, Outside
+from springspread.faults.external_services import GROUP, ExternalServices
 
 READY_S = 20.0
 
@@ -32,7 +32,7 @@
 class Sender:
     """The real program with a configuration of its own, until ``end``."""
 
-    def __init__(self, place: Path, outside: Outside, durability: str) -> None:
+    def __init__(self, place: Path, outside: ExternalServices, durability: str) -> None:
         raw = outside.configuration() | {"name": "n0", "listen": "127.0.0.1:0", "durability": durability}
         raw |= {"state": str(place)}
         raw["limits"] |= {"disk_mb": 64}
@@ -60,7 +60,7 @@
 
 def play(durability: str, takers: int, seconds: float) -> dict[str, object]:
     """One run."""
-    outside, ids, over = Outside(), count(1), threading.Event()
+    outside, ids, over = ExternalServices(), count(1), threading.Event()
     times: list[float] = []
     refused: list[float] = []
     head = {"X-Service-Class": "notice", "X-Consignee": f"dest={GROUP}", "X-Time-Left-Ms": "8000"}
--- a/benchmarks/recovery_size.py
+++ b/benchmarks/recovery_size.py
@@ -71,9 +71,9 @@
     parser.add_argument("--repeats", type=int, default=3)
     parser.add_argument("--csv", type=Path)
     args = parser.parse_args()
-    from springspread.faults.external_services import Outside
+    from springspread.faults.external_services import ExternalServices
 
-    outside = Outside()
+    outside = ExternalServices()
     for count in args.owed:
         with tempfile.TemporaryDirectory(prefix="springspread-recovery-") as place:
             state = Path(place) / "state"
--- a/springspread/faults/chaos.py
+++ b/springspread/faults/chaos.py
@@ -26,7 +26,7 @@
 from typing import Any, TypeVar
 
 from springspread.faults.daemon import PROGRAM, relay_path
-from springspread.faults.external_services import GROUP, UNSAFE, Outside
+from springspread.faults.external_services import GROUP, UNSAFE, ExternalServices
 from springspread.faults.observer import begun, fullest, gaps, interleaved, mixtures, nowhere, recorded
 from springspread.faults.power import CLOCK, WRITE_BACK
 from springspread.faults.relay import Direction, Fault, Relay, unseen
@@ -102,7 +102,7 @@
     def __init__(
         self,
         place: Path,
-        outside: Outside,
+        outside: ExternalServices,
         instances: int,
         lease_ms: float = 1500.0,
         message_interval_s: float = 0.1,
@@ -447,9 +447,9 @@
 
 
 @contextmanager
-def running_fleet(kind: type[Kept], instances: int, **made: Any) -> Iterator[tuple[Kept, Outside]]:
+def running_fleet(kind: type[Kept], instances: int, **made: Any) -> Iterator[tuple[Kept, ExternalServices]]:
     """A fleet under test with its outside, in a folder of its own; ``made`` as ``Chaos`` takes it."""
-    outside = Outside()
+    outside = ExternalServices()
     with tempfile.TemporaryDirectory(prefix="springspread-fleet-") as place:
         try:
             chaos = kind(Path(place), outside, instances, **made)
--- a/springspread/faults/external_services.py
+++ b/springspread/faults/external_services.py
@@ -17,7 +17,7 @@
 WATCH_S = 5.0  # an unchanged list is told after this
 
 
-class Outside:
+class ExternalServices:
     """Serves until ``close``. ``applied`` counts calls by message; ``noticed`` has what notices said of one,
     ``noticed_at`` when the first of them came (ms, the monotonic clock).
 
@@ -98,7 +98,7 @@
 
 
 class _Handler(BaseHTTPRequestHandler):
-    outside: Outside
+    outside: ExternalServices
     protocol_version = "HTTP/1.1"
 
     def _reply(self, status: int, body: bytes = b"") -> None:
--- a/springspread/faults/policy_change_rounds.py
+++ b/springspread/faults/policy_change_rounds.py
@@ -16,7 +16,7 @@
 from random import Random
 
 from springspread.faults.chaos import Chaos
-from springspread.faults.external_services import GROUP, Outside
+from springspread.faults.external_services import GROUP, ExternalServices
 from springspread.faults.failpoints import Deed
 from springspread.faults.observer import begun, borders, gaps, mixtures, over_limit
 from springspread.faults.schedule import FaultKind, ScheduledFault
@@ -68,7 +68,7 @@
     def __init__(
         self,
         place: Path,
-        outside: Outside,
+        outside: ExternalServices,
         instances: int,
         lease_ms: float = 1500.0,
         message_interval_s: float = 0.1,
--- a/tests/faults/test_chaos.py
+++ b/tests/faults/test_chaos.py
@@ -1,7 +1,7 @@
 from pathlib import Path
 
 from springspread.faults.chaos import Chaos
-from springspread.faults.external_services import Outside
+from springspread.faults.external_services import ExternalServices
 from springspread.faults.failpoints import Deed
 from springspread.faults.policy_change_rounds import Rounds
 from springspread.faults.schedule import FaultKind, ScheduledFault, random_schedule
@@ -15,7 +15,7 @@
         ScheduledFault(2500.0, FaultKind.KILL, 2, 100.0),
         ScheduledFault(3500.0, FaultKind.REPLAY, 2, 100.0),
     )
-    outside = Outside()
+    outside = ExternalServices()
     chaos = Chaos(tmp_path, outside, 3)
     try:
         told = chaos.play(acts, 6000.0)
@@ -34,7 +34,7 @@
 
 
 def test_a_round_ends_in_one_answer_and_its_limits_are_counted_at_the_partner(tmp_path: Path) -> None:
-    outside = Outside()
+    outside = ExternalServices()
     rounds = Rounds(tmp_path, outside, 2, 1000.0)
     try:
         calm = rounds.arm("calm", (), 1, 0, 1, True)
@@ -48,7 +48,7 @@
 
 
 def test_a_daemon_meets_its_end_or_a_full_disk_at_a_named_moment(tmp_path: Path) -> None:
-    outside = Outside()
+    outside = ExternalServices()
     rounds = Rounds(tmp_path, outside, 2, 1000.0, 0.05)
     try:
         met = [rounds.moment(at, deed) for at, deed in ((3, Deed.DIE), (1, Deed.FULL), (500, Deed.DIE))]
@@ -62,7 +62,7 @@
 
 
 def test_a_call_that_was_held_up_since_it_got_its_right_does_not_break_the_limit(tmp_path: Path) -> None:
-    outside = Outside()
+    outside = ExternalServices()
     limit = (30, 1_000.0)
     chaos = Chaos(
         tmp_path, outside, 3, message_interval_s=0.06, limit=limit, instance="springspread.faults.stalls"
