--- a/springspread/faults/external_services.py
+++ b/springspread/faults/external_services.py
@@ -1,6 +1,4 @@
-"""What a fleet under test meets outside: one partner, the directory and the platform, all on one loopback
-port.
-"""
+"""Stand-ins for the services around a fleet under test: partner, discovery and platform, on one port."""
 
 from __future__ import annotations
 
@@ -14,15 +12,15 @@
 
 GROUP = 7
 UNSAFE = "payment"  # the class whose calls may run once
-WATCH_S = 5.0  # an unchanged list is told after this
+WATCH_S = 5.0  # a watch of an unchanged list is answered after this
 
 
 class ExternalServices:
-    """Serves until ``close``. ``applied`` counts calls by message; ``noticed`` has what notices said of one,
-    ``noticed_at`` when the first of them came (ms, the monotonic clock).
+    """Serves until ``close``. Times are milliseconds of the monotonic clock.
 
-    ``arrivals``: when each call was there (ms, the monotonic clock), in order; ``first``: by message.
-    While ``shut`` is set the partner turns every call away.
+    ``applied`` counts calls by message, ``noticed`` holds the statuses in a message's notices and
+    ``noticed_at`` when the first of them came. ``arrivals`` has the time of each call in order, ``first``
+    that of each message's first call. While ``shut`` is set the partner rejects every call.
     """
 
     def __init__(self) -> None:
@@ -39,14 +37,14 @@
         threading.Thread(target=self.server.serve_forever, name="outside", daemon=True).start()
 
     def members(self, name: str = "s-1", port: int = 0) -> dict[str, Any]:
-        """The list: one endpoint of one destination, the partner's own or another."""
+        """A discovery answer with one endpoint: the partner's own, or one at another port."""
         line = {"name": name, "address": f"127.0.0.1:{port or self.port}", "zone": "a", "type": "portal"}
         line |= {"group": str(GROUP), "status": "Ready"}
         full: dict[str, Any] = {**line, "group": GROUP, "weight": 1000.0, "since_ms": 0}
         return {"index": 1, "snapshot": True, "endpoints": [full]}
 
     def configuration(self) -> dict[str, Any]:
-        """A sender's, as the fleet's file names it."""
+        """The configuration file of a sender."""
         settings = {
             "classes": [
                 {
@@ -79,12 +77,12 @@
 
     @property
     def ended(self) -> set[str]:
-        """Messages that came to an end: delivered, or told to the platform."""
+        """Messages with an outcome: delivered, or reported to the platform."""
         with self.lock:
             return set(self.applied) | set(self.noticed)
 
     def close(self) -> None:
-        """End it."""
+        """Stop serving."""
         self.over.set()
         self.server.shutdown()
         self.server.server_close()
@@ -92,7 +90,7 @@
 
 class _Server(ThreadingHTTPServer):
     def handle_error(self, request: Any, client_address: Any) -> None:
-        """A caller that was killed is no fault of this one."""
+        """Ignore connections that broke because the caller was killed."""
         if not isinstance(sys.exc_info()[1], OSError):
             super().handle_error(request, client_address)
 
@@ -108,11 +106,11 @@
         self.end_headers()
         try:
             self.wfile.write(body)
-        except OSError:  # its process was killed
+        except OSError:  # the caller was killed
             self.close_connection = True
 
     def do_GET(self) -> None:
-        """The list, or a watch of it."""
+        """Answer a list request or a watch."""
         if "since=" not in self.path:
             self._reply(200, json.dumps(self.outside.members()).encode())
             return
@@ -120,7 +118,7 @@
         self._reply(200, json.dumps({"index": 1, "snapshot": False, "endpoints": []}).encode())
 
     def do_POST(self) -> None:
-        """A call, or notices."""
+        """Accept a call, or notices to the platform."""
         length = int(self.headers.get("Content-Length", "0"))
         body = self.rfile.read(length)
         if len(body) < length:
@@ -144,4 +142,4 @@
         self._reply(200)
 
     def log_message(self, format: str, *args: Any) -> None:
-        """Nothing is logged."""
+        """Log nothing."""
