--- a/benchmarks/power_cuts.py
+++ b/benchmarks/power_cuts.py
@@ -48,8 +48,8 @@
             chaos.power_cut()
         chaos.wait_until_ready()
         chaos.stop_load()
-    twice = [id for id in chaos.unsafe if outside.applied[id] > 1]
-    ran_and_told = [id for id in chaos.unsafe if outside.applied[id] and outside.noticed.get(id)]
+    twice = [id for id in chaos.unsafe if outside.call_counts[id] > 1]
+    ran_and_told = [id for id in chaos.unsafe if outside.call_counts[id] and outside.noticed.get(id)]
     row = {
         "durability": args.durability,
         "instances": args.instances,
--- a/springspread/faults/chaos.py
+++ b/springspread/faults/chaos.py
@@ -376,7 +376,7 @@
             )
         self.result.gaps_within_policy, self.result.gaps_across_change = gaps(found)
         with self._outside.lock:
-            self.result.delivered = len(self._outside.applied)
+            self.result.delivered = len(self._outside.call_counts)
             if self._limit is not None:
                 self.result.limit_ratio = fullest(self._outside.arrivals, self._limit)
                 self.result.start_ratio = fullest([call.at for call in found], self._limit)
--- a/springspread/faults/damage.py
+++ b/springspread/faults/damage.py
@@ -97,7 +97,7 @@
         self.stop_load()
         held = {name.split("/")[0] for name, _ in damages if "/state/" in name}
         gone = {id for id in self.result.without_outcome if id.split("-")[0] in held}
-        twice = sum(outside.applied[id] > 1 for id in self.unsafe)
+        twice = sum(outside.call_counts[id] > 1 for id in self.unsafe)
         lost = len(self.result.without_outcome) - len(gone)
         return Outcome(refused, lost, len(gone), twice, len(self.result.conflicting_outcomes))
 
--- a/springspread/faults/external_services.py
+++ b/springspread/faults/external_services.py
@@ -18,13 +18,13 @@
 class ExternalServices:
     """Serves until ``close``. Times are milliseconds of the monotonic clock.
 
-    ``applied`` counts calls by message, ``noticed`` holds the statuses in a message's notices and
+    ``call_counts`` counts calls by message, ``noticed`` holds the statuses in a message's notices and
     ``noticed_at`` when the first of them came. ``arrivals`` has the time of each call in order, ``first``
     that of each message's first call. While ``shut`` is set the partner rejects every call.
     """
 
     def __init__(self) -> None:
-        self.applied: Counter[str] = Counter()
+        self.call_counts: Counter[str] = Counter()
         self.noticed: defaultdict[str, set[str]] = defaultdict(set)
         self.noticed_at: dict[str, float] = {}
         self.arrivals: list[float] = []
@@ -79,7 +79,7 @@
     def ended(self) -> set[str]:
         """Messages with an outcome: delivered, or reported to the platform."""
         with self.lock:
-            return set(self.applied) | set(self.noticed)
+            return set(self.call_counts) | set(self.noticed)
 
     def close(self) -> None:
         """Stop serving."""
@@ -136,7 +136,7 @@
             return
         id, now = self.headers.get("X-Correlation-Id", ""), time.monotonic() * 1000.0
         with self.outside.lock:
-            self.outside.applied[id] += 1
+            self.outside.call_counts[id] += 1
             self.outside.arrivals.append(now)
             self.outside.first.setdefault(id, now)
         self._reply(200)
--- a/springspread/faults/fleet_recovery.py
+++ b/springspread/faults/fleet_recovery.py
@@ -78,7 +78,7 @@
         self, power_on: float, length_s: float, owed: Iterable[str], logs: Mapping[Path, int]
     ) -> Comeback:
         made, outside = Comeback(without_outcome=len(self.result.without_outcome)), self._outside
-        made.unsafe_twice = sum(outside.applied[id] > 1 for id in self.unsafe)
+        made.unsafe_twice = sum(outside.call_counts[id] > 1 for id in self.unsafe)
         first, never = outside.first, float("inf")
         for id in owed:
             end = self.handed_at[id] + LIFE_MS
--- a/tests/faults/test_return.py
+++ b/tests/faults/test_return.py
@@ -77,7 +77,7 @@
         rows = chaos.recovery()
         chaos.stop_load()
     assert len(before) > 15
-    assert not before - set(outside.applied) and not chaos.result.without_outcome
+    assert not before - set(outside.call_counts) and not chaos.result.without_outcome
     assert {row["name"] for row in rows} == {"n000", "n001", "n002"}
     assert sum(row["ended"] + row["owed"] for row in rows) >= len(before) / 2
 
@@ -118,7 +118,7 @@
         outside,
     ):
         chaos.start_load()
-        until(lambda: len(outside.applied) > 20, "it serves")
+        until(lambda: len(outside.call_counts) > 20, "it serves")
         pid, epoch = (chaos.rows["n001"][key] for key in ("pid", "epoch"))
         os.kill(pid, signal.SIGSTOP)
         chaos.power_cut(spared=["n001"])
@@ -128,5 +128,5 @@
         assert (chaos.rows["n001"]["pid"], chaos.rows["n001"]["epoch"]) == (pid, epoch)
         chaos.stop_load()
     assert not chaos.result.without_outcome and not chaos.result.conflicting_outcomes
-    assert all(outside.applied[id] <= 1 for id in chaos.unsafe)
+    assert all(outside.call_counts[id] <= 1 for id in chaos.unsafe)
     assert fullest(outside.arrivals, limit) <= 1.0
