--- a/benchmarks/power_cuts.py
+++ b/benchmarks/power_cuts.py
@@ -49,7 +49,7 @@
         chaos.wait_until_ready()
         chaos.stop_load()
     twice = [id for id in chaos.unsafe if outside.call_counts[id] > 1]
-    ran_and_told = [id for id in chaos.unsafe if outside.call_counts[id] and outside.noticed.get(id)]
+    ran_and_told = [id for id in chaos.unsafe if outside.call_counts[id] and outside.notices.get(id)]
     row = {
         "durability": args.durability,
         "instances": args.instances,
--- a/springspread/faults/chaos.py
+++ b/springspread/faults/chaos.py
@@ -401,7 +401,7 @@
         self.result.without_outcome = lost
         told = {
             id: {*said, *(["delivered"] if id in self._answered else [])}
-            for id, said in self._outside.noticed.items()
+            for id, said in self._outside.notices.items()
         }
         self.result.conflicting_outcomes = {id for id, said in told.items() if len(said) > 1}
 
--- a/springspread/faults/external_services.py
+++ b/springspread/faults/external_services.py
@@ -18,14 +18,14 @@
 class ExternalServices:
     """Serves until ``close``. Times are milliseconds of the monotonic clock.
 
-    ``call_counts`` counts calls by message, ``noticed`` holds the statuses in a message's notices and
+    ``call_counts`` counts calls by message, ``notices`` holds the statuses in a message's notices and
     ``noticed_at`` when the first of them came. ``arrivals`` has the time of each call in order, ``first``
     that of each message's first call. While ``shut`` is set the partner rejects every call.
     """
 
     def __init__(self) -> None:
         self.call_counts: Counter[str] = Counter()
-        self.noticed: defaultdict[str, set[str]] = defaultdict(set)
+        self.notices: defaultdict[str, set[str]] = defaultdict(set)
         self.noticed_at: dict[str, float] = {}
         self.arrivals: list[float] = []
         self.first: dict[str, float] = {}
@@ -79,7 +79,7 @@
     def ended(self) -> set[str]:
         """Messages with an outcome: delivered, or reported to the platform."""
         with self.lock:
-            return set(self.call_counts) | set(self.noticed)
+            return set(self.call_counts) | set(self.notices)
 
     def close(self) -> None:
         """Stop serving."""
@@ -127,7 +127,7 @@
         if self.path == "/v2/finals":
             with self.outside.lock:
                 for notice in map(json.loads, body.splitlines()):
-                    self.outside.noticed[notice["id"]].add(notice["status"])
+                    self.outside.notices[notice["id"]].add(notice["status"])
                     self.outside.noticed_at.setdefault(notice["id"], time.monotonic() * 1000.0)
             self._reply(204)
             return
