--- a/springspread/faults/chaos.py
+++ b/springspread/faults/chaos.py
@@ -27,7 +27,7 @@
 
 from springspread.faults.daemon import PROGRAM, relay_path
 from springspread.faults.external_services import GROUP, UNSAFE, ExternalServices
-from springspread.faults.observer import begun, fullest, gaps, interleaved, mixtures, nowhere, recorded
+from springspread.faults.observer import call_starts, fullest, gaps, interleaved, mixtures, nowhere, recorded
 from springspread.faults.power import CLOCK, WRITE_BACK
 from springspread.faults.relay import Direction, Fault, Relay, unseen
 from springspread.faults.sabotage import VARIABLE
@@ -366,7 +366,7 @@
                 show(now, self._rows, [what for _, _, what in ends])
             time.sleep(0.05)
         self.stop_load()
-        found = begun(self._folder)
+        found = call_starts(self._folder)
         self.result.calls, self.result.mixtures = len(found), mixtures(found)
         if self._program is None:
             record = recorded(self._folder)
--- a/springspread/faults/observer.py
+++ b/springspread/faults/observer.py
@@ -29,7 +29,7 @@
     at: float
 
 
-def begun(fleet: Path) -> list[Begun]:
+def call_starts(fleet: Path) -> list[Begun]:
     """Every first byte in the logs of a fleet's folder, in order of time."""
     found = []
     for log in sorted(fleet.glob("n*/log*")):
--- a/springspread/faults/policy_change_rounds.py
+++ b/springspread/faults/policy_change_rounds.py
@@ -18,7 +18,7 @@
 from springspread.faults.chaos import Chaos
 from springspread.faults.external_services import GROUP, ExternalServices
 from springspread.faults.failpoints import Deed
-from springspread.faults.observer import begun, borders, gaps, mixtures, over_limit
+from springspread.faults.observer import borders, call_starts, gaps, mixtures, over_limit
 from springspread.faults.schedule import FaultKind, ScheduledFault
 from springspread.fleet.control_client import send_order
 
@@ -228,7 +228,7 @@
     def _judge(
         self, arm: Arm, begun_at: float, touched: set[str], limited: dict[int, tuple[int, float]]
     ) -> None:
-        found = [call for call in begun(self._folder) if call.at >= begun_at]
+        found = [call for call in call_starts(self._folder) if call.at >= begun_at]
         held = borders(self._folder)
         arm.calls, arm.mixtures = len(found), mixtures(found)
         calm = [call for call in found if call.instance not in touched]
--- a/tests/faults/test_observer.py
+++ b/tests/faults/test_observer.py
@@ -3,8 +3,8 @@
 
 from springspread.faults.observer import (
     Begun,
-    begun,
     borders,
+    call_starts,
     fullest,
     gaps,
     interleaved,
@@ -20,7 +20,7 @@
         (tmp_path / name).mkdir()
         text = [json.dumps({"event": "begins", "policy": policy, "at": at}) for policy, at in lines]
         (tmp_path / name / "log").write_text("\n".join([*text, '{"event": "begins", "pol']))
-    found = begun(tmp_path)
+    found = call_starts(tmp_path)
     assert [call.at for call in found] == [5.0, 8.0, 9.0, 9.5]
     assert mixtures(found) == ["n001 began under 1 0.5 ms after n000 under 2"]
     assert mixtures(found[:3]) == []
--- a/tests/rollout/test_fleet.py
+++ b/tests/rollout/test_fleet.py
@@ -14,7 +14,7 @@
 
 import pytest
 
-from springspread.faults.observer import begun, mixtures
+from springspread.faults.observer import call_starts, mixtures
 from springspread.fleet.control_client import OrderRefused
 from springspread.fleet.daemon import Daemon
 from springspread.fleet.plan import read_fleet
@@ -66,7 +66,7 @@
         return all(state == {"version": version, "state": "acting"} for state in states)
 
     def acted_under(self, version: int) -> set[str]:
-        return {call.instance for call in begun(self.daemon.folder) if call.policy == version}
+        return {call.instance for call in call_starts(self.daemon.folder) if call.policy == version}
 
     def finish(self, blocked: Collection[str] = ()) -> None:
         """Stop the load, and wait until every accepted message has been delivered.
@@ -112,7 +112,7 @@
     assert fleet.propose(**calls_out(7)) == {"state": "in force", "version": 2, "fault": ""}
     until(lambda: len(fleet.acted_under(2)) == 3, "all act under it")
     fleet.finish()
-    calls = begun(fleet.daemon.folder)
+    calls = call_starts(fleet.daemon.folder)
     assert {call.policy for call in calls} == {1, 2} and mixtures(calls) == []
     assert fleet.propose(**calls_out(7))["version"] == 2  # proposing it again returns the same number
     with pytest.raises(OrderRefused, match="no policy 9 on record; there are 1, 2"):
@@ -136,7 +136,7 @@
     fleet.peer.answer_calls.set()
     until(lambda: fleet.all_act_under(1), "all still act under policy 1")
     fleet.finish()
-    assert {call.policy for call in begun(fleet.daemon.folder)} == {1}
+    assert {call.policy for call in call_starts(fleet.daemon.folder)} == {1}
 
 
 def test_frozen_and_killed_instances_do_not_block_a_change(fleet: Fleet) -> None:
@@ -148,7 +148,7 @@
     os.kill(rows["n001"]["pid"], signal.SIGCONT)
     until(lambda: len(fleet.acted_under(3)) == 3, "all act under the latest")
     fleet.finish({"n001", "n002"})
-    calls = begun(fleet.daemon.folder)
+    calls = call_starts(fleet.daemon.folder)
     assert mixtures(calls) == [] and "n001" not in fleet.acted_under(2)
 
 
@@ -165,7 +165,7 @@
     assert fleet.propose(**calls_out(9)) == {"state": "in force", "version": 3, "fault": ""}
     until(lambda: len(fleet.acted_under(3)) == 3, "all act under the next")
     fleet.finish({"n000", "n001", "n002"})
-    assert mixtures(begun(fleet.daemon.folder)) == [] and fleet.acted_under(2) == set()
+    assert mixtures(call_starts(fleet.daemon.folder)) == [] and fleet.acted_under(2) == set()
 
 
 def test_concurrent_proposals_never_interleave(fleet: Fleet) -> None:
@@ -186,7 +186,7 @@
     assert sorted(one["state"] for one in answers) == ["in force", "refused"]
     assert "one change at a time" in next(one["fault"] for one in answers if one["state"] == "refused")
     fleet.finish()
-    assert mixtures(begun(fleet.daemon.folder)) == []
+    assert mixtures(call_starts(fleet.daemon.folder)) == []
 
 
 def test_older_copy_of_the_record_is_refused(fleet: Fleet) -> None:
@@ -225,7 +225,7 @@
     )
     until(lambda: fleet.all_act_under(3), "all act under it after the roll")
     fleet.finish()
-    assert mixtures(begun(fleet.daemon.folder)) == []
+    assert mixtures(call_starts(fleet.daemon.folder)) == []
 
 
 def test_instance_with_a_full_disk_does_not_block_a_change(fleet: Fleet) -> None:
@@ -238,4 +238,4 @@
     os.kill(pid, signal.SIGKILL)  # the limit ends with the process
     until(lambda: len(fleet.acted_under(2)) == 3, "all act under it")
     fleet.finish()
-    assert mixtures(begun(fleet.daemon.folder)) == []
+    assert mixtures(call_starts(fleet.daemon.folder)) == []
--- a/tests/rollout/test_relay.py
+++ b/tests/rollout/test_relay.py
@@ -10,7 +10,7 @@
 import pytest
 
 from springspread.faults.daemon import RelayedDaemon, relay_path
-from springspread.faults.observer import begun, mixtures
+from springspread.faults.observer import call_starts, mixtures
 from springspread.faults.relay import Direction, Fault, Relay
 from springspread.fleet.plan import read_fleet
 from tests.fleet.test_allocator_server import NullLog
@@ -51,7 +51,7 @@
     """Wait until two instances have begun enough calls under a version to show one under an earlier one."""
 
     def calls() -> int:
-        return sum(call.policy == version for call in begun(fleet.daemon.folder))
+        return sum(call.policy == version for call in call_starts(fleet.daemon.folder))
 
     until(lambda: len(fleet.acted_under(version)) == 2 and calls() >= 10, "the two others act under it")
 
@@ -59,7 +59,7 @@
 def finish_under(fleet: RelayedFleet, version: int, blocked: Collection[str] = ()) -> None:
     until(lambda: len(fleet.acted_under(version)) == 3, f"all act under {version}")
     fleet.finish(blocked)
-    assert mixtures(begun(fleet.daemon.folder)) == []
+    assert mixtures(call_starts(fleet.daemon.folder)) == []
 
 
 def test_change_waits_for_the_grant_of_an_instance_that_is_cut_off(fleet: RelayedFleet) -> None:
