--- a/benchmarks/power_cuts.py
+++ b/benchmarks/power_cuts.py
@@ -17,7 +17,7 @@
 
 from benchmarks.tables import add, tell_long
 from springspread.faults.chaos import Chaos, running_fleet
-from springspread.faults.observer import fullest
+from springspread.faults.observer import peak_ratio
 
 LIMIT = (100, 1_000.0)  # so that there is always something held
 
@@ -60,12 +60,12 @@
         "without_end": len(chaos.result.without_outcome),
         "unsafe_twice": len(twice),
         "two_ends": len(chaos.result.conflicting_outcomes),
-        "over_limit": round(fullest(outside.arrivals, LIMIT), 3),
+        "over_limit": round(peak_ratio(outside.arrivals, LIMIT), 3),
         "ran_and_told_as_not": len(ran_and_told),  # an answer that was on its way, or on record nowhere yet
     }
     tell_long(row)
     add(args.csv, row)
-    over = fullest(outside.arrivals, LIMIT) > 1.0
+    over = peak_ratio(outside.arrivals, LIMIT) > 1.0
     found = bool(chaos.result.without_outcome or twice or chaos.result.conflicting_outcomes or over)
     sys.exit(found if args.durability == "power" else not found)
 
--- a/springspread/faults/chaos.py
+++ b/springspread/faults/chaos.py
@@ -27,7 +27,15 @@
 
 from springspread.faults.daemon import PROGRAM, relay_path
 from springspread.faults.external_services import GROUP, UNSAFE, ExternalServices
-from springspread.faults.observer import call_starts, fullest, gaps, interleaved, mixtures, nowhere, recorded
+from springspread.faults.observer import (
+    call_starts,
+    gaps,
+    interleaved,
+    mixtures,
+    nowhere,
+    peak_ratio,
+    recorded,
+)
 from springspread.faults.power import CLOCK, WRITE_BACK
 from springspread.faults.relay import Direction, Fault, Relay, unseen
 from springspread.faults.sabotage import VARIABLE
@@ -378,8 +386,8 @@
         with self._outside.lock:
             self.result.delivered = len(self._outside.call_counts)
             if self._limit is not None:
-                self.result.limit_ratio = fullest(self._outside.arrivals, self._limit)
-                self.result.start_ratio = fullest([call.at for call in found], self._limit)
+                self.result.limit_ratio = peak_ratio(self._outside.arrivals, self._limit)
+                self.result.start_ratio = peak_ratio([call.at for call in found], self._limit)
         return self.result
 
     def start_load(self) -> None:
--- a/springspread/faults/observer.py
+++ b/springspread/faults/observer.py
@@ -120,7 +120,7 @@
     return faults
 
 
-def fullest(arrivals: Sequence[float], limit: tuple[int, float]) -> float:
+def peak_ratio(arrivals: Sequence[float], limit: tuple[int, float]) -> float:
     """The most calls in any span, over the limit (calls, span in ms)."""
     most, span = limit
     first = (bisect_right(arrivals, now - span, 0, last) for last, now in enumerate(arrivals))
--- a/tests/faults/test_observer.py
+++ b/tests/faults/test_observer.py
@@ -5,12 +5,12 @@
     Begun,
     borders,
     call_starts,
-    fullest,
     gaps,
     interleaved,
     mixtures,
     nowhere,
     over_limit,
+    peak_ratio,
     recorded,
 )
 
@@ -48,8 +48,8 @@
 
 
 def test_the_fullest_span_is_told_as_a_part_of_the_limit() -> None:
-    assert fullest([0.0, 50.0, 99.0, 100.0, 300.0], (4, 100.0)) == 0.75
-    assert fullest([], (4, 100.0)) == 0.0
+    assert peak_ratio([0.0, 50.0, 99.0, 100.0, 300.0], (4, 100.0)) == 0.75
+    assert peak_ratio([], (4, 100.0)) == 0.0
 
 
 def test_it_convicts_calls_under_what_never_held_and_changes_that_interleave(tmp_path: Path) -> None:
--- a/tests/faults/test_return.py
+++ b/tests/faults/test_return.py
@@ -13,7 +13,7 @@
 from springspread.core.wall_clock import TOLERANCE_MS, offset, parse_date
 from springspread.faults.chaos import Chaos, running_fleet
 from springspread.faults.damage import Damaged
-from springspread.faults.observer import fullest
+from springspread.faults.observer import peak_ratio
 from tests.peer import until
 
 HOUR = 3_600_000.0
@@ -129,4 +129,4 @@
         chaos.stop_load()
     assert not chaos.result.without_outcome and not chaos.result.conflicting_outcomes
     assert all(outside.call_counts[id] <= 1 for id in chaos.unsafe)
-    assert fullest(outside.arrivals, limit) <= 1.0
+    assert peak_ratio(outside.arrivals, limit) <= 1.0
