--- a/benchmarks/policy_rounds.py
+++ b/benchmarks/policy_rounds.py
@@ -16,7 +16,7 @@
 
 from benchmarks.tables import tell, write_table
 from springspread.faults.chaos import running_fleet
-from springspread.faults.policy_change_rounds import Arm, Rounds, tell_broken
+from springspread.faults.policy_change_rounds import Arm, PolicyChangeRounds, tell_broken
 from springspread.faults.schedule import FaultKind
 
 MIXED = tuple(FaultKind)
@@ -68,7 +68,7 @@
     args = parser.parse_args()
     broken, rows = 0, []
     made = {"lease_ms": args.lease_ms, "message_interval_s": args.load_s}
-    with running_fleet(Rounds, args.instances, **made) as (rounds, _):
+    with running_fleet(PolicyChangeRounds, args.instances, **made) as (rounds, _):
         for name, (kinds, limits) in ARMS.items():
             if args.only in (None, name):
                 arm = rounds.arm(name, kinds, args.changes, args.many, args.seed, limits)
--- a/benchmarks/policy_steps.py
+++ b/benchmarks/policy_steps.py
@@ -15,7 +15,7 @@
 from benchmarks.tables import tell, write_table
 from springspread.faults.chaos import running_fleet
 from springspread.faults.failpoints import Deed
-from springspread.faults.policy_change_rounds import Rounds, tell_broken
+from springspread.faults.policy_change_rounds import PolicyChangeRounds, tell_broken
 
 MOST = 200
 
@@ -27,7 +27,10 @@
     parser.add_argument("--csv", type=Path)
     args = parser.parse_args()
     rows, broken = [], 0
-    with running_fleet(Rounds, args.instances, lease_ms=1000.0, message_interval_s=0.05) as (rounds, _):
+    with running_fleet(PolicyChangeRounds, args.instances, lease_ms=1000.0, message_interval_s=0.05) as (
+        rounds,
+        _,
+    ):
         for deed in Deed:
             for at in range(1, MOST):
                 name, arm = rounds.moment(at, deed)
--- a/springspread/faults/policy_change_rounds.py
+++ b/springspread/faults/policy_change_rounds.py
@@ -62,7 +62,7 @@
         return sum(len(kind) for kind in kinds)
 
 
-class Rounds(Chaos):
+class PolicyChangeRounds(Chaos):
     """Made as ``Chaos``; any number of ``arm``, then ``close``."""
 
     def __init__(
--- a/tests/faults/test_chaos.py
+++ b/tests/faults/test_chaos.py
@@ -3,7 +3,7 @@
 from springspread.faults.chaos import Chaos
 from springspread.faults.external_services import ExternalServices
 from springspread.faults.failpoints import Deed
-from springspread.faults.policy_change_rounds import Rounds
+from springspread.faults.policy_change_rounds import PolicyChangeRounds
 from springspread.faults.schedule import FaultKind, ScheduledFault, random_schedule
 
 
@@ -35,7 +35,7 @@
 
 def test_a_round_ends_in_one_answer_and_its_limits_are_counted_at_the_partner(tmp_path: Path) -> None:
     outside = ExternalServices()
-    rounds = Rounds(tmp_path, outside, 2, 1000.0)
+    rounds = PolicyChangeRounds(tmp_path, outside, 2, 1000.0)
     try:
         calm = rounds.arm("calm", (), 1, 0, 1, True)
         killed = rounds.arm("killed", (FaultKind.KILL, FaultKind.DAEMON), 2, 1, 1, False)
@@ -49,7 +49,7 @@
 
 def test_a_daemon_meets_its_end_or_a_full_disk_at_a_named_moment(tmp_path: Path) -> None:
     outside = ExternalServices()
-    rounds = Rounds(tmp_path, outside, 2, 1000.0, 0.05)
+    rounds = PolicyChangeRounds(tmp_path, outside, 2, 1000.0, 0.05)
     try:
         met = [rounds.moment(at, deed) for at, deed in ((3, Deed.DIE), (1, Deed.FULL), (500, Deed.DIE))]
     finally:
