--- a/benchmarks/policy_rounds.py
+++ b/benchmarks/policy_rounds.py
@@ -16,7 +16,7 @@
 
 from benchmarks.tables import tell, write_table
 from springspread.faults.chaos import running_fleet
-from springspread.faults.policy_change_rounds import Arm, PolicyChangeRounds, tell_broken
+from springspread.faults.policy_change_rounds import ArmResult, PolicyChangeRounds, tell_broken
 from springspread.faults.schedule import FaultKind
 
 MIXED = tuple(FaultKind)
@@ -28,7 +28,7 @@
 }
 
 
-def row(arm: Arm) -> dict[str, object]:
+def row(arm: ArmResult) -> dict[str, object]:
     """A line of the table; times to force in seconds, the stall in milliseconds."""
     times = np.array(arm.seconds or [float("nan")])
     before, after = (np.mean([pair[n] for pair in arm.service] or [float("nan")]) for n in (0, 1))
--- a/springspread/faults/policy_change_rounds.py
+++ b/springspread/faults/policy_change_rounds.py
@@ -29,7 +29,7 @@
 
 
 @dataclass(slots=True)
-class Arm:
+class ArmResult:
     """What came of one kind. Times to force are seconds; ``service``: before a border and after it."""
 
     name: str
@@ -79,12 +79,12 @@
 
     def arm(
         self, name: str, kinds: Sequence[FaultKind], count: int, many: int, seed: int, limits: bool
-    ) -> Arm:
+    ) -> ArmResult:
         """``count`` changes; round each of them ``many`` instances meet one of ``kinds``.
 
         With ``limits`` each change moves the partner's limit, too.
         """
-        arm, rng = Arm(name), Random(f"{seed}/{name}")
+        arm, rng = ArmResult(name), Random(f"{seed}/{name}")
         limited: dict[int, tuple[int, float]] = {}
         self.result.accepted.clear()
         self.start_load()
@@ -115,7 +115,7 @@
         self._judge(arm, begun_at, touched, limited)
         return arm
 
-    def _round(self, arm: Arm, acts: Sequence[ScheduledFault], limit: tuple[int, float] | None) -> int:
+    def _round(self, arm: ArmResult, acts: Sequence[ScheduledFault], limit: tuple[int, float] | None) -> int:
         """One change, its faults, its one answer; its number."""
         self._slots = 5 if self._slots >= 40 else self._slots + 1
         self._base["settings"]["specifics"]["callsOut"] = self._slots
@@ -152,7 +152,7 @@
         arm.fault_count += len(acts) - len(todo)
         return answer[0]
 
-    def _settled(self, arm: Arm, text: str) -> int:
+    def _settled(self, arm: ArmResult, text: str) -> int:
         """Propose until it is in force, as an operator does who heard nothing; its number."""
         start, number, fault = time.monotonic(), 0, ""
         order = {"do": "propose", "policy": text, "within": 20.0}
@@ -172,7 +172,7 @@
         arm.late.append(f"change {number}: no answer in {FORCE_S:g} s: {fault}")
         return number
 
-    def _held(self, arm: Arm, number: int, state: str) -> None:
+    def _held(self, arm: ArmResult, number: int, state: str) -> None:
         """What was answered of a change is its answer for ever."""
         self._given[number] = state
         with suppress(OSError, ValueError, KeyError):
@@ -182,7 +182,7 @@
                 if states.get(one) != was:
                     arm.contradicted.append(f"policy {one} was {was} and is {states.get(one)}")
 
-    def moment(self, at: int, deed: Deed) -> tuple[str, Arm]:
+    def moment(self, at: int, deed: Deed) -> tuple[str, ArmResult]:
         """One change whose daemon meets its ``at``-th moment, and another daemon after it; the moment's name.
 
         Empty: the change was over before. A daemon whose disk is full is ended, and the next one has room.
@@ -193,7 +193,7 @@
         self._daemon.wait()
         self._daemon = self._start(str(at), deed.value, str(told))
         self.wait_until_ready()
-        arm = Arm(f"{deed.value} {at}")
+        arm = ArmResult(f"{deed.value} {at}")
         begun_at = time.monotonic() * 1000.0
         self.start_load()
         over = threading.Event()
@@ -226,7 +226,7 @@
         self._again()
 
     def _judge(
-        self, arm: Arm, begun_at: float, touched: set[str], limited: dict[int, tuple[int, float]]
+        self, arm: ArmResult, begun_at: float, touched: set[str], limited: dict[int, tuple[int, float]]
     ) -> None:
         found = [call for call in call_starts(self._folder) if call.at >= begun_at]
         held = borders(self._folder)
@@ -254,7 +254,7 @@
         self.handed_at.clear()
 
 
-def tell_broken(arm: Arm) -> None:
+def tell_broken(arm: ArmResult) -> None:
     """The first faults of an arm, a line for each."""
     ends = [*sorted(arm.without_outcome)[:5], *sorted(arm.conflicting_outcomes)[:5]]
     for line in [*arm.mixtures, *arm.contradicted, *arm.late, *arm.over_limit][:5] + ends:
