--- a/benchmarks/policy_rounds.py
+++ b/benchmarks/policy_rounds.py
@@ -71,7 +71,7 @@
     with running_fleet(PolicyChangeRounds, args.instances, **made) as (rounds, _):
         for name, (kinds, limits) in ARMS.items():
             if args.only in (None, name):
-                arm = rounds.arm(name, kinds, args.changes, args.many, args.seed, limits)
+                arm = rounds.run_arm(name, kinds, args.changes, args.many, args.seed, limits)
                 rows.append(row(arm))
                 tell(rows[-1])
                 tell_broken(arm)
--- a/springspread/faults/policy_change_rounds.py
+++ b/springspread/faults/policy_change_rounds.py
@@ -63,7 +63,7 @@
 
 
 class PolicyChangeRounds(Chaos):
-    """Made as ``Chaos``; any number of ``arm``, then ``close``."""
+    """Made as ``Chaos``; any number of ``run_arm``, then ``close``."""
 
     def __init__(
         self,
@@ -77,7 +77,7 @@
         self._slots, self._turn = 20, 0
         self._given: dict[int, str] = {}  # what was answered of each change
 
-    def arm(
+    def run_arm(
         self, name: str, kinds: Sequence[FaultKind], count: int, many: int, seed: int, limits: bool
     ) -> ArmResult:
         """``count`` changes; round each of them ``many`` instances meet one of ``kinds``.
--- a/tests/faults/test_chaos.py
+++ b/tests/faults/test_chaos.py
@@ -37,8 +37,8 @@
     outside = ExternalServices()
     rounds = PolicyChangeRounds(tmp_path, outside, 2, 1000.0)
     try:
-        calm = rounds.arm("calm", (), 1, 0, 1, True)
-        killed = rounds.arm("killed", (FaultKind.KILL, FaultKind.DAEMON), 2, 1, 1, False)
+        calm = rounds.run_arm("calm", (), 1, 0, 1, True)
+        killed = rounds.run_arm("killed", (FaultKind.KILL, FaultKind.DAEMON), 2, 1, 1, False)
     finally:
         rounds.close()
         outside.close()
