--- a/benchmarks/policy_steps.py
+++ b/benchmarks/policy_steps.py
@@ -33,7 +33,7 @@
     ):
         for deed in Deed:
             for at in range(1, MOST):
-                name, arm = rounds.moment(at, deed)
+                name, arm = rounds.run_failpoint(at, deed)
                 if not name:
                     break
                 seconds = round(max(arm.seconds, default=float("nan")), 2)
--- a/springspread/faults/policy_change_rounds.py
+++ b/springspread/faults/policy_change_rounds.py
@@ -182,7 +182,7 @@
                 if states.get(one) != was:
                     arm.contradicted.append(f"policy {one} was {was} and is {states.get(one)}")
 
-    def moment(self, at: int, deed: Deed) -> tuple[str, ArmResult]:
+    def run_failpoint(self, at: int, deed: Deed) -> tuple[str, ArmResult]:
         """One change whose daemon meets its ``at``-th moment, and another daemon after it; the moment's name.
 
         Empty: the change was over before. A daemon whose disk is full is ended, and the next one has room.
--- a/tests/faults/test_chaos.py
+++ b/tests/faults/test_chaos.py
@@ -51,7 +51,9 @@
     outside = ExternalServices()
     rounds = PolicyChangeRounds(tmp_path, outside, 2, 1000.0, 0.05)
     try:
-        met = [rounds.moment(at, deed) for at, deed in ((3, Deed.DIE), (1, Deed.FULL), (500, Deed.DIE))]
+        met = [
+            rounds.run_failpoint(at, deed) for at, deed in ((3, Deed.DIE), (1, Deed.FULL), (500, Deed.DIE))
+        ]
     finally:
         rounds.close()
         outside.close()
