--- a/benchmarks/policy_rounds.py
+++ b/benchmarks/policy_rounds.py
@@ -16,7 +16,7 @@
 
 from benchmarks.tables import tell, write_table
 from springspread.faults.chaos import running_fleet
-from springspread.faults.policy_change_rounds import ArmResult, PolicyChangeRounds, tell_broken
+from springspread.faults.policy_change_rounds import ArmResult, PolicyChangeRounds, print_violations
 from springspread.faults.schedule import FaultKind
 
 MIXED = tuple(FaultKind)
@@ -74,7 +74,7 @@
                 arm = rounds.run_arm(name, kinds, args.changes, args.many, args.seed, limits)
                 rows.append(row(arm))
                 tell(rows[-1])
-                tell_broken(arm)
+                print_violations(arm)
                 broken += arm.violation_count
     write_table(args.csv, rows)
     sys.exit(1 if broken else 0)
--- a/benchmarks/policy_steps.py
+++ b/benchmarks/policy_steps.py
@@ -15,7 +15,7 @@
 from benchmarks.tables import tell, write_table
 from springspread.faults.chaos import running_fleet
 from springspread.faults.failpoints import Deed
-from springspread.faults.policy_change_rounds import PolicyChangeRounds, tell_broken
+from springspread.faults.policy_change_rounds import PolicyChangeRounds, print_violations
 
 MOST = 200
 
@@ -40,7 +40,7 @@
                 row = {"deed": deed.value, "at": at, "moment": name, "seconds": seconds, "calls": arm.calls}
                 rows.append({**row, "messages": arm.messages, "broken": arm.violation_count})
                 tell(rows[-1])
-                tell_broken(arm)
+                print_violations(arm)
                 broken += arm.violation_count
     write_table(args.csv, rows)
     sys.exit(1 if broken else 0)
--- a/springspread/faults/policy_change_rounds.py
+++ b/springspread/faults/policy_change_rounds.py
@@ -254,7 +254,7 @@
         self.handed_at.clear()
 
 
-def tell_broken(arm: ArmResult) -> None:
+def print_violations(arm: ArmResult) -> None:
     """The first faults of an arm, a line for each."""
     ends = [*sorted(arm.without_outcome)[:5], *sorted(arm.conflicting_outcomes)[:5]]
     for line in [*arm.mixtures, *arm.contradicted, *arm.late, *arm.over_limit][:5] + ends:
