--- a/benchmarks/policy_rounds.py
+++ b/benchmarks/policy_rounds.py
@@ -30,7 +30,7 @@
 
 def row(arm: ArmResult) -> dict[str, object]:
     """A line of the table; times to force in seconds, the stall in milliseconds."""
-    times = np.array(arm.seconds or [float("nan")])
+    times = np.array(arm.force_times_s or [float("nan")])
     before, after = (np.mean([pair[n] for pair in arm.service] or [float("nan")]) for n in (0, 1))
     return {
         "fault": arm.name,
--- a/benchmarks/policy_steps.py
+++ b/benchmarks/policy_steps.py
@@ -36,7 +36,7 @@
                 name, arm = rounds.run_failpoint(at, deed)
                 if not name:
                     break
-                seconds = round(max(arm.seconds, default=float("nan")), 2)
+                seconds = round(max(arm.force_times_s, default=float("nan")), 2)
                 row = {"deed": deed.value, "at": at, "moment": name, "seconds": seconds, "calls": arm.calls}
                 rows.append({**row, "messages": arm.messages, "broken": arm.violation_count})
                 tell(rows[-1])
--- a/springspread/faults/policy_change_rounds.py
+++ b/springspread/faults/policy_change_rounds.py
@@ -36,7 +36,7 @@
     changes: int = 0
     fault_count: int = 0
     unanswered: int = 0
-    seconds: list[float] = field(default_factory=list)
+    force_times_s: list[float] = field(default_factory=list)
     late: list[str] = field(default_factory=list)  # changes without an answer
     contradicted: list[str] = field(default_factory=list)
     mixtures: list[str] = field(default_factory=list)
@@ -162,7 +162,7 @@
                 answer = send_order(self._folder / "control", order, 20.0)
                 state, number, fault = answer["state"], answer["version"], answer["fault"]
             if state == "in force":
-                arm.seconds.append(time.monotonic() - start)
+                arm.force_times_s.append(time.monotonic() - start)
                 self._held(arm, number, state)
                 return number
             if state == "refused" and number:
--- a/tests/faults/test_chaos.py
+++ b/tests/faults/test_chaos.py
@@ -44,7 +44,7 @@
         outside.close()
     assert (calm.changes, killed.changes, killed.fault_count) == (1, 2, 2)
     assert not calm.violation_count and not killed.violation_count, (calm, killed)
-    assert len(calm.seconds) == 1 and calm.service and calm.calls and killed.messages
+    assert len(calm.force_times_s) == 1 and calm.service and calm.calls and killed.messages
 
 
 def test_a_daemon_meets_its_end_or_a_full_disk_at_a_named_moment(tmp_path: Path) -> None:
@@ -60,7 +60,7 @@
     (died, first), (full, second), (never, third) = met
     assert died and full == "before sync of text" and never == ""
     for arm in (first, second, third):
-        assert not arm.violation_count and len(arm.seconds) == 1 and arm.calls, arm
+        assert not arm.violation_count and len(arm.force_times_s) == 1 and arm.calls, arm
 
 
 def test_a_call_that_was_held_up_since_it_got_its_right_does_not_break_the_limit(tmp_path: Path) -> None:
