--- a/benchmarks/policy_rounds.py
+++ b/benchmarks/policy_rounds.py
@@ -40,7 +40,7 @@
         "calls": arm.calls,
         "mixtures": len(arm.mixtures),
         "undone": len(arm.contradicted),
-        "late": len(arm.late),
+        "late": len(arm.unresolved),
         "without_end": len(arm.without_outcome),
         "two_ends": len(arm.conflicting_outcomes),
         "over_limit": len(arm.over_limit),
--- a/springspread/faults/policy_change_rounds.py
+++ b/springspread/faults/policy_change_rounds.py
@@ -37,7 +37,7 @@
     fault_count: int = 0
     unanswered: int = 0
     force_times_s: list[float] = field(default_factory=list)
-    late: list[str] = field(default_factory=list)  # changes without an answer
+    unresolved: list[str] = field(default_factory=list)  # changes without an answer
     contradicted: list[str] = field(default_factory=list)
     mixtures: list[str] = field(default_factory=list)
     over_limit: list[str] = field(default_factory=list)
@@ -52,7 +52,7 @@
     def violation_count(self) -> int:
         """How many times a promise was broken."""
         kinds = (
-            self.late,
+            self.unresolved,
             self.contradicted,
             self.mixtures,
             self.over_limit,
@@ -169,7 +169,7 @@
                 self._held(arm, number, state)
             arm.unanswered += state == "unheard"
             time.sleep(0.05)
-        arm.late.append(f"change {number}: no answer in {FORCE_S:g} s: {fault}")
+        arm.unresolved.append(f"change {number}: no answer in {FORCE_S:g} s: {fault}")
         return number
 
     def _held(self, arm: ArmResult, number: int, state: str) -> None:
@@ -257,5 +257,5 @@
 def print_violations(arm: ArmResult) -> None:
     """The first faults of an arm, a line for each."""
     ends = [*sorted(arm.without_outcome)[:5], *sorted(arm.conflicting_outcomes)[:5]]
-    for line in [*arm.mixtures, *arm.contradicted, *arm.late, *arm.over_limit][:5] + ends:
+    for line in [*arm.mixtures, *arm.contradicted, *arm.unresolved, *arm.over_limit][:5] + ends:
         print(f"  BROKEN {line}", flush=True)
