--- a/benchmarks/policy_steps.py
+++ b/benchmarks/policy_steps.py
@@ -14,7 +14,7 @@
 
 from benchmarks.tables import tell, write_table
 from springspread.faults.chaos import running_fleet
-from springspread.faults.failpoints import Deed
+from springspread.faults.failpoints import FailpointAction
 from springspread.faults.policy_change_rounds import PolicyChangeRounds, print_violations
 
 MOST = 200
@@ -31,7 +31,7 @@
         rounds,
         _,
     ):
-        for deed in Deed:
+        for deed in FailpointAction:
             for at in range(1, MOST):
                 name, arm = rounds.run_failpoint(at, deed)
                 if not name:
--- a/springspread/faults/daemon.py
+++ b/springspread/faults/daemon.py
@@ -16,7 +16,7 @@
 from pathlib import Path
 from typing import Any
 
-from springspread.faults.failpoints import Deed, Disk, Steps
+from springspread.faults.failpoints import Disk, FailpointAction, Steps
 from springspread.faults.sabotage import SABOTAGES, VARIABLE
 from springspread.fleet import daemon as daemon_module
 from springspread.fleet.allocator_server import AllocatorServer
@@ -89,7 +89,7 @@
             sabotage.install()
     RelayedDaemon.program = os.environ.get(PROGRAM, RelayedDaemon.program)
     if len(sys.argv) == 5:
-        install(Steps(int(sys.argv[2]), Deed(sys.argv[3]), Path(sys.argv[4])))
+        install(Steps(int(sys.argv[2]), FailpointAction(sys.argv[3]), Path(sys.argv[4])))
     daemon = RelayedDaemon(read_fleet(Path(sys.argv[1])), log)
     signal.sigwait(ENDS)
     daemon.stop()
--- a/springspread/faults/failpoints.py
+++ b/springspread/faults/failpoints.py
@@ -12,7 +12,7 @@
 from typing import Any
 
 
-class Deed(Enum):
+class FailpointAction(Enum):
     """What is done at the moment."""
 
     DIE = "die"
@@ -22,7 +22,7 @@
 class Steps:
     """Counts moments once it is armed. At its ``at``-th it writes its name to ``told`` and acts."""
 
-    def __init__(self, at: int, deed: Deed, told: Path) -> None:
+    def __init__(self, at: int, deed: FailpointAction, told: Path) -> None:
         self._at, self._deed, self._told = at, deed, told
         self._count, self._armed = 0, False
 
@@ -32,14 +32,14 @@
 
     def moment(self, name: str, disk: bool) -> None:
         """One moment. ``disk``: it stands before a write or a sync. Raises ``OSError`` on a full disk."""
-        if not self._armed or (self._deed is Deed.FULL and not disk):
+        if not self._armed or (self._deed is FailpointAction.FULL and not disk):
             return
         self._count += 1
         if self._count == self._at:
             self._told.write_text(name)
-            if self._deed is Deed.DIE:
+            if self._deed is FailpointAction.DIE:
                 os.kill(os.getpid(), signal.SIGKILL)
-        if self._count >= self._at and self._deed is Deed.FULL:
+        if self._count >= self._at and self._deed is FailpointAction.FULL:
             raise OSError(errno.ENOSPC, os.strerror(errno.ENOSPC))
 
 
--- a/springspread/faults/policy_change_rounds.py
+++ b/springspread/faults/policy_change_rounds.py
@@ -17,7 +17,7 @@
 
 from springspread.faults.chaos import Chaos
 from springspread.faults.external_services import GROUP, ExternalServices
-from springspread.faults.failpoints import Deed
+from springspread.faults.failpoints import FailpointAction
 from springspread.faults.observer import borders, call_starts, gaps, mixtures, over_limit
 from springspread.faults.schedule import FaultKind, ScheduledFault
 from springspread.fleet.control_client import send_order
@@ -182,7 +182,7 @@
                 if states.get(one) != was:
                     arm.contradicted.append(f"policy {one} was {was} and is {states.get(one)}")
 
-    def run_failpoint(self, at: int, deed: Deed) -> tuple[str, ArmResult]:
+    def run_failpoint(self, at: int, deed: FailpointAction) -> tuple[str, ArmResult]:
         """One change whose daemon meets its ``at``-th moment, and another daemon after it; the moment's name.
 
         Empty: the change was over before. A daemon whose disk is full is ended, and the next one has room.
--- a/tests/faults/test_chaos.py
+++ b/tests/faults/test_chaos.py
@@ -2,7 +2,7 @@
 
 from springspread.faults.chaos import Chaos
 from springspread.faults.external_services import ExternalServices
-from springspread.faults.failpoints import Deed
+from springspread.faults.failpoints import FailpointAction
 from springspread.faults.policy_change_rounds import PolicyChangeRounds
 from springspread.faults.schedule import FaultKind, ScheduledFault, random_schedule
 
@@ -52,7 +52,8 @@
     rounds = PolicyChangeRounds(tmp_path, outside, 2, 1000.0, 0.05)
     try:
         met = [
-            rounds.run_failpoint(at, deed) for at, deed in ((3, Deed.DIE), (1, Deed.FULL), (500, Deed.DIE))
+            rounds.run_failpoint(at, deed)
+            for at, deed in ((3, FailpointAction.DIE), (1, FailpointAction.FULL), (500, FailpointAction.DIE))
         ]
     finally:
         rounds.close()
