--- a/benchmarks/damaged_folders.py
+++ b/benchmarks/damaged_folders.py
@@ -16,7 +16,7 @@
 
 from benchmarks.tables import add, tell
 from springspread.faults.chaos import running_fleet
-from springspread.faults.damage import HOWS, Damaged
+from springspread.faults.damage import DAMAGE_KINDS, Damaged
 
 
 def main() -> None:
@@ -41,11 +41,11 @@
             return told.promise_violated
 
         for kind in dict.fromkeys(name.rstrip("0123456789") for name in fleet.files):
-            for how in HOWS:  # a damaged journal goes on under another number
+            for how in DAMAGE_KINDS:  # a damaged journal goes on under another number
                 name = next(name for name in fleet.files if name.startswith(kind))
                 broken |= play([(name, how)])
         for _ in range(args.pairs):
-            broken |= play([(name, rng.choice(list(HOWS))) for name in rng.sample(fleet.files, 2)])
+            broken |= play([(name, rng.choice(list(DAMAGE_KINDS))) for name in rng.sample(fleet.files, 2)])
     sys.exit(broken)
 
 
--- a/springspread/faults/damage.py
+++ b/springspread/faults/damage.py
@@ -37,7 +37,9 @@
     path.unlink()
 
 
-HOWS: dict[str, Callable[[Path], None]] = {one.__name__: one for one in (torn, flipped, emptied, missing)}
+DAMAGE_KINDS: dict[str, Callable[[Path], None]] = {
+    one.__name__: one for one in (torn, flipped, emptied, missing)
+}
 
 
 @dataclass(frozen=True, slots=True)
@@ -84,7 +86,7 @@
             for name, how in damages:
                 if (path := self._folder / name).exists():
                     before[name] = path.read_bytes()
-                    HOWS[how](path)
+                    DAMAGE_KINDS[how](path)
 
         self.power_cut(between=damage)
         refused = self._refused()
