--- a/benchmarks/damaged_folders.py
+++ b/benchmarks/damaged_folders.py
@@ -16,7 +16,7 @@
 
 from benchmarks.tables import add, tell
 from springspread.faults.chaos import running_fleet
-from springspread.faults.damage import DAMAGE_KINDS, Damaged
+from springspread.faults.damage import DAMAGE_KINDS, DamagedFleet
 
 
 def main() -> None:
@@ -28,7 +28,7 @@
     args = parser.parse_args()
     rng, broken = Random(f"{args.seed}/damage"), False
     made = {"lease_ms": 1000.0, "message_interval_s": 0.05, "power": "power"}
-    with running_fleet(Damaged, 2, **made) as (fleet, _):
+    with running_fleet(DamagedFleet, 2, **made) as (fleet, _):
 
         def play(damages: Sequence[tuple[str, str]]) -> bool:
             told = fleet.return_with(damages)
--- a/springspread/faults/damage.py
+++ b/springspread/faults/damage.py
@@ -61,7 +61,7 @@
         return bool(self.lost or self.unsafe_twice or self.conflicting_outcomes)
 
 
-class Damaged(Chaos):
+class DamagedFleet(Chaos):
     """Made as ``Chaos`` with ``power``; any number of ``return_with``, then ``close``."""
 
     @property
--- a/tests/faults/test_return.py
+++ b/tests/faults/test_return.py
@@ -12,7 +12,7 @@
 from springspread.core.startup_stages import STAGES, Conditions, Progress, Stage, advance
 from springspread.core.wall_clock import TOLERANCE_MS, offset, parse_date
 from springspread.faults.chaos import Chaos, running_fleet
-from springspread.faults.damage import Damaged
+from springspread.faults.damage import DamagedFleet
 from springspread.faults.observer import peak_ratio
 from tests.peer import until
 
@@ -103,7 +103,10 @@
 
 
 def test_files_that_come_back_damaged_cost_what_they_held_and_nothing_else() -> None:
-    with running_fleet(Damaged, 2, lease_ms=1000.0, message_interval_s=0.05, power="power") as (fleet, _):
+    with running_fleet(DamagedFleet, 2, lease_ms=1000.0, message_interval_s=0.05, power="power") as (
+        fleet,
+        _,
+    ):
         told = fleet.return_with([("members.json", "flipped"), ("n000/config.json", "missing")])
         assert not told.promise_violated and not told.refused and not told.gone
         (journal,) = (name for name in fleet.files if "journal." in name)
