--- a/benchmarks/damaged_folders.py
+++ b/benchmarks/damaged_folders.py
@@ -31,7 +31,7 @@
     with running_fleet(DamagedFleet, 2, **made) as (fleet, _):
 
         def play(damages: Sequence[tuple[str, str]]) -> bool:
-            told = fleet.return_with(damages)
+            told = fleet.restart_damaged(damages)
             what = " + ".join(f"{name} {how}" for name, how in damages)
             refused = told.refused[-150:]
             row = {"damage": what, "lost": told.lost, "gone": told.gone, "unsafe_twice": told.unsafe_twice}
--- a/springspread/faults/damage.py
+++ b/springspread/faults/damage.py
@@ -62,7 +62,7 @@
 
 
 class DamagedFleet(Chaos):
-    """Made as ``Chaos`` with ``power``; any number of ``return_with``, then ``close``."""
+    """Made as ``Chaos`` with ``power``; any number of ``restart_damaged``, then ``close``."""
 
     @property
     def files(self) -> list[str]:
@@ -72,7 +72,7 @@
         kept += (self._folder / "policy").iterdir()
         return sorted(str(path.relative_to(self._folder)) for path in kept if path.is_file())
 
-    def return_with(self, damages: Sequence[tuple[str, str]]) -> Outcome:
+    def restart_damaged(self, damages: Sequence[tuple[str, str]]) -> Outcome:
         """Lose the power with messages owed, damage files (name, how), and return."""
         outside = self._outside
         self.result.accepted.clear()
--- a/tests/faults/test_return.py
+++ b/tests/faults/test_return.py
@@ -107,10 +107,10 @@
         fleet,
         _,
     ):
-        told = fleet.return_with([("members.json", "flipped"), ("n000/config.json", "missing")])
+        told = fleet.restart_damaged([("members.json", "flipped"), ("n000/config.json", "missing")])
         assert not told.promise_violated and not told.refused and not told.gone
         (journal,) = (name for name in fleet.files if "journal." in name)
-        told = fleet.return_with([(journal, "torn"), ("leases.0", "emptied")])
+        told = fleet.restart_damaged([(journal, "torn"), ("leases.0", "emptied")])
         assert not told.promise_violated and not told.refused and told.gone
 
 
