--- a/springspread/faults/damage.py
+++ b/springspread/faults/damage.py
@@ -1,4 +1,4 @@
-"""Folders that come back from a power loss damaged: one file, or two, torn, flipped, emptied or missing."""
+"""Restarts after a power loss with damaged files: truncated, with a flipped bit, emptied or missing."""
 
 from __future__ import annotations
 
@@ -9,18 +9,18 @@
 
 from springspread.faults.chaos import Chaos
 
-OWED_S = 0.8
-NOT_KEPT = {"daemon.log", "lock", "log", "given.json"}
+LOAD_S = 0.8
+TRANSIENT_FILES = {"daemon.log", "lock", "log", "given.json"}
 
 
 def torn(path: Path) -> None:
-    """Its second half is gone."""
+    """Cut off the second half."""
     data = path.read_bytes()
     path.write_bytes(data[: len(data) // 2])
 
 
 def flipped(path: Path) -> None:
-    """One bit in its middle is wrong."""
+    """Flip one bit in the middle."""
     data = bytearray(path.read_bytes())
     if data:
         data[len(data) // 2] ^= 0x10
@@ -28,12 +28,12 @@
 
 
 def emptied(path: Path) -> None:
-    """It is there, and has nothing in it."""
+    """Remove the contents."""
     path.write_bytes(b"")
 
 
 def missing(path: Path) -> None:
-    """It is not there."""
+    """Remove the file."""
     path.unlink()
 
 
@@ -43,10 +43,11 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Outcome:
-    """What came of a return. ``refused``: what the daemon said where it did not start, at first.
+class DamageResult:
+    """The result of one restart. ``refused``: the daemon's last log line if it refused to start at first.
 
-    ``lost``: messages without an end that an undamaged journal held; ``gone``: those of a damaged one.
+    ``lost`` counts messages without an outcome whose journal was intact, ``gone`` those whose journal was
+    damaged.
     """
 
     refused: str
@@ -57,28 +58,28 @@
 
     @property
     def promise_violated(self) -> bool:
-        """Whether a promise was."""
+        """Whether a promise was violated."""
         return bool(self.lost or self.unsafe_twice or self.conflicting_outcomes)
 
 
 class DamagedFleet(Chaos):
-    """Made as ``Chaos`` with ``power``; any number of ``restart_damaged``, then ``close``."""
+    """A ``Chaos`` with ``power``; call ``restart_damaged`` any number of times, then ``close``."""
 
     @property
     def files(self) -> list[str]:
-        """What is kept of the fleet and of its first instance, by the names in its folder."""
-        own = (self._folder, self._folder / "n000", self._folder / "n000" / "state")
-        kept = [path for place in own for path in place.iterdir() if path.name not in NOT_KEPT]
-        kept += (self._folder / "policy").iterdir()
-        return sorted(str(path.relative_to(self._folder)) for path in kept if path.is_file())
-
-    def restart_damaged(self, damages: Sequence[tuple[str, str]]) -> Outcome:
-        """Lose the power with messages owed, damage files (name, how), and return."""
+        """Paths of the persistent files of the fleet and of its first instance, relative to its folder."""
+        folders = (self._folder, self._folder / "n000", self._folder / "n000" / "state")
+        paths = [path for folder in folders for path in folder.iterdir() if path.name not in TRANSIENT_FILES]
+        paths += (self._folder / "policy").iterdir()
+        return sorted(str(path.relative_to(self._folder)) for path in paths if path.is_file())
+
+    def restart_damaged(self, damages: Sequence[tuple[str, str]]) -> DamageResult:
+        """Cut the power while messages are pending, damage files (name, kind of damage) and restart."""
         outside = self._outside
         self.result.accepted.clear()
         outside.shut.set()
         self.start_load()
-        time.sleep(OWED_S)
+        time.sleep(LOAD_S)
         self._over.set()
         before = {name: (self._folder / name).read_bytes() for name, _ in damages}
 
@@ -89,27 +90,27 @@
                     DAMAGE_KINDS[how](path)
 
         self.power_cut(between=damage)
-        refused = self._refused()
-        if refused:  # as the page says: put the newest good copy back
+        refused = self._startup_error()
+        if refused:  # as the operator's page says: restore the newest intact copy
             for name, data in before.items():
                 (self._folder / name).write_bytes(data)
             self._again()
         outside.shut.clear()
         self.wait_until_ready()
         self.stop_load()
-        held = {name.split("/")[0] for name, _ in damages if "/state/" in name}
-        gone = {id for id in self.result.without_outcome if id.split("-")[0] in held}
+        damaged_instances = {name.split("/")[0] for name, _ in damages if "/state/" in name}
+        gone = {id for id in self.result.without_outcome if id.split("-")[0] in damaged_instances}
         twice = sum(outside.call_counts[id] > 1 for id in self.unsafe)
         lost = len(self.result.without_outcome) - len(gone)
-        return Outcome(refused, lost, len(gone), twice, len(self.result.conflicting_outcomes))
+        return DamageResult(refused, lost, len(gone), twice, len(self.result.conflicting_outcomes))
 
-    def _refused(self) -> str:
-        """Why the daemon did not start; empty where it did."""
+    def _startup_error(self) -> str:
+        """The last log line of a daemon that did not start; empty if it started."""
         end = time.monotonic() + 5.0
         while time.monotonic() < end:
             if self._daemon.poll() is not None:
                 lines = (self._folder / "daemon.log").read_text().splitlines()
-                return lines[-1] if lines else "it says nothing"
+                return lines[-1] if lines else "no log output"
             if self.recovery():
                 return ""
             time.sleep(0.05)
