--- a/benchmarks/damaged_folders.py
+++ b/benchmarks/damaged_folders.py
@@ -33,7 +33,7 @@
         def play(damages: Sequence[tuple[str, str]]) -> bool:
             told = fleet.restart_damaged(damages)
             what = " + ".join(f"{name} {how}" for name, how in damages)
-            refused = told.refused[-150:]
+            refused = told.startup_error[-150:]
             row = {"damage": what, "lost": told.lost, "gone": told.gone, "unsafe_twice": told.unsafe_twice}
             row |= {"two_ends": told.conflicting_outcomes, "refused": refused}
             tell(row)
--- a/springspread/faults/damage.py
+++ b/springspread/faults/damage.py
@@ -44,13 +44,13 @@
 
 @dataclass(frozen=True, slots=True)
 class DamageResult:
-    """The result of one restart. ``refused``: the daemon's last log line if it refused to start at first.
+    """The result of one restart. ``startup_error``: the last log line of a daemon that did not start.
 
     ``lost`` counts messages without an outcome whose journal was intact, ``gone`` those whose journal was
     damaged.
     """
 
-    refused: str
+    startup_error: str
     lost: int
     gone: int
     unsafe_twice: int
