--- a/benchmarks/damaged_folders.py
+++ b/benchmarks/damaged_folders.py
@@ -34,7 +34,12 @@
             told = fleet.restart_damaged(damages)
             what = " + ".join(f"{name} {how}" for name, how in damages)
             refused = told.startup_error[-150:]
-            row = {"damage": what, "lost": told.lost, "gone": told.gone, "unsafe_twice": told.unsafe_twice}
+            row = {
+                "damage": what,
+                "lost": told.lost,
+                "gone": told.lost_with_journal,
+                "unsafe_twice": told.unsafe_twice,
+            }
             row |= {"two_ends": told.conflicting_outcomes, "refused": refused}
             tell(row)
             add(args.csv, row)
--- a/springspread/faults/damage.py
+++ b/springspread/faults/damage.py
@@ -46,13 +46,13 @@
 class DamageResult:
     """The result of one restart. ``startup_error``: the last log line of a daemon that did not start.
 
-    ``lost`` counts messages without an outcome whose journal was intact, ``gone`` those whose journal was
-    damaged.
+    ``lost`` counts messages without an outcome whose journal was intact,
+    ``lost_with_journal`` those whose journal was damaged.
     """
 
     startup_error: str
     lost: int
-    gone: int
+    lost_with_journal: int
     unsafe_twice: int
     conflicting_outcomes: int
 
--- a/tests/faults/test_return.py
+++ b/tests/faults/test_return.py
@@ -108,10 +108,10 @@
         _,
     ):
         told = fleet.restart_damaged([("members.json", "flipped"), ("n000/config.json", "missing")])
-        assert not told.promise_violated and not told.startup_error and not told.gone
+        assert not told.promise_violated and not told.startup_error and not told.lost_with_journal
         (journal,) = (name for name in fleet.files if "journal." in name)
         told = fleet.restart_damaged([(journal, "torn"), ("leases.0", "emptied")])
-        assert not told.promise_violated and not told.startup_error and told.gone
+        assert not told.promise_violated and not told.startup_error and told.lost_with_journal
 
 
 def test_an_instance_that_was_frozen_through_the_outage_goes_on_beside_those_that_returned() -> None:
