--- a/benchmarks/power_return.py
+++ b/benchmarks/power_return.py
@@ -17,7 +17,7 @@
 
 from benchmarks.tables import add, tell
 from springspread.faults.chaos import running_fleet
-from springspread.faults.fleet_recovery import Comeback, Returning
+from springspread.faults.fleet_recovery import RecoveryResult, Returning
 
 NONE = "clock_ms = 0.0\npolicy_ms = 0.0\nlist_ms = 0.0\nowed_ms = 0.0\n"
 ARMS = {
@@ -32,7 +32,7 @@
 LIMIT = 1.3  # times what is offered
 
 
-def play(args: argparse.Namespace, recovery: str, clock_s: float) -> Comeback:
+def play(args: argparse.Namespace, recovery: str, clock_s: float) -> RecoveryResult:
     """One return of a new fleet."""
     a_second = args.instances / args.each_s
     made = {"lease_ms": 1000.0, "message_interval_s": args.each_s, "limit": (int(LIMIT * a_second), 1_000.0)}
--- a/springspread/faults/fleet_recovery.py
+++ b/springspread/faults/fleet_recovery.py
@@ -24,7 +24,7 @@
 
 
 @dataclass(slots=True)
-class Comeback:
+class RecoveryResult:
     """What came of a return; times are seconds from power on, or milliseconds where they say so."""
 
     owed: int = 0  # answered 202, repeatable, and without an end as the power went
@@ -53,7 +53,7 @@
 class Returning(Chaos):
     """Made as ``Chaos`` with ``power``; ``come_back`` once, then ``close``."""
 
-    def come_back(self, length_s: float, clock_s: float = 0.0, away_s: float = 0.0) -> Comeback:
+    def come_back(self, length_s: float, clock_s: float = 0.0, away_s: float = 0.0) -> RecoveryResult:
         """Lose the power and return, under load, for so long; the partner is ``away_s`` longer away."""
         outside = self._outside
         self.start_load()
@@ -76,8 +76,8 @@
 
     def _judged(
         self, power_on: float, length_s: float, owed: Iterable[str], logs: Mapping[Path, int]
-    ) -> Comeback:
-        made, outside = Comeback(without_outcome=len(self.result.without_outcome)), self._outside
+    ) -> RecoveryResult:
+        made, outside = RecoveryResult(without_outcome=len(self.result.without_outcome)), self._outside
         made.unsafe_twice = sum(outside.call_counts[id] > 1 for id in self.unsafe)
         first, never = outside.first, float("inf")
         for id in owed:
