--- a/benchmarks/power_return.py
+++ b/benchmarks/power_return.py
@@ -17,7 +17,7 @@
 
 from benchmarks.tables import add, tell
 from springspread.faults.chaos import running_fleet
-from springspread.faults.fleet_recovery import RecoveryResult, Returning
+from springspread.faults.fleet_recovery import RecoveringFleet, RecoveryResult
 
 NONE = "clock_ms = 0.0\npolicy_ms = 0.0\nlist_ms = 0.0\nowed_ms = 0.0\n"
 ARMS = {
@@ -37,7 +37,7 @@
     a_second = args.instances / args.each_s
     made = {"lease_ms": 1000.0, "message_interval_s": args.each_s, "limit": (int(LIMIT * a_second), 1_000.0)}
     made |= {"power": "power", "recovery": recovery}
-    with running_fleet(Returning, args.instances, **made) as (fleet, _):
+    with running_fleet(RecoveringFleet, args.instances, **made) as (fleet, _):
         return fleet.come_back(args.seconds, clock_s, args.away_s)
 
 
--- a/springspread/faults/fleet_recovery.py
+++ b/springspread/faults/fleet_recovery.py
@@ -50,7 +50,7 @@
         return bool(self.unsafe_twice or self.without_outcome)
 
 
-class Returning(Chaos):
+class RecoveringFleet(Chaos):
     """Made as ``Chaos`` with ``power``; ``come_back`` once, then ``close``."""
 
     def come_back(self, length_s: float, clock_s: float = 0.0, away_s: float = 0.0) -> RecoveryResult:
