--- a/benchmarks/power_return.py
+++ b/benchmarks/power_return.py
@@ -38,7 +38,7 @@
     made = {"lease_ms": 1000.0, "message_interval_s": args.each_s, "limit": (int(LIMIT * a_second), 1_000.0)}
     made |= {"power": "power", "recovery": recovery}
     with running_fleet(RecoveringFleet, args.instances, **made) as (fleet, _):
-        return fleet.come_back(args.seconds, clock_s, args.away_s)
+        return fleet.recover(args.seconds, clock_s, args.away_s)
 
 
 def main() -> None:
--- a/springspread/faults/fleet_recovery.py
+++ b/springspread/faults/fleet_recovery.py
@@ -51,9 +51,9 @@
 
 
 class RecoveringFleet(Chaos):
-    """Made as ``Chaos`` with ``power``; ``come_back`` once, then ``close``."""
+    """Made as ``Chaos`` with ``power``; ``recover`` once, then ``close``."""
 
-    def come_back(self, length_s: float, clock_s: float = 0.0, away_s: float = 0.0) -> RecoveryResult:
+    def recover(self, length_s: float, clock_s: float = 0.0, away_s: float = 0.0) -> RecoveryResult:
         """Lose the power and return, under load, for so long; the partner is ``away_s`` longer away."""
         outside = self._outside
         self.start_load()
