--- a/benchmarks/power_return.py
+++ b/benchmarks/power_return.py
@@ -69,7 +69,7 @@
                 "clock": clock,
                 "away_s": args.away_s,
                 "instances": args.instances,
-                "owed": told.owed,
+                "owed": told.pending,
                 "kept": told.kept,
                 "given_up": told.given_up,
                 "late": told.late,
