--- a/benchmarks/power_return.py
+++ b/benchmarks/power_return.py
@@ -70,7 +70,7 @@
                 "away_s": args.away_s,
                 "instances": args.instances,
                 "owed": told.pending,
-                "kept": told.kept,
+                "kept": told.delivered_in_time,
                 "given_up": told.given_up,
                 "late": told.late,
                 "offered": told.submitted,
--- a/springspread/faults/fleet_recovery.py
+++ b/springspread/faults/fleet_recovery.py
@@ -28,7 +28,7 @@
     """What came of a return; times are seconds from power on, or milliseconds where they say so."""
 
     pending: int = 0  # answered 202, repeatable, and without an end as the power went
-    kept: int = 0  # of these, delivered in their time
+    delivered_in_time: int = 0  # of these, delivered in their time
     given_up: int = 0  # of these, told as not delivered before their time
     late: int = 0  # of these, ended after their time
     submitted: int = 0
@@ -84,7 +84,7 @@
             end = self.handed_at[id] + LIFE_MS
             told = outside.noticed_at.get(id, never)
             made.pending += 1
-            made.kept += first.get(id, never) <= end
+            made.delivered_in_time += first.get(id, never) <= end
             made.given_up += id not in first and told < end - GRACE_MS
             made.late += min(first.get(id, never), told) > end + GRACE_MS
         delivered = [at for at in first.values() if at >= power_on]
