--- a/benchmarks/power_return.py
+++ b/benchmarks/power_return.py
@@ -75,7 +75,7 @@
                 "late": told.late,
                 "offered": told.submitted,
                 "refused": told.refused,
-                "taken": told.taken,
+                "taken": told.accepted,
                 "failed": told.failed,
                 "in_aim": told.in_aim,
                 "first_s": round(told.first_s, 2),
--- a/springspread/faults/fleet_recovery.py
+++ b/springspread/faults/fleet_recovery.py
@@ -33,7 +33,7 @@
     late: int = 0  # of these, ended after their time
     submitted: int = 0
     refused: int = 0
-    taken: int = 0
+    accepted: int = 0
     failed: int = 0  # taken after power on, and not delivered in time
     in_aim: int = 0  # offered after power on and delivered within the class's aim
     first_s: float = float("inf")
@@ -98,7 +98,7 @@
                 continue
             taken = status in (200, 202)
             made.submitted += 1
-            made.taken += taken
+            made.accepted += taken
             made.refused += not taken
             made.failed += taken and first.get(id, never) > at + LIFE_MS
             made.in_aim += first.get(id, never) <= at + AIM_MS
