--- a/benchmarks/power_return.py
+++ b/benchmarks/power_return.py
@@ -79,7 +79,7 @@
                 "failed": told.failed,
                 "in_aim": told.in_aim,
                 "first_s": round(told.first_s, 2),
-                "usual_s": told.usual_s,
+                "usual_s": told.full_rate_s,
                 "handshakes": told.handshakes,
                 "list_requests": told.list_requests,
                 "unsafe_twice": told.unsafe_twice,
--- a/springspread/faults/fleet_recovery.py
+++ b/springspread/faults/fleet_recovery.py
@@ -37,7 +37,7 @@
     failed: int = 0  # taken after power on, and not delivered in time
     in_aim: int = 0  # offered after power on and delivered within the class's aim
     first_s: float = float("inf")
-    usual_s: float = float("inf")  # the first second with 0.9 of the usual deliveries
+    full_rate_s: float = float("inf")  # the first second with 0.9 of the usual deliveries
     handshakes: int = 0
     list_requests: int = 0
     unsafe_twice: int = 0
@@ -106,7 +106,7 @@
             row["offered"] += 1
             row["taken" if taken else "refused"] += 1
         usual = 0.9 / (self._each_s / len(self._names))
-        made.usual_s = next((n for n, row in enumerate(rows) if row["delivered"] >= usual), never)
+        made.full_rate_s = next((n for n, row in enumerate(rows) if row["delivered"] >= usual), never)
         made.seconds = rows
         for path, size in logs.items():
             since = path.read_bytes()[size:]
