--- a/springspread/faults/crash_points.py
+++ b/springspread/faults/crash_points.py
@@ -158,7 +158,7 @@
     return False
 
 
-def planted() -> Iterator[tuple[str, Make]]:
+def faulty_journals() -> Iterator[tuple[str, Make]]:
     """Journals with one fault each, by name."""
 
     class Skips(MemoryFiles):
--- a/tests/faults/test_crashes.py
+++ b/tests/faults/test_crashes.py
@@ -1,9 +1,9 @@
 import pytest
 
-from springspread.faults.crash_points import planted, search
+from springspread.faults.crash_points import faulty_journals, search
 from springspread.faults.disk import Disk, MemoryFiles
 
-PLANTED = dict(planted())
+PLANTED = dict(faulty_journals())
 # Found by benchmarks.crash_points, which looks further.
 DEEP = {"a file is left unsynced", "a file goes before its copies are made", "a removal is not synced"}
 
