--- a/benchmarks/crash_points.py
+++ b/benchmarks/crash_points.py
@@ -12,7 +12,7 @@
 from pathlib import Path
 
 from benchmarks.tables import tell, write_table
-from springspread.faults.crash_points import faulty_journals, real, search
+from springspread.faults.crash_points import correct_journal, faulty_journals, search
 
 
 def main() -> None:
@@ -23,7 +23,7 @@
     parser.add_argument("--csv", type=Path)
     args = parser.parse_args()
     rows, right = [], True
-    for name, make in (("", real), *faulty_journals()):
+    for name, make in (("", correct_journal), *faulty_journals()):
         states = points = 0
         broken = ""
         for seed in range(args.seeds):
--- a/springspread/faults/crash_points.py
+++ b/springspread/faults/crash_points.py
@@ -91,7 +91,7 @@
 Make = Callable[[MemoryFiles], Journal]
 
 
-def real(files: MemoryFiles) -> Journal:
+def correct_journal(files: MemoryFiles) -> Journal:
     """The journal as it is."""
     return Journal(NOWHERE, DISK_BYTES, body_bytes=BODY_BYTES, durable=True, files=files)
 
@@ -105,7 +105,9 @@
     violation: str = ""
 
 
-def search(seed: int, steps: int, make: Make = real, again: int = 3, most: int = 1 << 60) -> Searched:
+def search(
+    seed: int, steps: int, make: Make = correct_journal, again: int = 3, most: int = 1 << 60
+) -> Searched:
     """Cut a history off at each operation; ``again``: at every so many of its recovery's, too."""
     found = Searched()
     for point in range(1, 1 << 30):
@@ -222,7 +224,7 @@
                     owed.not_run |= owed.begun
 
     def skipping(what: str) -> Make:
-        return lambda files: real(Skips(files, what))
+        return lambda files: correct_journal(Skips(files, what))
 
     def faulty(what: str) -> Make:
         kind = type("Planted", (Faulty,), {"what": what})
