--- a/benchmarks/rollout_search.py
+++ b/benchmarks/rollout_search.py
@@ -14,7 +14,7 @@
 from multiprocessing import Pool
 from pathlib import Path
 
-from springspread.faults.model_checker import Bounds, Found, search
+from springspread.faults.model_checker import Bounds, SearchResult, search
 from springspread.faults.protocol_mutants import PLANTED
 
 SIZES = {
@@ -27,7 +27,7 @@
 OWN = {"a generation is not synced": Bounds(1, moments=4, proposals=1, deaths=0, daemon_deaths=2, refusals=0)}
 
 
-def look(job: tuple[str, int]) -> tuple[str, Found, float]:
+def look(job: tuple[str, int]) -> tuple[str, SearchResult, float]:
     """One search, by its name."""
     name, most = job
     begun = time.monotonic()
--- a/springspread/faults/model_checker.py
+++ b/springspread/faults/model_checker.py
@@ -88,7 +88,7 @@
 
 
 @dataclass(slots=True)
-class Found:
+class SearchResult:
     """What a search came to: worlds seen, and where a promise broke the shortest way there."""
 
     worlds: int = 0
@@ -116,7 +116,7 @@
 
 def search(
     bounds: Bounds, machine: Machine | None = None, most: int = 100_000, running: bool = False
-) -> Found:
+) -> SearchResult:
     """Look at up to ``most`` worlds, the nearest first, and stop at the first broken promise.
 
     It begins before the first daemon, or, ``running``, in a fleet that acts under policy 1.
@@ -124,7 +124,7 @@
     machine = machine or Machine()
     empty = World(parts=tuple((0, Participant()) for _ in range(bounds.instances)), left=bounds)
     first = started(bounds, machine) if running else empty
-    found, seen = Found(), {first.key: ("", 0)}
+    found, seen = SearchResult(), {first.key: ("", 0)}
     line = deque([first])
     while line and found.worlds < most:
         world = line.popleft()
