--- a/benchmarks/rollout_search.py
+++ b/benchmarks/rollout_search.py
@@ -15,7 +15,7 @@
 from pathlib import Path
 
 from springspread.faults.model_checker import Bounds, SearchResult, search
-from springspread.faults.protocol_mutants import PLANTED
+from springspread.faults.protocol_mutants import MUTANTS
 
 SIZES = {
     "3 instances, from the first start": (Bounds(3), False),
@@ -34,7 +34,7 @@
     if name in SIZES:
         found = search(SIZES[name][0], most=most, running=SIZES[name][1])
     else:
-        found = search(OWN.get(name, SMALL), PLANTED[name], most, running=True)
+        found = search(OWN.get(name, SMALL), MUTANTS[name], most, running=True)
     return name, found, time.monotonic() - begun
 
 
@@ -46,7 +46,7 @@
     )
     parser.add_argument("--csv", type=Path)
     args = parser.parse_args()
-    jobs = [(name, args.most) for name in (*SIZES, *PLANTED)]
+    jobs = [(name, args.most) for name in (*SIZES, *MUTANTS)]
     rows, wrong = [], 0
     with Pool() as pool:
         for name, found, took in pool.imap(look, jobs):
--- a/springspread/faults/protocol_mutants.py
+++ b/springspread/faults/protocol_mutants.py
@@ -113,7 +113,7 @@
 
 
 REAL = Machine()
-PLANTED: dict[str, Machine] = {
+MUTANTS: dict[str, Machine] = {
     "act on prepare": altered(REAL, prepared=_acts_on_prepare),
     "a yes keeps its grant": altered(REAL, prepared=_keeps_its_grant),
     "a yes leaves no barrier": altered(REAL, prepared=_has_no_barrier),
--- a/tests/faults/test_search.py
+++ b/tests/faults/test_search.py
@@ -1,7 +1,7 @@
 import pytest
 
 from springspread.faults.model_checker import Bounds, search
-from springspread.faults.protocol_mutants import PLANTED
+from springspread.faults.protocol_mutants import MUTANTS
 
 SMALL = Bounds(1, moments=6, proposals=2, deaths=0, daemon_deaths=1, refusals=1)
 # Found by benchmarks.rollout_search, which looks further.
@@ -20,7 +20,7 @@
         assert found.worlds == 8_000 and found.decided > 1_000
 
 
-@pytest.mark.parametrize("name", [name for name in PLANTED if name not in DEEP])
+@pytest.mark.parametrize("name", [name for name in MUTANTS if name not in DEEP])
 def test_a_planted_fault_is_found(name: str) -> None:
-    found = search(SMALL, PLANTED[name], most=20_000, running=True)
+    found = search(SMALL, MUTANTS[name], most=20_000, running=True)
     assert found.violation and found.trace
