--- a/benchmarks/rollout_search.py
+++ b/benchmarks/rollout_search.py
@@ -32,7 +32,7 @@
     name, most = job
     begun = time.monotonic()
     if name in SIZES:
-        found = search(SIZES[name][0], most=most, running=SIZES[name][1])
+        found = search(SIZES[name][0], max_worlds=most, running=SIZES[name][1])
     else:
         found = search(OWN.get(name, SMALL), MUTANTS[name], most, running=True)
     return name, found, time.monotonic() - begun
--- a/springspread/faults/model_checker.py
+++ b/springspread/faults/model_checker.py
@@ -115,9 +115,9 @@
 
 
 def search(
-    bounds: Bounds, machine: Machine | None = None, most: int = 100_000, running: bool = False
+    bounds: Bounds, machine: Machine | None = None, max_worlds: int = 100_000, running: bool = False
 ) -> SearchResult:
-    """Look at up to ``most`` worlds, the nearest first, and stop at the first broken promise.
+    """Look at up to ``max_worlds`` worlds, the nearest first, and stop at the first broken promise.
 
     It begins before the first daemon, or, ``running``, in a fleet that acts under policy 1.
     """
@@ -126,7 +126,7 @@
     first = started(bounds, machine) if running else empty
     found, seen = SearchResult(), {first.key: ("", 0)}
     line = deque([first])
-    while line and found.worlds < most:
+    while line and found.worlds < max_worlds:
         world = line.popleft()
         found.worlds += 1
         found.decided += any(isinstance(one, Decided) for one in world.record)
--- a/tests/faults/test_search.py
+++ b/tests/faults/test_search.py
@@ -15,12 +15,12 @@
 
 def test_no_interleaving_breaks_a_promise() -> None:
     for bounds, running in ((Bounds(2), False), (SMALL, True)):
-        found = search(bounds, most=8_000, running=running)
+        found = search(bounds, max_worlds=8_000, running=running)
         assert not found.violation, found.trace
         assert found.worlds == 8_000 and found.decided > 1_000
 
 
 @pytest.mark.parametrize("name", [name for name in MUTANTS if name not in DEEP])
 def test_a_planted_fault_is_found(name: str) -> None:
-    found = search(SMALL, MUTANTS[name], most=20_000, running=True)
+    found = search(SMALL, MUTANTS[name], max_worlds=20_000, running=True)
     assert found.violation and found.trace
