--- a/benchmarks/policy_virtual.py
+++ b/benchmarks/policy_virtual.py
@@ -16,7 +16,7 @@
 import numpy as np
 
 from benchmarks.tables import tell, write_table
-from springspread.faults.virtual_fleet import Costs, Virtual
+from springspread.faults.virtual_fleet import Costs, VirtualFleet
 from springspread.fleet.wire import encode
 from springspread.rollout.document import Policy
 from springspread.rollout.protocol import Grant
@@ -48,7 +48,7 @@
     rows = []
     for size in args.sizes:
         for deaf in (0, size // 4):
-            fleet = Virtual(size, policy, deaf, costs=costs)
+            fleet = VirtualFleet(size, policy, deaf, costs=costs)
             before = (fleet.said.lines, fleet.said.bytes, time.process_time())
             fleet.run(IDLE_MS)
             seconds = size * IDLE_MS / 1000.0
--- a/springspread/faults/virtual_fleet.py
+++ b/springspread/faults/virtual_fleet.py
@@ -43,7 +43,7 @@
     bytes: int = 0
 
 
-class Virtual:
+class VirtualFleet:
     """A daemon and its instances."""
 
     def __init__(
