--- a/benchmarks/policy_virtual.py
+++ b/benchmarks/policy_virtual.py
@@ -49,12 +49,12 @@
     for size in args.sizes:
         for deaf in (0, size // 4):
             fleet = VirtualFleet(size, policy, deaf, costs=costs)
-            before = (fleet.said.lines, fleet.said.bytes, time.process_time())
+            before = (fleet.traffic.lines, fleet.traffic.bytes, time.process_time())
             fleet.run(IDLE_MS)
             seconds = size * IDLE_MS / 1000.0
-            idle = (fleet.said.lines - before[0], fleet.said.bytes - before[1])
+            idle = (fleet.traffic.lines - before[0], fleet.traffic.bytes - before[1])
             cpu_us = 1e6 * (time.process_time() - before[2])
-            start = (fleet.said.lines, fleet.said.bytes)
+            start = (fleet.traffic.lines, fleet.traffic.bytes)
             took, spent = [], 0.0
             for _ in range(CHANGES):
                 at = fleet.now
@@ -70,8 +70,8 @@
                     "idle_lines_each_s": round(idle[0] / seconds, 2),
                     "idle_bytes_each_s": round(idle[1] / seconds),
                     "idle_cpu_us_each_s": round(cpu_us / seconds),
-                    "change_lines": round((fleet.said.lines - start[0] - standing[0]) / CHANGES),
-                    "change_bytes": round((fleet.said.bytes - start[1] - standing[1]) / CHANGES),
+                    "change_lines": round((fleet.traffic.lines - start[0] - standing[0]) / CHANGES),
+                    "change_bytes": round((fleet.traffic.bytes - start[1] - standing[1]) / CHANGES),
                     "force_p50_ms": round(float(np.percentile(took, 50))),
                     "force_most_ms": round(max(took)),
                 }
--- a/springspread/faults/virtual_fleet.py
+++ b/springspread/faults/virtual_fleet.py
@@ -57,7 +57,7 @@
     ) -> None:
         """``deaf`` of the instances hear nothing after their first grants."""
         self.policy, self.costs = policy, costs
-        self.now, self.said = 0.0, Said()
+        self.now, self.traffic = 0.0, Said()
         self._rng, self._order = Random(f"{seed}/virtual"), count()
         self._queue: list[tuple[float, int, Callable[[], None]]] = []
         self._owners: list[Owner] = [(f"n{n:04}", 1) for n in range(instances)]
@@ -114,8 +114,8 @@
 
     def _count(self, message: Message) -> Message:
         line = encode(message)
-        self.said.lines += 1
-        self.said.bytes += len(line)
+        self.traffic.lines += 1
+        self.traffic.bytes += len(line)
         return Lines().feed(line)[0]
 
     def _carry_out(self, step: Step) -> None:
--- a/tests/faults/test_virtual.py
+++ b/tests/faults/test_virtual.py
@@ -27,7 +27,7 @@
     each = {}
     for size in (10, 100):
         fleet = VirtualFleet(size, POLICY)
-        before = fleet.said.lines
+        before = fleet.traffic.lines
         fleet.run(10_000.0)
-        each[size] = (fleet.said.lines - before) / size
+        each[size] = (fleet.traffic.lines - before) / size
     assert each[10] == each[100] == 18.0
