--- a/springspread/faults/power.py
+++ b/springspread/faults/power.py
@@ -1,10 +1,10 @@
-"""A power loss that can be produced: what a process did not sync is lost as it is killed.
+"""Simulated power loss: killing a process loses whatever it has not synced.
 
-``HeldBack`` stands for the journal's files. What is written stays in memory until it is synced, so a SIGKILL
-drops it, as the loss of power drops what the system had not put on disk yet. Removals and truncations take
-hold at once, which is the worst that may happen to them. ``python -m springspread.faults.power`` runs the
-sender so. With a seed in ``FAULTS_WRITE_BACK`` the system writes some of it back by itself: a part from the
-beginning, or one block of 512 bytes before those that stand ahead of it, with zeros in their places.
+``HeldBack`` replaces the journal's files and keeps appended data in memory until it is synced, so a SIGKILL
+drops it as a power loss drops the page cache. Removals and truncations take effect at once, which is their
+worst case. ``python -m springspread.faults.power`` runs the sender with it. With a seed in
+``FAULTS_WRITE_BACK`` some unsynced data reaches the disk: a prefix, or a single block of 512 bytes out of
+order, with zeros before it.
 """
 
 from __future__ import annotations
@@ -21,67 +21,69 @@
 from springspread.core.files import Files
 
 WRITE_BACK = "FAULTS_WRITE_BACK"
-CLOCK = "FAULTS_CLOCK_S"  # by how much the machine's clock is wrong, as it came up
-BLOCK = 512
-PREFIX_PART, BLOCK_PART = 0.1, 0.05  # of all appends
+CLOCK = "FAULTS_CLOCK_S"  # offset of the wall clock
+BLOCK_BYTES = 512
+PREFIX_RATE, BLOCK_RATE = 0.1, 0.05  # share of appends
 
 
 @dataclass(slots=True)
 class Tail:
-    """What a file on disk has not got yet, from which place on."""
+    """Unsynced data of a file, and its offset."""
 
     base: int
     data: bytearray = field(default_factory=bytearray)
 
 
 class HeldBack(Files):
-    """The system's own but for appends and syncs; safe from any thread. ``rng``: what is written back."""
+    """Buffers appends until a sync; thread-safe. ``rng`` draws what is written back early."""
 
     def __init__(self, folder: Path, rng: Random | None = None) -> None:
         super().__init__(folder)
         seed = os.environ.get(WRITE_BACK, "")
         self._rng = rng or (Random(f"{seed}/{folder}/{os.getpid()}") if seed else None)
         self._lock = threading.Lock()
-        self._tails: dict[int, Tail] = {}  # by file on disk
+        self._tails: dict[int, Tail] = {}  # by inode
 
     def append(self, file: int, data: bytes) -> None:
-        """Hold it back, or most of it."""
+        """Buffer the data; write a part of it back early if there is an ``rng``."""
         with self._lock:
-            about = os.fstat(file)
-            tail = self._tails.setdefault(about.st_ino, Tail(about.st_size))
+            stat = os.fstat(file)
+            tail = self._tails.setdefault(stat.st_ino, Tail(stat.st_size))
             tail.data.extend(data)
             if self._rng is None:
                 return
-            if (chance := self._rng.random()) < PREFIX_PART:
-                self._put(file, tail, 0, self._rng.randrange(len(tail.data)))
-            elif chance < PREFIX_PART + BLOCK_PART:
-                first = -(-tail.base // BLOCK) * BLOCK - tail.base  # blocks are the disk's, not the tail's
-                at = first + BLOCK * self._rng.randrange(max((len(tail.data) - first) // BLOCK, 1))
-                self._put(file, tail, at, BLOCK)
-
-    def _put(self, file: int, tail: Tail, at: int, size: int) -> None:
-        """Write a part of a tail where it belongs, whatever lies before it."""
-        if part := bytes(tail.data[at : at + size]):
-            place = os.open(f"/proc/self/fd/{file}", os.O_WRONLY)  # not to append
+            if (draw := self._rng.random()) < PREFIX_RATE:
+                self._write_back(file, tail, 0, self._rng.randrange(len(tail.data)))
+            elif draw < PREFIX_RATE + BLOCK_RATE:
+                first = -(-tail.base // BLOCK_BYTES) * BLOCK_BYTES - tail.base  # aligned to the file
+                at = first + BLOCK_BYTES * self._rng.randrange(
+                    max((len(tail.data) - first) // BLOCK_BYTES, 1)
+                )
+                self._write_back(file, tail, at, BLOCK_BYTES)
+
+    def _write_back(self, file: int, tail: Tail, at: int, size: int) -> None:
+        """Write a part of a tail at its offset in the file."""
+        if data := bytes(tail.data[at : at + size]):
+            fd = os.open(f"/proc/self/fd/{file}", os.O_WRONLY)  # without O_APPEND
             try:
-                os.pwrite(place, part, tail.base + at)
+                os.pwrite(fd, data, tail.base + at)
             finally:
-                os.close(place)
+                os.close(fd)
 
     def sync(self, file: int) -> None:
-        """Put on disk what was held back."""
+        """Write the buffered data and sync it."""
         with self._lock:
             tail = self._tails.pop(os.fstat(file).st_ino, None)
             if tail is not None:
-                self._put(file, tail, 0, len(tail.data))
+                self._write_back(file, tail, 0, len(tail.data))
             super().sync(file)
 
 
 class WrongClock(SystemClock):
-    """A machine's clock that came up wrong, by so many seconds."""
+    """A wall clock that is off by ``FAULTS_CLOCK_S`` seconds."""
 
     def wall(self) -> float:
-        """Unix time in milliseconds, as the machine believes it."""
+        """Unix time in milliseconds, with the offset."""
         return super().wall() + 1000.0 * float(os.environ[CLOCK])
 
 
