--- a/springspread/faults/power.py
+++ b/springspread/faults/power.py
@@ -1,8 +1,8 @@
 """Simulated power loss: killing a process loses whatever it has not synced.
 
-``HeldBack`` replaces the journal's files and keeps appended data in memory until it is synced, so a SIGKILL
-drops it as a power loss drops the page cache. Removals and truncations take effect at once, which is their
-worst case. ``python -m springspread.faults.power`` runs the sender with it. With a seed in
+``HeldBack`` stands in for the journal's files. It keeps appended data in memory until it is synced, so a
+SIGKILL drops it as a power loss drops the page cache. Removals and truncations take effect at once, which
+is their worst case. ``python -m springspread.faults.power`` runs the sender with it. With a seed in
 ``FAULTS_WRITE_BACK`` some unsynced data reaches the disk: a prefix, or a single block of 512 bytes out of
 order, with zeros before it.
 """
