--- a/springspread/faults/power.py
+++ b/springspread/faults/power.py
@@ -1,6 +1,6 @@
 """Simulated power loss: killing a process loses whatever it has not synced.
 
-``HeldBack`` stands in for the journal's files. It keeps appended data in memory until it is synced, so a
+``BufferedFiles`` stands in for the journal's files. It keeps appended data in memory until it is synced, so a
 SIGKILL drops it as a power loss drops the page cache. Removals and truncations take effect at once, which
 is their worst case. ``python -m springspread.faults.power`` runs the sender with it. With a seed in
 ``FAULTS_WRITE_BACK`` some unsynced data reaches the disk: a prefix, or a single block of 512 bytes out of
@@ -34,7 +34,7 @@
     data: bytearray = field(default_factory=bytearray)
 
 
-class HeldBack(Files):
+class BufferedFiles(Files):
     """Buffers appends until a sync; thread-safe. ``rng`` draws what is written back early."""
 
     def __init__(self, folder: Path, rng: Random | None = None) -> None:
@@ -90,5 +90,5 @@
 if __name__ == "__main__":
     if CLOCK in os.environ:
         SYSTEM.__class__ = WrongClock
-    vars(journal).update(Files=HeldBack)
+    vars(journal).update(Files=BufferedFiles)
     os._exit(main())
--- a/tests/test_power.py
+++ b/tests/test_power.py
@@ -15,7 +15,7 @@
 from springspread.config import ConfigError, Durability
 from springspread.core.commit import GroupCommit
 from springspread.core.journal import Journal
-from springspread.faults.power import HeldBack
+from springspread.faults.power import BufferedFiles
 from tests.peer import WAIT_S, Peer, Program, until
 from tests.test_config import make
 from tests.test_journal_repair import message
@@ -160,7 +160,7 @@
     for seed in range(40):
         place = tmp_path / str(seed)
         place.mkdir()
-        files = HeldBack(place, Random(seed))
+        files = BufferedFiles(place, Random(seed))
         journal = Journal(place, 1 << 20, durable=True, files=files)
         for n in range(1, 60):
             journal.record_taken(message(n))
