--- a/springspread/faults/daemon.py
+++ b/springspread/faults/daemon.py
@@ -43,7 +43,7 @@
 
     def instance_settings(self, name: str) -> dict[str, Any]:
         """What a file in the fleet's folder says of the instance."""
-        path = given_path(self.folder)
+        path = instance_settings_path(self.folder)
         return dict(json.loads(path.read_text()).get(name, {})) if path.exists() else {}
 
     def propose(self, text: str, within_s: float) -> dict[str, Any]:
@@ -58,7 +58,7 @@
     return folder / f"relay.{name}"
 
 
-def given_path(folder: Path) -> Path:
+def instance_settings_path(folder: Path) -> Path:
     """The file with what instances' configurations have of their own, by name."""
     return folder / "given.json"
 
--- a/springspread/simulator/fleet.py
+++ b/springspread/simulator/fleet.py
@@ -13,7 +13,7 @@
 from pathlib import Path
 from typing import Any
 
-from springspread.faults.daemon import given_path
+from springspread.faults.daemon import instance_settings_path
 from springspread.fleet.control_client import send_order
 from springspread.fleet.limits import Limit, LimitMode
 
@@ -50,7 +50,7 @@
         """Start the daemon and wait for all; their addresses. ``directories``: the port that each asks."""
         (self._place / "sender.json").write_text(json.dumps(config))
         own = {name_of(n): {"discovery": f"127.0.0.1:{port}"} for n, port in directories.items()}
-        given_path(self._folder).write_text(json.dumps(own))
+        instance_settings_path(self._folder).write_text(json.dumps(own))
         line = [sys.executable, "-m", "springspread.faults.daemon", str(self._file)]
         with (self._place / "daemon.log").open("wb") as log:
             self._daemon = subprocess.Popen(line, stderr=log, start_new_session=True)
