--- a/benchmarks/policy_sabotage.py
+++ b/benchmarks/policy_sabotage.py
@@ -23,7 +23,7 @@
 
 def play(sabotage: str, limited: bool, seconds: float, seed: int) -> ChaosResult:
     """One run of a build."""
-    own = SABOTAGES[sabotage].acts if sabotage else ()
+    own = SABOTAGES[sabotage].faults if sabotage else ()
     acts = own or worst_case_schedule(seed, INSTANCES, 1000.0 * seconds)
     limit = LIMIT if limited else None
     with running_fleet(Chaos, INSTANCES, lease_ms=LEASE_MS, limit=limit, sabotage=sabotage) as (chaos, _):
--- a/springspread/faults/sabotage.py
+++ b/springspread/faults/sabotage.py
@@ -36,14 +36,14 @@
     """``promise``: the number of the one that it breaks; ``sender``: whether it is put into instances.
 
     ``limited``: whether it shows under a limit; without leases a cut-off instance makes no calls there.
-    ``acts``: the faults under which it shows, where it needs some of its own and no rival.
+    ``faults``: the faults under which it shows, where it needs some of its own and no rival.
     """
 
     promise: int
     sender: bool
     install: Callable[[], None]
     limited: bool = False
-    acts: tuple[ScheduledFault, ...] = ()
+    faults: tuple[ScheduledFault, ...] = ()
 
 
 def _acts_on_a_proposal() -> None:
@@ -133,7 +133,7 @@
     "gives out more than the limit": Sabotage(2, False, _raises_limits_at_once, True),
     "the silent are not waited out": Sabotage(3, False, _forgets_the_silent),
     "no last look": Sabotage(3, True, _looks_no_more),
-    "a new daemon waits for nobody": Sabotage(3, False, _begins_without_waiting, acts=HALF_OPEN_AS_IT_DIES),
+    "a new daemon waits for nobody": Sabotage(3, False, _begins_without_waiting, faults=HALF_OPEN_AS_IT_DIES),
     "a decision is not on record": Sabotage(4, False, _decides_off_the_record),
     "an instance forgets what it took": Sabotage(5, True, _forgets_what_it_took, True, ALL_DIE),
     "two changes at a time": Sabotage(7, False, _changes_two_at_a_time),
