--- a/springspread/faults/chaos.py
+++ b/springspread/faults/chaos.py
@@ -37,7 +37,7 @@
     recorded,
 )
 from springspread.faults.power import CLOCK, WRITE_BACK
-from springspread.faults.relay import Direction, Fault, Relay, unseen
+from springspread.faults.relay import Direction, Fault, Relay, ignore_line
 from springspread.faults.sabotage import VARIABLE
 from springspread.faults.schedule import FaultKind, ScheduledFault
 from springspread.fleet.control_client import send_order
@@ -327,7 +327,7 @@
             if act.kind is FaultKind.FREEZE and pid:
                 with suppress(ProcessLookupError):
                     os.kill(pid, signal.SIGCONT)
-            relay.line_listener = unseen
+            relay.line_listener = ignore_line
             if act.kind in (FaultKind.HALF_OPEN, FaultKind.DEAF, FaultKind.MUTE, FaultKind.VOTED):
                 relay.cut(refuse_new=False)  # lines are missing in it: it is of no use any more
             relay.heal()
--- a/springspread/faults/relay.py
+++ b/springspread/faults/relay.py
@@ -1,8 +1,7 @@
-"""Between an instance and the daemon: a relay that passes, holds, loses, doubles, replays or cuts what they
-say.
+"""A relay between an instance and the daemon that delays, loses, duplicates, replays or cuts their lines.
 
-It stands at a socket of its own, one for each instance, and connects to the daemon's for each connection
-that comes. Faults are put on while it runs; without any it passes lines as they are.
+Each instance has its own relay socket; the relay opens a connection to the daemon for each one that it
+accepts. Faults are set while it runs; without any, lines pass unchanged.
 """
 
 from __future__ import annotations
@@ -15,54 +14,54 @@
 from enum import Enum
 from pathlib import Path
 
-KEPT = 200  # lines to the instance that can be replayed
+REPLAY_LINES = 200
 
 
 class Direction(Enum):
-    """A direction."""
+    """The direction of a line."""
 
     UP = "to the daemon"
     DOWN = "to the instance"
 
 
 class Fault(Enum):
-    """What is done to the lines of one direction."""
+    """The fault of one direction."""
 
     NONE = "none"
-    LOSE = "lose"  # half-open: the connection stays, nothing arrives
-    HOLD = "hold"  # nothing arrives until it is over, then all of it
+    LOSE = "lose"  # half-open: the connection stays, lines are dropped
+    HOLD = "hold"  # lines are delayed until the fault ends
     DOUBLE = "double"
 
 
 class Relay:
-    """One instance's way to the daemon, until ``close``."""
+    """Relays one instance's connections to the daemon, until ``close``."""
 
     def __init__(self, path: Path, daemon: Path) -> None:
         """``path``: where the instance connects; ``daemon``: the daemon's own socket."""
         self._daemon, self._open = daemon, True
         self._faults = dict.fromkeys(Direction, Fault.NONE)
-        self._away = False
+        self._refusing = False
         self._changed = threading.Condition()
         self._pairs: list[tuple[socket.socket, socket.socket]] = []
-        self._past: deque[bytes] = deque(maxlen=KEPT)
-        self.line_listener: Callable[[Direction, bytes], None] = unseen
+        self._recent_lines: deque[bytes] = deque(maxlen=REPLAY_LINES)
+        self.line_listener: Callable[[Direction, bytes], None] = ignore_line
         path.unlink(missing_ok=True)
         self._listener = socket.socket(socket.AF_UNIX)
         self._listener.bind(str(path))
         self._listener.listen(16)
         threading.Thread(target=self._accept, name="relay", daemon=True).start()
 
-    def set_fault(self, fault: Fault, *ways: Direction) -> None:
-        """Begin a fault in some directions, or in both."""
+    def set_fault(self, fault: Fault, *directions: Direction) -> None:
+        """Set the fault of the given directions, or of both."""
         with self._changed:
-            for way in ways or tuple(Direction):
-                self._faults[way] = fault
+            for direction in directions or tuple(Direction):
+                self._faults[direction] = fault
             self._changed.notify_all()
 
     def cut(self, refuse_new: bool = True) -> None:
-        """Break what is open, in the middle of a line; while ``refuse_new``, nobody gets through anew."""
+        """Cut open connections, also within a line; with ``refuse_new`` refuse new ones until ``heal``."""
         with self._changed:
-            self._away = refuse_new
+            self._refusing = refuse_new
             pairs, self._pairs = self._pairs, []
         for pair in pairs:
             for sock in pair:
@@ -70,22 +69,22 @@
                     sock.shutdown(socket.SHUT_RDWR)
 
     def heal(self) -> None:
-        """Everything passes again."""
+        """Accept connections and pass all lines again."""
         with self._changed:
-            self._away = False
+            self._refusing = False
         self.set_fault(Fault.NONE)
 
     def replay(self) -> int:
-        """Say everything to the instance again that it was told lately; how many lines that was."""
+        """Send the recent grants and prepares to the instance again; returns their number."""
         with self._changed:
-            lines, pairs = list(self._past), list(self._pairs)
+            lines, pairs = list(self._recent_lines), list(self._pairs)
         for instance, _ in pairs[-1:]:
             with suppress(OSError):
                 instance.sendall(b"".join(lines))
         return len(lines)
 
     def close(self) -> None:
-        """End it."""
+        """Stop relaying."""
         self._open = False
         self._listener.close()
         self.cut()
@@ -99,7 +98,7 @@
                 return
             daemon = socket.socket(socket.AF_UNIX)
             try:
-                if self._away:
+                if self._refusing:
                     raise OSError("cut off")
                 daemon.connect(str(self._daemon))
             except OSError:
@@ -108,35 +107,38 @@
                 continue
             with self._changed:
                 self._pairs.append((instance, daemon))
-            for way, source, sink in ((Direction.UP, instance, daemon), (Direction.DOWN, daemon, instance)):
-                threading.Thread(target=self._pump, args=(way, source, sink), daemon=True).start()
+            for direction, source, sink in (
+                (Direction.UP, instance, daemon),
+                (Direction.DOWN, daemon, instance),
+            ):
+                threading.Thread(target=self._pump, args=(direction, source, sink), daemon=True).start()
 
-    def _pump(self, way: Direction, source: socket.socket, sink: socket.socket) -> None:
+    def _pump(self, direction: Direction, source: socket.socket, sink: socket.socket) -> None:
         rest = b""
         with suppress(OSError):
             while data := source.recv(65536):
                 *lines, rest = (rest + data).split(b"\n")
                 for line in lines:
-                    self._pass(way, line + b"\n", sink)
+                    self._forward(direction, line + b"\n", sink)
         for sock in (source, sink):
             with suppress(OSError):
                 sock.shutdown(socket.SHUT_RDWR)
-        if way is Direction.DOWN:
+        if direction is Direction.DOWN:
             with self._changed:
                 self._pairs = [pair for pair in self._pairs if pair[1] is not source]
 
-    def _pass(self, way: Direction, line: bytes, sink: socket.socket) -> None:
-        self.line_listener(way, line)
+    def _forward(self, direction: Direction, line: bytes, sink: socket.socket) -> None:
+        self.line_listener(direction, line)
         with self._changed:
-            while self._faults[way] is Fault.HOLD and self._open:
+            while self._faults[direction] is Fault.HOLD and self._open:
                 self._changed.wait()
-            fault = self._faults[way]
-            if way is Direction.DOWN and (b'"grant"' in line or b'"prepare"' in line):
-                self._past.append(line)
+            fault = self._faults[direction]
+            if direction is Direction.DOWN and (b'"grant"' in line or b'"prepare"' in line):
+                self._recent_lines.append(line)
         if fault is Fault.LOSE:
             return
         sink.sendall(line * (2 if fault is Fault.DOUBLE else 1))
 
 
-def unseen(way: Direction, line: bytes) -> None:
-    """Nobody looks at what passes."""
+def ignore_line(direction: Direction, line: bytes) -> None:
+    """The default line listener."""
