--- a/springspread/faults/chaos.py
+++ b/springspread/faults/chaos.py
@@ -294,41 +294,41 @@
 
     # Faults
 
-    def befall(self, act: ScheduledFault) -> Callable[[], None]:
+    def befall(self, fault: ScheduledFault) -> Callable[[], None]:
         """Begin one; what ends it."""
-        relay, name = self._relays[act.who], self._names[act.who]
+        relay, name = self._relays[fault.instance], self._names[fault.instance]
         pid = int(self._rows.get(name, {}).get("pid", 0))
-        if act.kind is FaultKind.DAEMON:
+        if fault.kind is FaultKind.DAEMON:
             self._daemon.kill()
             self._daemon.wait()
-            self.result.fault_counts[act.kind.value] += 1
+            self.result.fault_counts[fault.kind.value] += 1
             return self._again
         if not pid:
             return lambda: None
-        if act.kind is FaultKind.REPLAY:
+        if fault.kind is FaultKind.REPLAY:
             relay.replay()
-        elif act.kind is FaultKind.CUT:
+        elif fault.kind is FaultKind.CUT:
             relay.cut()
-        elif act.kind in FAULTS:
-            fault, ways = FAULTS[act.kind]
-            relay.set_fault(fault, *ways)
-        elif act.kind is FaultKind.VOTED:
+        elif fault.kind in FAULTS:
+            line_fault, directions = FAULTS[fault.kind]
+            relay.set_fault(line_fault, *directions)
+        elif fault.kind is FaultKind.DEAF_AFTER_VOTE:
             relay.line_listener = lambda _, line: (
                 relay.set_fault(Fault.LOSE, Direction.DOWN) if b'"vote"' in line else None
             )
         else:
             try:
-                os.kill(pid, signal.SIGKILL if act.kind is FaultKind.KILL else signal.SIGSTOP)
+                os.kill(pid, signal.SIGKILL if fault.kind is FaultKind.KILL else signal.SIGSTOP)
             except ProcessLookupError:  # dead already, and no daemon there to start it again
                 return lambda: None
-        self.result.fault_counts[act.kind.value] += 1
+        self.result.fault_counts[fault.kind.value] += 1
 
         def over() -> None:
-            if act.kind is FaultKind.FREEZE and pid:
+            if fault.kind is FaultKind.FREEZE and pid:
                 with suppress(ProcessLookupError):
                     os.kill(pid, signal.SIGCONT)
             relay.line_listener = ignore_line
-            if act.kind in (FaultKind.HALF_OPEN, FaultKind.DEAF, FaultKind.MUTE, FaultKind.VOTED):
+            if fault.kind in (FaultKind.HALF_OPEN, FaultKind.DEAF, FaultKind.MUTE, FaultKind.DEAF_AFTER_VOTE):
                 relay.cut(refuse_new=False)  # lines are missing in it: it is of no use any more
             relay.heal()
 
@@ -340,7 +340,7 @@
 
     def play(
         self,
-        acts: Sequence[ScheduledFault],
+        faults: Sequence[ScheduledFault],
         length_ms: float,
         show: Callable[[float, dict[str, dict[str, Any]], list[str]], None] | None = None,
         rival: bool = False,
@@ -357,14 +357,14 @@
             self._spawn(self._rival)
         start, ends = time.monotonic(), list[tuple[float, Callable[[], None], str]]()
         shown = 0.0
-        todo = list(acts)
+        todo = list(faults)
         while (now := (time.monotonic() - start) * 1000.0) < length_ms or ends:
-            while todo and todo[0].at <= now:
-                act = todo.pop(0)
-                if act.kind is FaultKind.DAEMON and self._daemon.poll() is not None:
+            while todo and todo[0].at_ms <= now:
+                fault = todo.pop(0)
+                if fault.kind is FaultKind.DAEMON and self._daemon.poll() is not None:
                     continue
-                who = "" if act.kind is FaultKind.DAEMON else f"{self._names[act.who]} "
-                ends.append((now + act.lasts, self.befall(act), f"{who}{act.kind.value}"))
+                who = "" if fault.kind is FaultKind.DAEMON else f"{self._names[fault.instance]} "
+                ends.append((now + fault.duration_ms, self.befall(fault), f"{who}{fault.kind.value}"))
             for one in [one for one in ends if one[0] <= now]:
                 ends.remove(one)
                 one[1]()
--- a/springspread/faults/policy_change_rounds.py
+++ b/springspread/faults/policy_change_rounds.py
@@ -93,16 +93,16 @@
         for _ in range(count):
             self._turn += 1
             limit = LIMITS[self._turn % len(LIMITS)] if limits else None
-            acts = []
+            faults = []
             if kinds:
                 kind = rng.choice(list(kinds))
                 whose = [0] if kind is FaultKind.DAEMON else rng.sample(range(len(self._names)), many)
-                acts = [
+                faults = [
                     ScheduledFault(rng.uniform(0.0, 800.0), kind, who, rng.uniform(50.0, 600.0))
                     for who in whose
                 ]
-                touched |= {self._names[act.who] for act in acts if kind is not FaultKind.DAEMON}
-            number = self._round(arm, sorted(acts, key=lambda act: act.at), limit)
+                touched |= {self._names[fault.instance] for fault in faults if kind is not FaultKind.DAEMON}
+            number = self._round(arm, sorted(faults, key=lambda fault: fault.at_ms), limit)
             if limit is not None:
                 limited[number] = limit
             time.sleep(rng.uniform(0.05, 0.3))
@@ -115,7 +115,9 @@
         self._judge(arm, begun_at, touched, limited)
         return arm
 
-    def _round(self, arm: ArmResult, acts: Sequence[ScheduledFault], limit: tuple[int, float] | None) -> int:
+    def _round(
+        self, arm: ArmResult, faults: Sequence[ScheduledFault], limit: tuple[int, float] | None
+    ) -> int:
         """One change, its faults, its one answer; its number."""
         self._slots = 5 if self._slots >= 40 else self._slots + 1
         self._base["settings"]["specifics"]["callsOut"] = self._slots
@@ -132,16 +134,16 @@
 
         thread = threading.Thread(target=change, daemon=True)
         thread.start()
-        todo, ends = list(acts), list[tuple[float, Callable[[], None]]]()
+        todo, ends = list(faults), list[tuple[float, Callable[[], None]]]()
         while not over.is_set() or ends:
             now = 1000.0 * (time.monotonic() - start)
-            while todo and todo[0].at <= now and not over.is_set():
-                act = todo.pop(0)
-                if act.kind is not FaultKind.DAEMON or self._daemon.poll() is None:
-                    ends.append((act.lasts, self.befall(act)))
+            while todo and todo[0].at_ms <= now and not over.is_set():
+                fault = todo.pop(0)
+                if fault.kind is not FaultKind.DAEMON or self._daemon.poll() is None:
+                    ends.append((fault.duration_ms, self.befall(fault)))
             for one in list(ends):
                 # A daemon comes back in its time; others are healed when the change has its answer.
-                if over.is_set() or (acts[0].kind is FaultKind.DAEMON and now >= acts[0].at + one[0]):
+                if over.is_set() or (faults[0].kind is FaultKind.DAEMON and now >= faults[0].at_ms + one[0]):
                     ends.remove(one)
                     one[1]()
             self.refresh_status()
@@ -149,7 +151,7 @@
         thread.join()
         self._again()
         arm.changes += 1
-        arm.fault_count += len(acts) - len(todo)
+        arm.fault_count += len(faults) - len(todo)
         return answer[0]
 
     def _settled(self, arm: ArmResult, text: str) -> int:
--- a/springspread/faults/schedule.py
+++ b/springspread/faults/schedule.py
@@ -1,6 +1,4 @@
-"""Faults drawn from a seed, written down before they are played: what happens to whom, when, and for how
-long.
-"""
+"""Schedules of faults, drawn from a seed: which instance meets which fault, when, and for how long."""
 
 from __future__ import annotations
 
@@ -12,7 +10,7 @@
 
 
 class FaultKind(Enum):
-    """What may befall an instance's process, its way to the daemon, or the daemon."""
+    """A fault of an instance's process, of its connection to the daemon, or of the daemon."""
 
     KILL = "killed"
     FREEZE = "frozen"
@@ -23,97 +21,97 @@
     HOLD = "held back"
     DOUBLE = "doubled"
     REPLAY = "told old things again"
-    VOTED = "deaf once it has voted"
+    DEAF_AFTER_VOTE = "deaf once it has voted"
     DAEMON = "daemon killed"
 
 
 @dataclass(frozen=True, slots=True)
 class ScheduledFault:
-    """From ``at`` for ``lasts`` (milliseconds); ``who`` is an instance's number, of no account for the
-    daemon.
-    """
+    """A fault of one instance, given by its number; faults of the daemon ignore the number."""
 
-    at: float
+    at_ms: float
     kind: FaultKind
-    who: int
-    lasts: float
+    instance: int
+    duration_ms: float
 
 
 def random_schedule(
-    seed: int, instances: int, length_ms: float, each_ms: float
+    seed: int, instances: int, length_ms: float, interval_ms: float
 ) -> tuple[ScheduledFault, ...]:
-    """One act about every ``each_ms``; nobody meets two at a time, and all are over before the end."""
-    rng, free, made, at = Random(f"{seed}/acts"), [0.0] * instances, list[ScheduledFault](), 1_000.0
+    """A fault about every ``interval_ms``, one at a time per instance, all over before the end."""
+    rng, free_at, schedule, at = Random(f"{seed}/acts"), [0.0] * instances, list[ScheduledFault](), 1_000.0
     while at < length_ms - 4_000.0:
-        kind, lasts = rng.choice(list(FaultKind)), rng.uniform(100.0, 4_000.0)
-        idle = [n for n in range(instances) if free[n] <= at]
+        kind, duration_ms = rng.choice(list(FaultKind)), rng.uniform(100.0, 4_000.0)
+        idle = [n for n in range(instances) if free_at[n] <= at]
         if idle:
-            who = rng.choice(idle)
-            free[who] = at + lasts + 500.0
-            made.append(ScheduledFault(at, kind, who, min(lasts, length_ms - at - 2_000.0)))
-        at += rng.expovariate(1.0 / each_ms)
-    return tuple(made)
+            chosen = rng.choice(idle)
+            free_at[chosen] = at + duration_ms + 500.0
+            schedule.append(ScheduledFault(at, kind, chosen, min(duration_ms, length_ms - at - 2_000.0)))
+        at += rng.expovariate(1.0 / interval_ms)
+    return tuple(schedule)
 
 
 def worst_case_schedule(seed: int, instances: int, length_ms: float) -> tuple[ScheduledFault, ...]:
-    """Faults where they hurt a change most, round after round.
+    """Rounds of the faults that hurt a policy change most.
 
-    One instance goes deaf as soon as it has voted; later one is half-open, and right after that the daemon
-    is killed, or, every second time, one instance is frozen, one killed and one not heard.
+    One instance goes deaf as soon as it has voted. Later another is half-open, and right after that the
+    daemon is killed; in every second round an instance is frozen, one killed and one mute instead.
     """
-    rng, made, round_ms = Random(f"{seed}/pressed"), list[ScheduledFault](), 9_000.0
-    for turn in range(int((length_ms - 4_000.0) / round_ms)):
-        begin = 1_000.0 + turn * round_ms
-        who = rng.sample(range(instances), instances)
-        made.append(ScheduledFault(begin, FaultKind.VOTED, who[0], 2_000.0))
-        half_at = begin + 2_500.0 + rng.uniform(0.0, 500.0)
-        made.append(ScheduledFault(half_at, FaultKind.HALF_OPEN, who[1 % instances], 4_000.0))
-        if turn % 2 == 0:  # nobody else is silent then: waiting for another would be waiting for this one
-            made.append(ScheduledFault(half_at + 100.0, FaultKind.DAEMON, 0, 150.0))
+    rng, schedule, round_ms = Random(f"{seed}/pressed"), list[ScheduledFault](), 9_000.0
+    for round_number in range(int((length_ms - 4_000.0) / round_ms)):
+        start = 1_000.0 + round_number * round_ms
+        chosen = rng.sample(range(instances), instances)
+        schedule.append(ScheduledFault(start, FaultKind.DEAF_AFTER_VOTE, chosen[0], 2_000.0))
+        half_open_at = start + 2_500.0 + rng.uniform(0.0, 500.0)
+        schedule.append(ScheduledFault(half_open_at, FaultKind.HALF_OPEN, chosen[1 % instances], 4_000.0))
+        if round_number % 2 == 0:  # no other silent instance may hold up the new daemon
+            schedule.append(ScheduledFault(half_open_at + 100.0, FaultKind.DAEMON, 0, 150.0))
             continue
-        for one, kind in zip(who[2:], (FaultKind.FREEZE, FaultKind.KILL, FaultKind.MUTE), strict=False):
-            made.append(ScheduledFault(half_at + rng.uniform(500.0, 1_000.0), kind, one, 1_000.0))
-    return tuple(sorted(made, key=lambda act: act.at))
+        for one, kind in zip(chosen[2:], (FaultKind.FREEZE, FaultKind.KILL, FaultKind.MUTE), strict=False):
+            schedule.append(ScheduledFault(half_open_at + rng.uniform(500.0, 1_000.0), kind, one, 1_000.0))
+    return tuple(sorted(schedule, key=lambda fault: fault.at_ms))
 
 
-def format_schedule(acts: Sequence[ScheduledFault]) -> str:
-    """As JSON, one act a line, to be kept and played again."""
-    lines = [json.dumps([act.at, act.kind.value, act.who, act.lasts]) for act in acts]
+def format_schedule(faults: Sequence[ScheduledFault]) -> str:
+    """Format a schedule as JSON, one fault a line."""
+    lines = [
+        json.dumps([fault.at_ms, fault.kind.value, fault.instance, fault.duration_ms]) for fault in faults
+    ]
     return "[\n" + ",\n".join(lines) + "\n]\n"
 
 
 def parse_schedule(text: str) -> tuple[ScheduledFault, ...]:
-    """What ``format_schedule`` made; raises ``ValueError`` that names the act."""
-    made = []
+    """Parse the output of ``format_schedule``; raises ``ValueError`` with the number of an invalid fault."""
+    schedule = []
     for number, raw in enumerate(json.loads(text), 1):
         try:
-            at, kind, who, lasts = raw
-            made.append(ScheduledFault(float(at), FaultKind(kind), int(who), float(lasts)))
+            at, kind, instance, duration_ms = raw
+            schedule.append(ScheduledFault(float(at), FaultKind(kind), int(instance), float(duration_ms)))
         except (TypeError, ValueError) as exc:
-            raise ValueError(f"act {number}: {exc}") from exc
-    return tuple(sorted(made, key=lambda act: act.at))
+            raise ValueError(f"fault {number}: {exc}") from exc
+    return tuple(sorted(schedule, key=lambda fault: fault.at_ms))
 
 
 def minimize_schedule(
-    acts: Sequence[ScheduledFault], fails: Callable[[tuple[ScheduledFault, ...]], bool], tries: int
+    faults: Sequence[ScheduledFault], fails: Callable[[tuple[ScheduledFault, ...]], bool], max_plays: int
 ) -> tuple[ScheduledFault, ...]:
-    """A part of a failing schedule that still fails, of which no single act can go; at most ``tries`` plays.
+    """Reduce a failing schedule until no single fault can be left out, in at most ``max_plays`` plays.
 
-    Halves are left out first, then ever smaller parts (delta debugging, after Zeller and Hildebrandt).
+    Delta debugging after Zeller and Hildebrandt: leaves out halves first, then smaller and smaller chunks.
     """
-    left, parts = tuple(acts), 2
-    while len(left) >= 2 and tries > 0:
-        size = -(-len(left) // parts)
-        for begin in range(0, len(left), size):
-            rest = left[:begin] + left[begin + size :]
-            tries -= 1
+    remaining, chunks = tuple(faults), 2
+    while len(remaining) >= 2 and max_plays > 0:
+        size = -(-len(remaining) // chunks)
+        for start in range(0, len(remaining), size):
+            rest = remaining[:start] + remaining[start + size :]
+            max_plays -= 1
             if fails(rest):
-                left, parts = rest, max(parts - 1, 2)
+                remaining, chunks = rest, max(chunks - 1, 2)
                 break
-            if tries <= 0:
-                return left
+            if max_plays <= 0:
+                return remaining
         else:
             if size == 1:
-                return left
-            parts = min(2 * parts, len(left))
-    return left
+                return remaining
+            chunks = min(2 * chunks, len(remaining))
+    return remaining
--- a/tests/faults/test_chaos.py
+++ b/tests/faults/test_chaos.py
@@ -8,7 +8,7 @@
 
 
 def test_changes_go_on_through_faults_between_processes(tmp_path: Path) -> None:
-    acts = (
+    faults = (
         ScheduledFault(500.0, FaultKind.DEAF, 0, 1500.0),
         ScheduledFault(1000.0, FaultKind.DAEMON, 0, 200.0),
         ScheduledFault(1500.0, FaultKind.FREEZE, 1, 2500.0),
@@ -18,7 +18,7 @@
     outside = ExternalServices()
     chaos = Chaos(tmp_path, outside, 3)
     try:
-        told = chaos.play(acts, 6000.0)
+        told = chaos.play(faults, 6000.0)
     finally:
         chaos.close()
         outside.close()
@@ -26,11 +26,11 @@
     assert len(told.in_force) >= 2 and sum(told.fault_counts.values()) == 5 and told.calls > 50
 
 
-def test_a_schedule_is_drawn_from_its_seed_and_is_over_before_the_end() -> None:
+def test_random_schedule_depends_on_its_seed_and_ends_in_time() -> None:
     first, again, other = (random_schedule(seed, 4, 30_000.0, 500.0) for seed in (1, 1, 2))
     assert first == again != other
-    assert {act.kind for act in first + other} == set(FaultKind)
-    assert all(act.at + act.lasts <= 28_000.0 and 0 <= act.who < 4 for act in first)
+    assert {fault.kind for fault in first + other} == set(FaultKind)
+    assert all(fault.at_ms + fault.duration_ms <= 28_000.0 and 0 <= fault.instance < 4 for fault in first)
 
 
 def test_a_round_ends_in_one_answer_and_its_limits_are_counted_at_the_partner(tmp_path: Path) -> None:
--- a/tests/faults/test_schedule.py
+++ b/tests/faults/test_schedule.py
@@ -10,44 +10,44 @@
     worst_case_schedule,
 )
 
-ACTS = random_schedule(3, 6, 60_000.0, 1_000.0)
+FAULTS = random_schedule(3, 6, 60_000.0, 1_000.0)
 
 
-def test_a_schedule_is_kept_and_read_again() -> None:
-    assert len(ACTS) > 30 and parse_schedule(format_schedule(ACTS)) == ACTS
-    with pytest.raises(ValueError, match="act 2: 'melted' is not a valid FaultKind"):
+def test_schedule_round_trips_as_json() -> None:
+    assert len(FAULTS) > 30 and parse_schedule(format_schedule(FAULTS)) == FAULTS
+    with pytest.raises(ValueError, match="fault 2: 'melted' is not a valid FaultKind"):
         parse_schedule('[[1.0, "killed", 0, 5.0], [2.0, "melted", 0, 5.0]]')
 
 
-def test_a_pressed_schedule_hurts_each_round_and_nobody_twice_at_a_time() -> None:
-    acts = worst_case_schedule(1, 5, 60_000.0)
-    assert acts == worst_case_schedule(1, 5, 60_000.0) != worst_case_schedule(2, 5, 60_000.0)
-    assert {act.kind for act in acts} == {
-        FaultKind.VOTED,
+def test_worst_case_schedule_has_one_fault_at_a_time_per_instance() -> None:
+    faults = worst_case_schedule(1, 5, 60_000.0)
+    assert faults == worst_case_schedule(1, 5, 60_000.0) != worst_case_schedule(2, 5, 60_000.0)
+    assert {fault.kind for fault in faults} == {
+        FaultKind.DEAF_AFTER_VOTE,
         FaultKind.HALF_OPEN,
         FaultKind.FREEZE,
         FaultKind.KILL,
         FaultKind.MUTE,
         FaultKind.DAEMON,
     }
-    assert all(act.at + act.lasts <= 58_000.0 for act in acts)
-    for who in range(5):
-        mine = [act for act in acts if act.who == who and act.kind is not FaultKind.DAEMON]
-        assert all(one.at + one.lasts <= two.at for one, two in zip(mine, mine[1:], strict=False))
+    assert all(fault.at_ms + fault.duration_ms <= 58_000.0 for fault in faults)
+    for instance in range(5):
+        own = [fault for fault in faults if fault.instance == instance and fault.kind is not FaultKind.DAEMON]
+        assert all(one.at_ms + one.duration_ms <= two.at_ms for one, two in zip(own, own[1:], strict=False))
 
 
-def test_a_failing_schedule_is_made_as_small_as_its_cause() -> None:
-    cause = {ACTS[4], ACTS[17], ACTS[-1]}
+def test_failing_schedule_is_minimized_to_its_cause() -> None:
+    cause = {FAULTS[4], FAULTS[17], FAULTS[-1]}
     plays: list[tuple[ScheduledFault, ...]] = []
 
-    def fails(part: tuple[ScheduledFault, ...]) -> bool:
-        plays.append(part)
-        return cause <= set(part)
+    def fails(subset: tuple[ScheduledFault, ...]) -> bool:
+        plays.append(subset)
+        return cause <= set(subset)
 
-    assert set(minimize_schedule(ACTS, fails, 500)) == cause and len(plays) < 120
+    assert set(minimize_schedule(FAULTS, fails, 500)) == cause and len(plays) < 120
     plays.clear()
-    few = minimize_schedule(ACTS, fails, 5)
-    assert cause <= set(few) and len(plays) == 5
+    partial = minimize_schedule(FAULTS, fails, 5)
+    assert cause <= set(partial) and len(plays) == 5
     assert minimize_schedule((ScheduledFault(0.0, FaultKind.KILL, 0, 1.0),), fails, 5) == (
         ScheduledFault(0.0, FaultKind.KILL, 0, 1.0),
     )
