--- a/springspread/faults/chaos.py
+++ b/springspread/faults/chaos.py
@@ -110,7 +110,7 @@
     def __init__(
         self,
         place: Path,
-        outside: ExternalServices,
+        services: ExternalServices,
         instances: int,
         lease_ms: float = 1500.0,
         message_interval_s: float = 0.1,
@@ -144,7 +144,7 @@
             toml += f"[recovery]\n{recovery}\n"
         self._file.write_text(toml)
         self._clock_s = 0.0
-        self._outside, self._base = outside, outside.configuration()
+        self._services, self._base = services, services.configuration()
         self._names = [f"n{n:03}" for n in range(instances)]
         if power:
             self._base["durability"] = power
@@ -383,10 +383,10 @@
                 interleaved(record),
             )
         self.result.gaps_within_policy, self.result.gaps_across_change = gaps(found)
-        with self._outside.lock:
-            self.result.delivered = len(self._outside.call_counts)
+        with self._services.lock:
+            self.result.delivered = len(self._services.call_counts)
             if self._limit is not None:
-                self.result.limit_ratio = peak_ratio(self._outside.arrivals, self._limit)
+                self.result.limit_ratio = peak_ratio(self._services.arrivals, self._limit)
                 self.result.start_ratio = peak_ratio([call.at for call in found], self._limit)
         return self.result
 
@@ -404,12 +404,12 @@
             thread.join(30.0)
         self._threads.clear()
         end = time.monotonic() + ENDS_S
-        while (lost := self.result.accepted - self._outside.ended) and time.monotonic() < end:
+        while (lost := self.result.accepted - self._services.ended) and time.monotonic() < end:
             time.sleep(0.1)
         self.result.without_outcome = lost
         told = {
             id: {*said, *(["delivered"] if id in self._answered else [])}
-            for id, said in self._outside.notices.items()
+            for id, said in self._services.notices.items()
         }
         self.result.conflicting_outcomes = {id for id, said in told.items() if len(said) > 1}
 
@@ -457,13 +457,13 @@
 @contextmanager
 def running_fleet(kind: type[Kept], instances: int, **made: Any) -> Iterator[tuple[Kept, ExternalServices]]:
     """A fleet under test with its outside, in a folder of its own; ``made`` as ``Chaos`` takes it."""
-    outside = ExternalServices()
+    services = ExternalServices()
     with tempfile.TemporaryDirectory(prefix="springspread-fleet-") as place:
         try:
-            chaos = kind(Path(place), outside, instances, **made)
+            chaos = kind(Path(place), services, instances, **made)
             try:
-                yield chaos, outside
+                yield chaos, services
             finally:
                 chaos.close()
         finally:
-            outside.close()
+            services.close()
--- a/springspread/faults/damage.py
+++ b/springspread/faults/damage.py
@@ -75,9 +75,9 @@
 
     def restart_damaged(self, damages: Sequence[tuple[str, str]]) -> DamageResult:
         """Cut the power while messages are pending, damage files (name, kind of damage) and restart."""
-        outside = self._outside
+        services = self._services
         self.result.accepted.clear()
-        outside.shut.set()
+        services.rejecting.set()
         self.start_load()
         time.sleep(LOAD_S)
         self._over.set()
@@ -95,12 +95,12 @@
             for name, data in before.items():
                 (self._folder / name).write_bytes(data)
             self._again()
-        outside.shut.clear()
+        services.rejecting.clear()
         self.wait_until_ready()
         self.stop_load()
         damaged_instances = {name.split("/")[0] for name, _ in damages if "/state/" in name}
         gone = {id for id in self.result.without_outcome if id.split("-")[0] in damaged_instances}
-        twice = sum(outside.call_counts[id] > 1 for id in self.unsafe)
+        twice = sum(services.call_counts[id] > 1 for id in self.unsafe)
         lost = len(self.result.without_outcome) - len(gone)
         return DamageResult(refused, lost, len(gone), twice, len(self.result.conflicting_outcomes))
 
--- a/springspread/faults/external_services.py
+++ b/springspread/faults/external_services.py
@@ -12,36 +12,36 @@
 
 GROUP = 7
 UNSAFE = "payment"  # the class whose calls may run once
-WATCH_S = 5.0  # a watch of an unchanged list is answered after this
+WATCH_TIMEOUT_S = 5.0  # a watch of an unchanged list is answered after this
 
 
 class ExternalServices:
     """Serves until ``close``. Times are milliseconds of the monotonic clock.
 
-    ``call_counts`` counts calls by message, ``notices`` holds the statuses in a message's notices and
-    ``noticed_at`` when the first of them came. ``arrivals`` has the time of each call in order, ``first``
-    that of each message's first call. While ``shut`` is set the partner rejects every call.
+    By message: ``call_counts``, ``first_call_at``, ``notices`` (the statuses in its notices) and
+    ``notice_at`` (when the first of them came). ``arrivals`` has the time of each call in order. While
+    ``rejecting`` is set the partner rejects every call.
     """
 
     def __init__(self) -> None:
         self.call_counts: Counter[str] = Counter()
         self.notices: defaultdict[str, set[str]] = defaultdict(set)
-        self.noticed_at: dict[str, float] = {}
+        self.notice_at: dict[str, float] = {}
         self.arrivals: list[float] = []
-        self.first: dict[str, float] = {}
+        self.first_call_at: dict[str, float] = {}
         self.lock = threading.Lock()
-        self.over, self.shut = threading.Event(), threading.Event()
-        self.server = _Server(("127.0.0.1", 0), type("Handler", (_Handler,), {"outside": self}))
+        self.closed, self.rejecting = threading.Event(), threading.Event()
+        self.server = _Server(("127.0.0.1", 0), type("Handler", (_Handler,), {"services": self}))
         self.server.daemon_threads = True
         self.port = int(self.server.server_address[1])
-        threading.Thread(target=self.server.serve_forever, name="outside", daemon=True).start()
+        threading.Thread(target=self.server.serve_forever, name="external-services", daemon=True).start()
 
     def members(self, name: str = "s-1", port: int = 0) -> dict[str, Any]:
         """A discovery answer with one endpoint: the partner's own, or one at another port."""
-        line = {"name": name, "address": f"127.0.0.1:{port or self.port}", "zone": "a", "type": "portal"}
-        line |= {"group": str(GROUP), "status": "Ready"}
-        full: dict[str, Any] = {**line, "group": GROUP, "weight": 1000.0, "since_ms": 0}
-        return {"index": 1, "snapshot": True, "endpoints": [full]}
+        endpoint = {"name": name, "address": f"127.0.0.1:{port or self.port}", "zone": "a", "type": "portal"}
+        endpoint |= {"group": str(GROUP), "status": "Ready"}
+        listed: dict[str, Any] = {**endpoint, "group": GROUP, "weight": 1000.0, "since_ms": 0}
+        return {"index": 1, "snapshot": True, "endpoints": [listed]}
 
     def configuration(self) -> dict[str, Any]:
         """The configuration file of a sender."""
@@ -71,9 +71,15 @@
             "rules": {"drainGraceMs": 500, "mustAskInMs": 10000},
             "specifics": {"callsOut": 5},
         }
-        own = {"memory_mb": 192, "sockets": 1024, "disk_mb": 3}
-        where = f"127.0.0.1:{self.port}"
-        return {"discovery": where, "seed": "1", "known": self.members(), "limits": own, "settings": settings}
+        limits = {"memory_mb": 192, "sockets": 1024, "disk_mb": 3}
+        address = f"127.0.0.1:{self.port}"
+        return {
+            "discovery": address,
+            "seed": "1",
+            "known": self.members(),
+            "limits": limits,
+            "settings": settings,
+        }
 
     @property
     def ended(self) -> set[str]:
@@ -83,7 +89,7 @@
 
     def close(self) -> None:
         """Stop serving."""
-        self.over.set()
+        self.closed.set()
         self.server.shutdown()
         self.server.server_close()
 
@@ -96,7 +102,7 @@
 
 
 class _Handler(BaseHTTPRequestHandler):
-    outside: ExternalServices
+    services: ExternalServices
     protocol_version = "HTTP/1.1"
 
     def _reply(self, status: int, body: bytes = b"") -> None:
@@ -112,9 +118,9 @@
     def do_GET(self) -> None:
         """Answer a list request or a watch."""
         if "since=" not in self.path:
-            self._reply(200, json.dumps(self.outside.members()).encode())
+            self._reply(200, json.dumps(self.services.members()).encode())
             return
-        self.outside.over.wait(WATCH_S)
+        self.services.closed.wait(WATCH_TIMEOUT_S)
         self._reply(200, json.dumps({"index": 1, "snapshot": False, "endpoints": []}).encode())
 
     def do_POST(self) -> None:
@@ -125,20 +131,20 @@
             self.close_connection = True
             return
         if self.path == "/v2/finals":
-            with self.outside.lock:
+            with self.services.lock:
                 for notice in map(json.loads, body.splitlines()):
-                    self.outside.notices[notice["id"]].add(notice["status"])
-                    self.outside.noticed_at.setdefault(notice["id"], time.monotonic() * 1000.0)
+                    self.services.notices[notice["id"]].add(notice["status"])
+                    self.services.notice_at.setdefault(notice["id"], time.monotonic() * 1000.0)
             self._reply(204)
             return
-        if self.outside.shut.is_set():
+        if self.services.rejecting.is_set():
             self._reply(429)
             return
         id, now = self.headers.get("X-Correlation-Id", ""), time.monotonic() * 1000.0
-        with self.outside.lock:
-            self.outside.call_counts[id] += 1
-            self.outside.arrivals.append(now)
-            self.outside.first.setdefault(id, now)
+        with self.services.lock:
+            self.services.call_counts[id] += 1
+            self.services.arrivals.append(now)
+            self.services.first_call_at.setdefault(id, now)
         self._reply(200)
 
     def log_message(self, format: str, *args: Any) -> None:
--- a/springspread/faults/fleet_recovery.py
+++ b/springspread/faults/fleet_recovery.py
@@ -55,19 +55,19 @@
 
     def recover(self, length_s: float, clock_s: float = 0.0, away_s: float = 0.0) -> RecoveryResult:
         """Lose the power and return, under load, for so long; the partner is ``away_s`` longer away."""
-        outside = self._outside
+        services = self._services
         self.start_load()
         time.sleep(1.0)
-        outside.shut.set()
+        services.rejecting.set()
         time.sleep(SHUT_S)
         # What the instances hold on record is of before: its endpoint has been replaced since.
-        self._base["known"] = outside.members("s-0", DEAD_PORT)
+        self._base["known"] = services.members("s-0", DEAD_PORT)
         self._config.write_text(json.dumps(self._base))
         self.power_cut(clock_s)
         power_on = time.monotonic() * 1000.0
-        owed = self.result.accepted - self.unsafe - outside.ended
+        owed = self.result.accepted - self.unsafe - services.ended
         logs = {path: path.stat().st_size for path in self._folder.glob("n*/log")}
-        Timer(away_s, outside.shut.clear).start()
+        Timer(away_s, services.rejecting.clear).start()
         while time.monotonic() * 1000.0 < power_on + 1000.0 * length_s:
             self.refresh_status()
             time.sleep(0.05)
@@ -77,12 +77,12 @@
     def _judged(
         self, power_on: float, length_s: float, owed: Iterable[str], logs: Mapping[Path, int]
     ) -> RecoveryResult:
-        made, outside = RecoveryResult(without_outcome=len(self.result.without_outcome)), self._outside
-        made.unsafe_twice = sum(outside.call_counts[id] > 1 for id in self.unsafe)
-        first, never = outside.first, float("inf")
+        made, services = RecoveryResult(without_outcome=len(self.result.without_outcome)), self._services
+        made.unsafe_twice = sum(services.call_counts[id] > 1 for id in self.unsafe)
+        first, never = services.first_call_at, float("inf")
         for id in owed:
             end = self.handed_at[id] + LIFE_MS
-            told = outside.noticed_at.get(id, never)
+            told = services.notice_at.get(id, never)
             made.pending += 1
             made.delivered_in_time += first.get(id, never) <= end
             made.given_up += id not in first and told < end - GRACE_MS
--- a/springspread/faults/policy_change_rounds.py
+++ b/springspread/faults/policy_change_rounds.py
@@ -68,12 +68,12 @@
     def __init__(
         self,
         place: Path,
-        outside: ExternalServices,
+        services: ExternalServices,
         instances: int,
         lease_ms: float = 1500.0,
         message_interval_s: float = 0.1,
     ) -> None:
-        super().__init__(place, outside, instances, lease_ms, message_interval_s)
+        super().__init__(place, services, instances, lease_ms, message_interval_s)
         self._slots, self._turn = 20, 0
         self._given: dict[int, str] = {}  # what was answered of each change
 
@@ -236,9 +236,9 @@
         calm = [call for call in found if call.instance not in touched]
         within, across = gaps(calm)
         arm.stall_ms = max([*within, *across], default=0.0)
-        with self._outside.lock:
-            arrivals = [at for at in self._outside.arrivals if at >= begun_at]
-            first = dict(self._outside.first)
+        with self._services.lock:
+            arrivals = [at for at in self._services.arrivals if at >= begun_at]
+            first = dict(self._services.first_call_at)
         arm.over_limit = over_limit(arrivals, held, limited)
         for since, _ in held:
             if since < begun_at + BORDER_MS:
--- a/tests/faults/test_return.py
+++ b/tests/faults/test_return.py
@@ -66,18 +66,21 @@
 
 
 def test_a_fleet_whose_clock_comes_up_an_hour_late_gives_up_nothing_that_has_time_left() -> None:
-    with running_fleet(Chaos, 3, lease_ms=1000.0, message_interval_s=0.05, power="power") as (chaos, outside):
-        outside.shut.set()
+    with running_fleet(Chaos, 3, lease_ms=1000.0, message_interval_s=0.05, power="power") as (
+        chaos,
+        services,
+    ):
+        services.rejecting.set()
         chaos.start_load()
         until(lambda: len(chaos.result.accepted) > 40, "messages are owed")
         chaos.power_cut(3600.0)
         before = set(chaos.result.accepted) - chaos.unsafe
-        outside.shut.clear()
+        services.rejecting.clear()
         chaos.wait_until_ready()
         rows = chaos.recovery()
         chaos.stop_load()
     assert len(before) > 15
-    assert not before - set(outside.call_counts) and not chaos.result.without_outcome
+    assert not before - set(services.call_counts) and not chaos.result.without_outcome
     assert {row["name"] for row in rows} == {"n000", "n001", "n002"}
     assert sum(row["ended"] + row["owed"] for row in rows) >= len(before) / 2
 
@@ -86,16 +89,16 @@
     own = "owed_ms = 600000.0"
     with running_fleet(Chaos, 1, lease_ms=1000.0, message_interval_s=0.02, power="power", recovery=own) as (
         chaos,
-        outside,
+        services,
     ):
-        outside.shut.set()
+        services.rejecting.set()
         chaos.start_load()
         until(lambda: len(chaos.result.accepted) > 20, "more is owed than there are slots")
         chaos.power_cut()
         until(lambda: any(row["gate"] == "owed" for row in chaos.recovery()), "it stands before clients")
         (row,) = chaos.recovery()
         assert row["owed"] > 5 and not chaos.listening  # it serves nobody
-        outside.shut.clear()
+        services.rejecting.clear()
         chaos.wait_until_ready()
         until(lambda: [row["gate"] for row in chaos.recovery()] == ["open"], "its report that it is open")
         chaos.stop_load()
@@ -118,10 +121,10 @@
     limit = (40, 1_000.0)
     with running_fleet(Chaos, 3, lease_ms=1000.0, message_interval_s=0.04, power="power", limit=limit) as (
         chaos,
-        outside,
+        services,
     ):
         chaos.start_load()
-        until(lambda: len(outside.call_counts) > 20, "it serves")
+        until(lambda: len(services.call_counts) > 20, "it serves")
         pid, epoch = (chaos.rows["n001"][key] for key in ("pid", "epoch"))
         os.kill(pid, signal.SIGSTOP)
         chaos.power_cut(spared=["n001"])
@@ -131,5 +134,5 @@
         assert (chaos.rows["n001"]["pid"], chaos.rows["n001"]["epoch"]) == (pid, epoch)
         chaos.stop_load()
     assert not chaos.result.without_outcome and not chaos.result.conflicting_outcomes
-    assert all(outside.call_counts[id] <= 1 for id in chaos.unsafe)
-    assert peak_ratio(outside.arrivals, limit) <= 1.0
+    assert all(services.call_counts[id] <= 1 for id in chaos.unsafe)
+    assert peak_ratio(services.arrivals, limit) <= 1.0
