--- a/springspread/faults/damage.py
+++ b/springspread/faults/damage.py
@@ -80,7 +80,7 @@
         services.rejecting.set()
         self.start_load()
         time.sleep(LOAD_S)
-        self._over.set()
+        self._load_stopped.set()
         before = {name: (self._folder / name).read_bytes() for name, _ in damages}
 
         def damage() -> None:
@@ -94,7 +94,7 @@
         if refused:  # as the operator's page says: restore the newest intact copy
             for name, data in before.items():
                 (self._folder / name).write_bytes(data)
-            self._again()
+            self._ensure_daemon()
         services.rejecting.clear()
         self.wait_until_ready()
         self.stop_load()
--- a/springspread/faults/fleet_recovery.py
+++ b/springspread/faults/fleet_recovery.py
@@ -61,8 +61,8 @@
         services.rejecting.set()
         time.sleep(SHUT_S)
         # What the instances hold on record is of before: its endpoint has been replaced since.
-        self._base["known"] = services.members("s-0", DEAD_PORT)
-        self._config.write_text(json.dumps(self._base))
+        self._sender_config["known"] = services.members("s-0", DEAD_PORT)
+        self._config_file.write_text(json.dumps(self._sender_config))
         self.power_cut(clock_s)
         power_on = time.monotonic() * 1000.0
         owed = self.result.accepted - self.unsafe - services.ended
@@ -81,7 +81,7 @@
         made.unsafe_twice = sum(services.call_counts[id] > 1 for id in self.unsafe)
         first, never = services.first_call_at, float("inf")
         for id in owed:
-            end = self.handed_at[id] + LIFE_MS
+            end = self.accepted_at[id] + LIFE_MS
             told = services.notice_at.get(id, never)
             made.pending += 1
             made.delivered_in_time += first.get(id, never) <= end
@@ -105,7 +105,7 @@
             row = rows[int((at - power_on) / 1000.0)]
             row["offered"] += 1
             row["taken" if taken else "refused"] += 1
-        usual = 0.9 / (self._each_s / len(self._names))
+        usual = 0.9 / (self._message_interval_s / len(self._names))
         made.full_rate_s = next((n for n, row in enumerate(rows) if row["delivered"] >= usual), never)
         made.seconds = rows
         for path, size in logs.items():
--- a/springspread/faults/policy_change_rounds.py
+++ b/springspread/faults/policy_change_rounds.py
@@ -67,13 +67,13 @@
 
     def __init__(
         self,
-        place: Path,
+        workdir: Path,
         services: ExternalServices,
         instances: int,
         lease_ms: float = 1500.0,
         message_interval_s: float = 0.1,
     ) -> None:
-        super().__init__(place, services, instances, lease_ms, message_interval_s)
+        super().__init__(workdir, services, instances, lease_ms, message_interval_s)
         self._slots, self._turn = 20, 0
         self._given: dict[int, str] = {}  # what was answered of each change
 
@@ -120,9 +120,9 @@
     ) -> int:
         """One change, its faults, its one answer; its number."""
         self._slots = 5 if self._slots >= 40 else self._slots + 1
-        self._base["settings"]["specifics"]["callsOut"] = self._slots
+        self._sender_config["settings"]["specifics"]["callsOut"] = self._slots
         limits = {f"g{GROUP}": limit} if limit else {}
-        text = json.dumps({"settings": self._base["settings"], "limits": limits})
+        text = json.dumps({"settings": self._sender_config["settings"], "limits": limits})
         start = time.monotonic()
         over = threading.Event()
         answer: list[int] = []
@@ -140,7 +140,7 @@
             while todo and todo[0].at_ms <= now and not over.is_set():
                 fault = todo.pop(0)
                 if fault.kind is not FaultKind.DAEMON or self._daemon.poll() is None:
-                    ends.append((fault.duration_ms, self.befall(fault)))
+                    ends.append((fault.duration_ms, self.inject(fault)))
             for one in list(ends):
                 # A daemon comes back in its time; others are healed when the change has its answer.
                 if over.is_set() or (faults[0].kind is FaultKind.DAEMON and now >= faults[0].at_ms + one[0]):
@@ -149,7 +149,7 @@
             self.refresh_status()
             time.sleep(0.02)
         thread.join()
-        self._again()
+        self._ensure_daemon()
         arm.changes += 1
         arm.fault_count += len(faults) - len(todo)
         return answer[0]
@@ -193,7 +193,7 @@
         told.unlink(missing_ok=True)
         self._daemon.kill()
         self._daemon.wait()
-        self._daemon = self._start(str(at), deed.value, str(told))
+        self._daemon = self._start_daemon(str(at), deed.value, str(told))
         self.wait_until_ready()
         arm = ArmResult(f"{deed.value} {at}")
         begun_at = time.monotonic() * 1000.0
@@ -202,8 +202,8 @@
         thread = threading.Thread(target=self._after_moment, args=(told, over), daemon=True)
         thread.start()
         self._slots = 5 if self._slots >= 40 else self._slots + 1
-        self._base["settings"]["specifics"]["callsOut"] = self._slots
-        self._settled(arm, json.dumps({"settings": self._base["settings"], "limits": {}}))
+        self._sender_config["settings"]["specifics"]["callsOut"] = self._slots
+        self._settled(arm, json.dumps({"settings": self._sender_config["settings"], "limits": {}}))
         over.set()
         thread.join()
         arm.changes = 1
@@ -225,7 +225,7 @@
         time.sleep(0.5)  # what it refuses on a full disk is answered meanwhile
         self._daemon.kill()
         self._daemon.wait()
-        self._again()
+        self._ensure_daemon()
 
     def _judge(
         self, arm: ArmResult, begun_at: float, touched: set[str], limited: dict[int, tuple[int, float]]
@@ -246,14 +246,14 @@
             before, after = (
                 [
                     first.get(id, float("inf")) <= at + IN_TIME_MS
-                    for id, at in self.handed_at.items()
+                    for id, at in self.accepted_at.items()
                     if since + shift <= at < since + shift + BORDER_MS
                 ]
                 for shift in (-BORDER_MS, 0.0)
             )
             if before and after:
                 arm.service.append((sum(before) / len(before), sum(after) / len(after)))
-        self.handed_at.clear()
+        self.accepted_at.clear()
 
 
 def print_violations(arm: ArmResult) -> None:
