--- a/springspread/faults/chaos.py
+++ b/springspread/faults/chaos.py
@@ -29,11 +29,11 @@
 from springspread.faults.observer import (
     call_starts,
     gaps,
-    interleaved,
     mixtures,
-    nowhere,
+    overlapping_changes,
     peak_ratio,
-    recorded,
+    read_policy_record,
+    undecided_policy_calls,
 )
 from springspread.faults.power import CLOCK, WRITE_BACK
 from springspread.faults.relay import Direction, Fault, Relay, ignore_line
@@ -382,10 +382,10 @@
         starts = call_starts(self._folder)
         self.result.calls, self.result.mixtures = len(starts), mixtures(starts)
         if self._program is None:
-            record = recorded(self._folder)
+            record = read_policy_record(self._folder)
             self.result.undecided_policy_calls, self.result.overlapping_changes = (
-                nowhere(starts, record),
-                interleaved(record),
+                undecided_policy_calls(starts, record),
+                overlapping_changes(record),
             )
         self.result.gaps_within_policy, self.result.gaps_across_change = gaps(starts)
         with self._services.lock:
--- a/springspread/faults/observer.py
+++ b/springspread/faults/observer.py
@@ -1,8 +1,7 @@
-"""Judges promises on a change of policy by what processes wrote into their logs, knowing nothing of the
-machine.
+"""Checks the promises of policy changes by the logs of processes alone, independent of the protocol's code.
 
-Each call's first byte stands in an instance's log (level debug) with its policy and its moment on the clock
-that all processes of the machine share.
+An instance's log (level debug) has a line for each call's first byte, with its policy and its time on the
+machine's monotonic clock.
 """
 
 from __future__ import annotations
@@ -17,38 +16,38 @@
 from typing import Any
 
 DECIDED = re.compile(r"Decided\(number=(\d+), since=([\d.]+)\)")
-SLACK_MS = 20.0  # from the last look to the first byte: stated in the design, and given to the machine
+SLACK_MS = 20.0  # from the last policy check to the first byte, as the design states
 
 
 @dataclass(frozen=True, slots=True)
-class Begun:
-    """A call's first byte."""
+class CallStart:
+    """The first byte of a call."""
 
     instance: str
     policy: int
     at: float
 
 
-def call_starts(fleet: Path) -> list[Begun]:
-    """Every first byte in the logs of a fleet's folder, in order of time."""
-    found = []
+def call_starts(fleet: Path) -> list[CallStart]:
+    """Read the starts of all calls from the logs in a fleet's folder, in order of time."""
+    starts = []
     for log in sorted(fleet.glob("n*/log*")):
         for line in log.read_bytes().splitlines():
             if b'"begins"' not in line:
                 continue
             try:
                 raw = json.loads(line)
-                found.append(Begun(log.parent.name, int(raw["policy"]), float(raw["at"])))
+                starts.append(CallStart(log.parent.name, int(raw["policy"]), float(raw["at"])))
             except (ValueError, KeyError):
-                continue  # torn as its process was killed
-    return sorted(found, key=lambda one: one.at)
+                continue  # truncated when its process was killed
+    return sorted(starts, key=lambda start: start.at)
 
 
-def gaps(calls: Iterable[Begun]) -> tuple[list[float], list[float]]:
-    """Times (ms) between an instance's first bytes: those under one policy, and those over a change."""
+def gaps(calls: Iterable[CallStart]) -> tuple[list[float], list[float]]:
+    """Times (ms) between an instance's calls: within one policy, and across a change."""
     within: list[float] = []
     across: list[float] = []
-    last: dict[str, Begun] = {}
+    last: dict[str, CallStart] = {}
     for call in calls:
         before = last.get(call.instance)
         if before is not None:
@@ -57,8 +56,8 @@
     return within, across
 
 
-def borders(fleet: Path) -> list[tuple[float, int]]:
-    """From when (ms) each policy holds, out of the daemon's log, in order of time."""
+def policy_starts(fleet: Path) -> list[tuple[float, int]]:
+    """Read from the daemon's log since when (ms) each policy is in force, in order of time."""
     found = {}
     for line in (fleet / "daemon.log").read_bytes().splitlines():
         if b"Decided(" in line:
@@ -68,75 +67,76 @@
     return sorted((since, number) for number, since in found.items())
 
 
-def recorded(fleet: Path) -> list[dict[str, Any]]:
-    """What is on record of policies, in order."""
+def read_policy_record(fleet: Path) -> list[dict[str, Any]]:
+    """Read the entries of the policy record, in order."""
     lines = (fleet / "policy" / "log").read_bytes().splitlines()
     return [json.loads(line.partition(b" ")[2]) for line in lines]
 
 
-def nowhere(calls: Iterable[Begun], record: Iterable[Mapping[str, Any]]) -> list[str]:
+def undecided_policy_calls(calls: Iterable[CallStart], record: Iterable[Mapping[str, Any]]) -> list[str]:
     """Calls under a policy that was refused, or never decided."""
-    held = {entry["number"] for entry in record if entry["kind"] == "decided"}
+    decided = {entry["number"] for entry in record if entry["kind"] == "decided"}
     return [
-        f"{call.instance} began under {call.policy}, which never held"
+        f"{call.instance} began under {call.policy}, which was never in force"
         for call in calls
-        if call.policy not in held
+        if call.policy not in decided
     ]
 
 
-def interleaved(record: Iterable[Mapping[str, Any]]) -> list[str]:
-    """Changes that began before the one before them had its end."""
-    faults, under_way = [], 0
+def overlapping_changes(record: Iterable[Mapping[str, Any]]) -> list[str]:
+    """Changes that began before the previous one ended."""
+    violations, under_way = [], 0
     for entry in record:
         if entry["kind"] == "proposed":
             if under_way:
-                faults.append(f"change {entry['number']} began while {under_way} was under way")
+                violations.append(f"change {entry['number']} began while {under_way} was under way")
             under_way = entry["number"]
         elif entry["kind"] in ("decided", "refused") and entry["number"] == under_way:
             under_way = 0
-    return faults
+    return violations
 
 
-def over_limit(
-    arrivals: Sequence[float], held: Sequence[tuple[float, int]], limits: Mapping[int, tuple[int, float]]
+def spans_over_limit(
+    arrivals: Sequence[float], policies: Sequence[tuple[float, int]], limits: Mapping[int, tuple[int, float]]
 ) -> list[str]:
-    """Spans with more calls than the limit that holds at their last call; where none does, all may pass.
+    """Spans with more calls than the limit in force at their last call.
 
-    ``held``: from when each policy holds; ``limits``: calls and span (ms) by policy. Where a limit shrinks,
-    a span that ends after the border has to keep the smaller one.
+    ``policies``: since when each policy is in force; ``limits``: calls and span (ms) by policy; a policy
+    without one is unlimited. After a limit shrinks, spans that began before the change must keep the
+    smaller one.
     """
-    faults, since = [], [at for at, _ in held]
+    violations, since = [], [at for at, _ in policies]
     for last, now in enumerate(arrivals):
-        place = bisect_right(since, now) - 1
-        number = held[place][1] if place >= 0 else 0
+        index = bisect_right(since, now) - 1
+        number = policies[index][1] if index >= 0 else 0
         if number not in limits:
             continue
-        most, span = limits[number]
+        allowed, span = limits[number]
         first = bisect_right(arrivals, now - span, 0, last)
-        if last - first + 1 > most:
-            faults.append(
-                f"{last - first + 1} calls in {span:g} ms under policy {number}, which allows {most}"
+        if last - first + 1 > allowed:
+            violations.append(
+                f"{last - first + 1} calls in {span:g} ms under policy {number}, which allows {allowed}"
             )
-    return faults
+    return violations
 
 
 def peak_ratio(arrivals: Sequence[float], limit: tuple[int, float]) -> float:
-    """The most calls in any span, over the limit (calls, span in ms)."""
-    most, span = limit
+    """The highest number of calls in any span, as a ratio of the limit (calls, span in ms)."""
+    allowed, span = limit
     first = (bisect_right(arrivals, now - span, 0, last) for last, now in enumerate(arrivals))
-    return max((last - place + 1 for last, place in enumerate(first)), default=0) / most
+    return max((last - first_call + 1 for last, first_call in enumerate(first)), default=0) / allowed
 
 
-def mixtures(calls: Iterable[Begun]) -> list[str]:
+def mixtures(calls: Iterable[CallStart]) -> list[str]:
     """Calls that began under an older policy after any began under a newer one."""
-    faults, newest = [], Begun("", 0, 0.0)
+    violations, newest = [], CallStart("", 0, 0.0)
     for call in calls:
         if call.policy < newest.policy:
             late = call.at - newest.at
-            faults.append(
+            violations.append(
                 f"{call.instance} began under {call.policy} {late:.1f} ms after"
                 f" {newest.instance} under {newest.policy}"
             )
         elif call.policy > newest.policy:
             newest = call
-    return faults
+    return violations
--- a/springspread/faults/policy_change_rounds.py
+++ b/springspread/faults/policy_change_rounds.py
@@ -18,7 +18,7 @@
 from springspread.faults.chaos import Chaos
 from springspread.faults.external_services import GROUP, ExternalServices
 from springspread.faults.failpoints import FailpointAction
-from springspread.faults.observer import borders, call_starts, gaps, mixtures, over_limit
+from springspread.faults.observer import call_starts, gaps, mixtures, policy_starts, spans_over_limit
 from springspread.faults.schedule import FaultKind, ScheduledFault
 from springspread.fleet.control_client import send_order
 
@@ -231,7 +231,7 @@
         self, arm: ArmResult, begun_at: float, touched: set[str], limited: dict[int, tuple[int, float]]
     ) -> None:
         found = [call for call in call_starts(self._folder) if call.at >= begun_at]
-        held = borders(self._folder)
+        held = policy_starts(self._folder)
         arm.calls, arm.mixtures = len(found), mixtures(found)
         calm = [call for call in found if call.instance not in touched]
         within, across = gaps(calm)
@@ -239,7 +239,7 @@
         with self._services.lock:
             arrivals = [at for at in self._services.arrivals if at >= begun_at]
             first = dict(self._services.first_call_at)
-        arm.over_limit = over_limit(arrivals, held, limited)
+        arm.over_limit = spans_over_limit(arrivals, held, limited)
         for since, _ in held:
             if since < begun_at + BORDER_MS:
                 continue
