--- a/springspread/faults/crash_points.py
+++ b/springspread/faults/crash_points.py
@@ -175,7 +175,7 @@
                 super().sync(file)
 
         def sync_folder(self) -> None:
-            removed = self.disk.kept.keys() - self.disk.seen.keys()
+            removed = self.disk.synced.keys() - self.disk.current.keys()
             if self.what != "folder" and not (self.what == "removal" and removed):
                 super().sync_folder()
 
--- a/springspread/faults/disk.py
+++ b/springspread/faults/disk.py
@@ -1,8 +1,7 @@
-"""A folder in memory that can lose power at any moment, with each loss that a system may cause.
+"""An in-memory folder that enumerates what a power loss may leave on disk.
 
-A file keeps what was synced, and of what was written after that any prefix; each file that was made or
-removed since the folder's last sync is there or not, whatever became of the others. Nothing else is promised
-by a disk, and nothing less.
+A file keeps its synced data and any prefix of what was written after that. Each file created or removed since
+the folder's last sync may be there or not, independent of the others.
 """
 
 from __future__ import annotations
@@ -21,113 +20,113 @@
 
 @dataclass(slots=True)
 class Inode:
-    """A file's contents: on disk, and as the processes see it."""
+    """A file's contents: as synced, and as the processes see them."""
 
-    kept: bytes = b""
-    seen: bytearray = field(default_factory=bytearray)
+    synced: bytes = b""
+    current: bytearray = field(default_factory=bytearray)
 
 
 @dataclass(slots=True)
 class Disk:
-    """A folder: which names are on disk, and which the processes see."""
+    """A folder's entries: as synced, and as the processes see them."""
 
-    kept: dict[str, Inode] = field(default_factory=dict)
-    seen: dict[str, Inode] = field(default_factory=dict)
+    synced: dict[str, Inode] = field(default_factory=dict)
+    current: dict[str, Inode] = field(default_factory=dict)
 
     def losses(self) -> Iterator[Disk]:
-        """What may be found after a loss of power now, each once by its shape; bounded in number."""
-        names = sorted(self.kept.keys() | self.seen.keys())
-        choices = [list(dict.fromkeys((id(self.kept.get(n)), id(self.seen.get(n))))) for n in names]
-        by_id = {id(one): one for one in (*self.kept.values(), *self.seen.values())}
-        doubtful = [n for n, found in enumerate(choices) if len(found) > 1]
-        for picks in product(*(choices[n] for n in doubtful[-3:])):
-            chosen = {n: found[-1] for n, found in enumerate(choices)}
-            chosen |= dict(zip(doubtful[-3:], picks, strict=True))
-            files = {names[n]: by_id[one] for n, one in chosen.items() if one in by_id}
-            for cut in (0.0, 0.5, 1.0):
-                yield Disk(dict(_after(files, cut))).settled()
-                if all(bytes(one.seen) == one.kept for one in files.values()):
+        """Disks that a power loss may leave now, without equal ones; only the last three entries vary."""
+        names = sorted(self.synced.keys() | self.current.keys())
+        choices = [list(dict.fromkeys((id(self.synced.get(n)), id(self.current.get(n))))) for n in names]
+        by_id = {id(inode): inode for inode in (*self.synced.values(), *self.current.values())}
+        uncertain = [n for n, options in enumerate(choices) if len(options) > 1]
+        for picks in product(*(choices[n] for n in uncertain[-3:])):
+            chosen = {n: options[-1] for n, options in enumerate(choices)}
+            chosen |= dict(zip(uncertain[-3:], picks, strict=True))
+            files = {names[n]: by_id[inode_id] for n, inode_id in chosen.items() if inode_id in by_id}
+            for kept_share in (0.0, 0.5, 1.0):
+                yield Disk(dict(_after_loss(files, kept_share))).after_restart()
+                if all(bytes(inode.current) == inode.synced for inode in files.values()):
                     break
 
-    def settled(self) -> Disk:
-        """As a machine that starts finds it: what is there is on disk."""
-        return Disk(dict(self.kept), dict(self.kept))
+    def after_restart(self) -> Disk:
+        """The disk as a machine finds it on start: all of it is synced."""
+        return Disk(dict(self.synced), dict(self.synced))
 
 
-def _after(files: dict[str, Inode], cut: float) -> Iterator[tuple[str, Inode]]:
-    for name, one in files.items():
-        seen = bytes(one.seen)
-        if seen.startswith(one.kept):
-            more = len(seen) - len(one.kept)
-            data = seen[: len(one.kept) + int(cut * more)]
-        else:  # cut off since it was synced, and perhaps written anew
-            data = one.kept if cut < 1.0 else seen
+def _after_loss(files: dict[str, Inode], kept_share: float) -> Iterator[tuple[str, Inode]]:
+    for name, inode in files.items():
+        current = bytes(inode.current)
+        if current.startswith(inode.synced):
+            unsynced = len(current) - len(inode.synced)
+            data = current[: len(inode.synced) + int(kept_share * unsynced)]
+        else:  # truncated since its sync, and maybe rewritten
+            data = inode.synced if kept_share < 1.0 else current
         yield name, Inode(data, bytearray(data))
 
 
 class MemoryFiles(Files):
-    """The journal's files on a ``Disk``; ``before`` hears of each operation, and may raise ``Crash``."""
+    """The journal's files on a ``Disk``; ``before`` is called before each operation, may raise ``Crash``."""
 
-    def __init__(self, disk: Disk, before: Callable[[str], None] = lambda what: None) -> None:
+    def __init__(self, disk: Disk, before: Callable[[str], None] = lambda operation: None) -> None:
         super().__init__(Path("/nowhere"))
         self.disk, self.before = disk, before
         self._open: list[Inode] = []
 
     def names(self) -> list[str]:
-        """As the system's."""
-        return list(self.disk.seen)
+        """As ``Files``."""
+        return list(self.disk.current)
 
     def read(self, name: str) -> bytes:
-        """As the system's."""
-        return bytes(self.disk.seen[name].seen)
+        """As ``Files``."""
+        return bytes(self.disk.current[name].current)
 
     def size(self, name: str) -> int:
-        """As the system's."""
-        return len(self.disk.seen[name].seen)
+        """As ``Files``."""
+        return len(self.disk.current[name].current)
 
     def modified_wall(self, name: str) -> float:
-        """Nothing here has a time."""
+        """Always 0."""
         return 0.0
 
     def open(self, name: str) -> int:
-        """As the system's."""
+        """As ``Files``."""
         self.before("open")
-        self._open.append(self.disk.seen.setdefault(name, Inode()))
+        self._open.append(self.disk.current.setdefault(name, Inode()))
         return len(self._open) - 1
 
     def append(self, file: int, data: bytes) -> None:
-        """As the system's."""
+        """As ``Files``."""
         self.before("append")
-        self._open[file].seen.extend(data)
+        self._open[file].current.extend(data)
 
     def overwrite(self, name: str, data: bytes) -> None:
-        """As the system's."""
+        """As ``Files``."""
         self.before("put")
-        self.disk.seen.setdefault(name, Inode()).seen[:] = data
+        self.disk.current.setdefault(name, Inode()).current[:] = data
 
     def truncate(self, file: int, size: int) -> None:
-        """As the system's."""
+        """As ``Files``."""
         self.before("truncate")
-        del self._open[file].seen[size:]
+        del self._open[file].current[size:]
 
     def sync(self, file: int) -> None:
-        """As the system's."""
+        """As ``Files``."""
         self.before("sync")
-        self._open[file].kept = bytes(self._open[file].seen)
+        self._open[file].synced = bytes(self._open[file].current)
 
     def sync_folder(self) -> None:
-        """As the system's."""
+        """As ``Files``."""
         self.before("sync folder")
-        self.disk.kept = dict(self.disk.seen)
+        self.disk.synced = dict(self.disk.current)
 
     def duplicate(self, file: int) -> int:
-        """As the system's."""
+        """As ``Files``."""
         return file
 
     def close(self, file: int) -> None:
-        """As the system's."""
+        """As ``Files``."""
 
     def unlink(self, name: str) -> None:
-        """As the system's."""
+        """As ``Files``."""
         self.before("unlink")
-        del self.disk.seen[name]
+        del self.disk.current[name]
--- a/tests/faults/test_crashes.py
+++ b/tests/faults/test_crashes.py
@@ -32,7 +32,8 @@
     files.append(first, b"lost")
     files.append(files.open("b"), b"new")
     found = {
-        tuple(sorted((name, bytes(one.seen)) for name, one in left.seen.items())) for left in disk.losses()
+        tuple(sorted((name, bytes(one.current)) for name, one in left.current.items()))
+        for left in disk.losses()
     }
     assert found == {
         (("a", b"kept" + a), *((("b", b),) if there else ()))
@@ -40,6 +41,6 @@
         for there in (True, False)
     }
     files.unlink("a")
-    assert {"a" in left.seen for left in disk.losses()} == {True, False}
+    assert {"a" in left.current for left in disk.losses()} == {True, False}
     files.sync_folder()
-    assert all("a" not in left.seen for left in disk.losses())
+    assert all("a" not in left.current for left in disk.losses())
