--- a/springspread/faults/crash_points.py
+++ b/springspread/faults/crash_points.py
@@ -1,13 +1,13 @@
-"""Every crash point of a journal: a history of what a sender does, cut off at each operation on its files.
+"""Searches every crash point of a journal: crashes a random run at each operation on its files.
 
-After each, every loss that ``disk`` knows is played; a journal is read from what is left, cut off again at
-each operation of its recovery, and read once more. What was told must be there:
+After each crash a journal is recovered from every loss that ``disk`` knows, crashed again at operations of
+its recovery, and recovered once more. What was acknowledged must be found:
 
-    told                                      found after any loss of power
-    taken on (its sync is over)               owed, with its body, until it is over
-    may begin an unsafe call (sync over)      may have run, until it is proved not to
-    an ending (sync over)                     that ending, until it is over
-    nothing                                   nothing of a message that nobody handed in
+    acknowledged                              found after any power loss
+    accepted (synced)                         pending, with its body, until it is completed
+    unsafe call may begin (synced)            may have run, until it is proved not to have run
+    ending (synced)                           that ending, until it is completed
+    nothing                                   no message that was not submitted
 """
 
 from __future__ import annotations
@@ -22,83 +22,89 @@
 from springspread.core.journal import Journal, PendingMessage
 from springspread.faults.disk import Crash, Disk, MemoryFiles
 
-DISK_BYTES = 32_000  # files of 2,700 bytes, and room for three of them: they turn over often
+DISK_BYTES = 32_000  # room for three files of 2,700 bytes, so that compaction runs often
 BODY_BYTES = 300
-MOST_OWED = 8  # of the room that there is: a refusal for want of it is another matter
-NOWHERE = Path("/nowhere")
+MAX_PENDING = 8  # fits on the disk: refusals of a full journal are not tested here
+FOLDER = Path("/nowhere")
 
 
 @dataclass(slots=True)
-class Facts:
-    """What was told to others, by message."""
+class Acknowledged:
+    """What was acknowledged to others, by message."""
 
-    handed: dict[int, bytes] = field(default_factory=dict)
-    taken: set[int] = field(default_factory=set)
-    begun: set[int] = field(default_factory=set)
+    submitted: dict[int, bytes] = field(default_factory=dict)
+    accepted: set[int] = field(default_factory=set)
+    started: set[int] = field(default_factory=set)
     endings: dict[int, tuple[bool, float]] = field(default_factory=dict)
-    over: set[int] = field(default_factory=set)
-
-    def violation(self, owed: dict[int, PendingMessage]) -> str:
-        """What is wrong with what a journal says is owed; empty where nothing is."""
-        for number in sorted(self.taken - self.over):
-            if number not in owed:
-                return f"{number} was taken on and is not there"
-        for number, one in owed.items():
-            if self.handed.get(number) != one.body:
-                return f"{number} is not what was handed in"
-            if number in self.begun and not one.may_have_run:
-                return f"{number} may have run, and nothing says so"
-            if number in self.endings and one.ending != self.endings[number] and number not in self.over:
-                return f"{number} was told to end with {self.endings[number]}, and is {one.ending}"
+    completed: set[int] = field(default_factory=set)
+
+    def violation(self, pending: dict[int, PendingMessage]) -> str:
+        """What is wrong with a journal's pending messages; empty if nothing is."""
+        for number in sorted(self.accepted - self.completed):
+            if number not in pending:
+                return f"{number} was accepted and is missing"
+        for number, message in pending.items():
+            if self.submitted.get(number) != message.body:
+                return f"{number} differs from what was submitted"
+            if number in self.started and not message.may_have_run:
+                return f"{number} may have run and is recorded as not run"
+            if (
+                number in self.endings
+                and message.ending != self.endings[number]
+                and number not in self.completed
+            ):
+                return (
+                    f"{number} was acknowledged with ending {self.endings[number]} and has {message.ending}"
+                )
         return ""
 
 
-def history(journal: Journal, seed: int, steps: int, facts: Facts) -> None:
-    """What a sender does, drawn from a seed; ``facts`` hears of what is told."""
+def run_operations(journal: Journal, seed: int, steps: int, acknowledged: Acknowledged) -> None:
+    """Run a sender's operations, drawn from a seed, and note what is acknowledged."""
     rng, number = Random(f"{seed}/journal"), journal.last_number
-    out: dict[int, int] = {}  # attempts of what is owed and not ended
+    attempts: dict[int, int] = {}  # by pending message
     for _ in range(steps):
-        what = rng.choice(("take", "take", "begin", "begin", "prove", "end", "over", "over"))
-        what = "over" if len(out) >= MOST_OWED else what
-        if what == "take" or not out:
+        operation = rng.choice(("take", "take", "begin", "begin", "prove", "end", "over", "over"))
+        operation = "over" if len(attempts) >= MAX_PENDING else operation
+        if operation == "take" or not attempts:
             number += 1
             body = bytes([number % 251]) * rng.randrange(BODY_BYTES)
-            facts.handed[number] = body
+            acknowledged.submitted[number] = body
             journal.record_taken(PendingMessage(number, f"id-{number}", "pay", 7, 2e12, body))
             journal.wait_synced()
-            facts.taken.add(number)
-            out[number] = 0
+            acknowledged.accepted.add(number)
+            attempts[number] = 0
             continue
-        one = rng.choice(sorted(out))
-        if what == "begin" and out[one] < 3 and one not in facts.begun:
-            journal.record_begun(one, out[one])
+        chosen = rng.choice(sorted(attempts))
+        if operation == "begin" and attempts[chosen] < 3 and chosen not in acknowledged.started:
+            journal.record_begun(chosen, attempts[chosen])
             journal.wait_synced()
-            facts.begun.add(one)
-            out[one] += 1
-        elif what == "prove" and one in facts.begun:
-            facts.begun.discard(one)
-            journal.record_not_run(one, out[one] - 1)
-        elif what == "end" and one not in facts.endings:
-            journal.record_ending(one, True, 5.0)
+            acknowledged.started.add(chosen)
+            attempts[chosen] += 1
+        elif operation == "prove" and chosen in acknowledged.started:
+            acknowledged.started.discard(chosen)
+            journal.record_not_run(chosen, attempts[chosen] - 1)
+        elif operation == "end" and chosen not in acknowledged.endings:
+            journal.record_ending(chosen, True, 5.0)
             journal.wait_synced()
-            facts.endings[one] = (True, 5.0)
-        elif what == "over":
-            facts.over.add(one)
-            del out[one]
-            journal.record_completed(one)
+            acknowledged.endings[chosen] = (True, 5.0)
+        elif operation == "over":
+            acknowledged.completed.add(chosen)
+            del attempts[chosen]
+            journal.record_completed(chosen)
 
 
-Make = Callable[[MemoryFiles], Journal]
+JournalFactory = Callable[[MemoryFiles], Journal]
 
 
 def correct_journal(files: MemoryFiles) -> Journal:
-    """The journal as it is."""
-    return Journal(NOWHERE, DISK_BYTES, body_bytes=BODY_BYTES, durable=True, files=files)
+    """A journal without faults."""
+    return Journal(FOLDER, DISK_BYTES, body_bytes=BODY_BYTES, durable=True, files=files)
 
 
 @dataclass(slots=True)
-class Searched:
-    """How many losses were recovered from, and the first broken promise, with where it happened."""
+class CrashSearch:
+    """The number of recoveries, and the first violation with its crash point."""
 
     states: int = 0
     points: int = 0
@@ -106,135 +112,150 @@
 
 
 def search(
-    seed: int, steps: int, make: Make = correct_journal, again: int = 3, most: int = 1 << 60
-) -> Searched:
-    """Cut a history off at each operation; ``again``: at every so many of its recovery's, too."""
-    found = Searched()
+    seed: int,
+    steps: int,
+    make: JournalFactory = correct_journal,
+    recovery_stride: int = 3,
+    max_states: int = 1 << 60,
+) -> CrashSearch:
+    """Crash a run at each operation, and its recoveries at every ``recovery_stride``-th one (0: none)."""
+    result = CrashSearch()
     for point in range(1, 1 << 30):
-        facts, disk = Facts(), Disk()
-        if not _cut(partial(_live, make, seed, steps, facts), disk, point):
-            return found
-        found.points += 1
-        for left in disk.losses():
-            _recover(left, facts, make, found, f"seed {seed}, operation {point}", again)
-            if found.violation or found.states >= most:
-                return found
-    return found
-
-
-def _live(make: Make, seed: int, steps: int, facts: Facts, files: MemoryFiles) -> None:
-    history(make(files), seed, steps, facts)
-
-
-def _recover(left: Disk, facts: Facts, make: Make, found: Searched, place: str, again: int) -> None:
-    found.states += 1
-    found.violation = facts.violation(make(MemoryFiles(deepcopy(left))).pending)
-    if found.violation:
-        found.violation = f"{place}: {found.violation}"
+        acknowledged, disk = Acknowledged(), Disk()
+        if not _run_until(partial(_run, make, seed, steps, acknowledged), disk, point):
+            return result
+        result.points += 1
+        for after_loss in disk.losses():
+            _recover(
+                after_loss, acknowledged, make, result, f"seed {seed}, operation {point}", recovery_stride
+            )
+            if result.violation or result.states >= max_states:
+                return result
+    return result
+
+
+def _run(make: JournalFactory, seed: int, steps: int, acknowledged: Acknowledged, files: MemoryFiles) -> None:
+    run_operations(make(files), seed, steps, acknowledged)
+
+
+def _recover(
+    after_loss: Disk,
+    acknowledged: Acknowledged,
+    make: JournalFactory,
+    result: CrashSearch,
+    location: str,
+    recovery_stride: int,
+) -> None:
+    result.states += 1
+    result.violation = acknowledged.violation(make(MemoryFiles(deepcopy(after_loss))).pending)
+    if result.violation:
+        result.violation = f"{location}: {result.violation}"
         return
-    if not again:
+    if not recovery_stride:
         return
-    for point in range(1, 1 << 20, again):
-        disk = deepcopy(left)
-        if not _cut(lambda files: make(files), disk, point):
+    for point in range(1, 1 << 20, recovery_stride):
+        disk = deepcopy(after_loss)
+        if not _run_until(lambda files: make(files), disk, point):
             return
         for second in disk.losses():
-            _recover(second, facts, make, found, f"{place}, recovery {point}", 0)
-            if found.violation:
+            _recover(second, acknowledged, make, result, f"{location}, recovery {point}", 0)
+            if result.violation:
                 return
 
 
-def _cut(play: Callable[[MemoryFiles], object], disk: Disk, point: int) -> bool:
-    """Play until the operation of that number; whether it came to that."""
-    left = [point]
+def _run_until(run: Callable[[MemoryFiles], object], disk: Disk, point: int) -> bool:
+    """Run until an operation crashes; returns whether the run got that far."""
+    operations_left = [point]
 
-    def before(what: str) -> None:
-        left[0] -= 1
-        if not left[0]:
-            raise Crash(what)
+    def before(operation: str) -> None:
+        operations_left[0] -= 1
+        if not operations_left[0]:
+            raise Crash(operation)
 
     try:
-        play(MemoryFiles(disk, before))
+        run(MemoryFiles(disk, before))
     except Crash:
         return True
     return False
 
 
-def faulty_journals() -> Iterator[tuple[str, Make]]:
+def faulty_journals() -> Iterator[tuple[str, JournalFactory]]:
     """Journals with one fault each, by name."""
 
-    class Skips(MemoryFiles):
-        """Passes over some operation."""
+    class SkippingFiles(MemoryFiles):
+        """Skips or corrupts one kind of operation."""
 
-        def __init__(self, files: MemoryFiles, what: str) -> None:
+        def __init__(self, files: MemoryFiles, operation: str) -> None:
             super().__init__(files.disk, files.before)
-            self.what = what
+            self.operation = operation
 
         def sync(self, file: int) -> None:
-            if self.what != "sync":
+            if self.operation != "sync":
                 super().sync(file)
 
         def sync_folder(self) -> None:
             removed = self.disk.synced.keys() - self.disk.current.keys()
-            if self.what != "folder" and not (self.what == "removal" and removed):
+            if self.operation != "folder" and not (self.operation == "removal" and removed):
                 super().sync_folder()
 
         def append(self, file: int, data: bytes) -> None:
-            if self.what == "last byte" and len(data) > BODY_BYTES // 2:
+            if self.operation == "last byte" and len(data) > BODY_BYTES // 2:
                 data = data[:-1] + b"?"
             super().append(file, data)
 
-    class Faulty(Journal):
-        """One thing is done wrong."""
+    class FaultyJournal(Journal):
+        """A journal with one fault."""
 
-        what = ""
+        injected_fault = ""
 
         def wait_synced(self) -> None:
-            if self.what != "told before the sync":
+            if self.injected_fault != "told before the sync":
                 super().wait_synced()
 
         def _sync_file(self) -> None:
-            if self.what != "a file is left unsynced":
+            if self.injected_fault != "a file is left unsynced":
                 super()._sync_file()
 
         def record_begun(self, number: int, attempt: int) -> bool:
-            if self.what != "begun is not on record" or attempt:
+            if self.injected_fault != "begun is not on record" or attempt:
                 return super().record_begun(number, attempt)
             return True
 
         def record_ending(self, number: int, deferred: bool, again_ms: float) -> None:
-            if self.what != "an ending is not on record" or number % 3:
+            if self.injected_fault != "an ending is not on record" or number % 3:
                 super().record_ending(number, deferred, again_ms)
 
         def _compact_oldest(self) -> None:
-            if self.what == "a file goes before its copies are made":
+            if self.injected_fault == "a file goes before its copies are made":
                 self._files.unlink(min(self.files))
                 del self._sizes[min(self._sizes)]
                 self._open(self._file_number + 1)
-                for owed in [owed for owed in self.pending.values() if owed.file not in self._sizes]:
-                    self._write(owed.records())
-                    owed.file = self._file_number
+                for message in [
+                    message for message in self.pending.values() if message.file not in self._sizes
+                ]:
+                    self._write(message.records())
+                    message.file = self._file_number
                 return
             super()._compact_oldest()
 
         def _load_file(self, number: int, newest: bool) -> None:
             super()._load_file(number, newest)
-            if self.what == "proof is taken for granted":
-                for owed in self.pending.values():
-                    owed.not_run |= owed.begun
+            if self.injected_fault == "proof is taken for granted":
+                for message in self.pending.values():
+                    message.not_run |= message.begun
 
-    def skipping(what: str) -> Make:
-        return lambda files: correct_journal(Skips(files, what))
+    def skipping(operation: str) -> JournalFactory:
+        return lambda files: correct_journal(SkippingFiles(files, operation))
 
-    def faulty(what: str) -> Make:
-        kind = type("Planted", (Faulty,), {"what": what})
-        return lambda files: kind(NOWHERE, DISK_BYTES, body_bytes=BODY_BYTES, durable=True, files=files)
+    def faulty(fault: str) -> JournalFactory:
+        kind = type("Planted", (FaultyJournal,), {"injected_fault": fault})
+        return lambda files: kind(FOLDER, DISK_BYTES, body_bytes=BODY_BYTES, durable=True, files=files)
 
     yield "no file is synced", skipping("sync")
     yield "the folder is not synced", skipping("folder")
     yield "a removal is not synced", skipping("removal")
     yield "a record is spoilt as it is written", skipping("last byte")
-    for what in (
+    for fault in (
         "told before the sync",
         "a file is left unsynced",
         "begun is not on record",
@@ -242,4 +263,4 @@
         "a file goes before its copies are made",
         "proof is taken for granted",
     ):
-        yield what, faulty(what)
+        yield fault, faulty(fault)
