--- a/springspread/faults/failing_calls.py
+++ b/springspread/faults/failing_calls.py
@@ -1,12 +1,11 @@
-"""A sender whose socket calls fail or are held up as a plan says.
+"""Runs a sender whose socket calls fail or are delayed according to a plan.
 
     python -m springspread.faults.failing_calls
 
-The plan is a JSON list of ``Fault`` in the environment variable ``SPRINGSPREAD_FAILING_CALLS``. A fault is
-in force while its file exists, so that a test opens and closes it at a moment of its own choosing. Each one
-that happens is a line in the sender's log (event ``fault``). This layer stands round Python's
-``socket.socket``: it reaches each connect, recv and sendall of the program, and no system call that the
-interpreter makes inside one of them (the retry after EINTR, say).
+The plan is a JSON list of ``Fault`` in the environment variable ``SPRINGSPREAD_FAILING_CALLS``. A fault is in
+force while its file exists, so that a test can switch it on and off. Each injected fault is a line in the
+sender's log (event ``fault``). The connect, recv and sendall methods of ``socket.socket`` are wrapped; system
+calls that the interpreter makes within them, such as a retry after EINTR, are not affected.
 """
 
 from __future__ import annotations
@@ -32,13 +31,13 @@
 
 @dataclass(slots=True)
 class Fault:
-    """What happens to one kind of call.
+    """A fault of one kind of call.
 
-    ``call``: a method of ``socket.socket``. ``while_file``: in force while this file exists. ``port``: of the
-    peer; 0 for any. ``thread``: of the program, by name; empty for any. ``times``: so often at most. With
-    ``error`` (a name such as ENETUNREACH) the call fails in place of being made. ``pause_s``: it is held up
-    for so long; with ``until_file_gone`` for as long as the file exists. ``after``: the pause comes behind
-    the call, before the program sees what it brought.
+    ``call``: a method of ``socket.socket``. ``while_file``: in force while this file exists. ``port``: the
+    peer's, 0 for any. ``thread``: name of the calling thread, empty for any. ``times``: the maximum number
+    of injections. With ``error`` (a name such as ENETUNREACH) the call fails without being made.
+    ``pause_s``: the call is delayed for so long, with ``until_file_gone`` as long as the file exists.
+    ``after``: the delay follows the call, before the program gets its result.
     """
 
     call: str
@@ -59,31 +58,31 @@
 
 
 def encoded(faults: Iterable[Fault]) -> str:
-    """The plan as the environment holds it."""
+    """Encode a plan for the environment variable."""
     return json.dumps([asdict(fault) for fault in faults])
 
 
 class Injector:
-    """Decides whether a fault of the plan meets a call; safe from any thread."""
+    """Decides which fault of the plan, if any, applies to a call; thread-safe."""
 
     def __init__(self, faults: list[Fault]) -> None:
         self._faults = faults
         self._lock = threading.Lock()
 
     def take(self, call: str, port: int, *, after: bool) -> Fault | None:
-        """The fault that meets this call before or after it is made, counted as used."""
+        """The fault to inject before or after this call, counted as used."""
         thread = threading.current_thread().name
         with self._lock:
             for fault in self._faults:
-                here = fault.call == call and fault.port in (0, port) and fault.thread in ("", thread)
-                here = here and fault.after is after
-                if here and fault.times > 0 and Path(fault.while_file).exists():
+                matches = fault.call == call and fault.port in (0, port) and fault.thread in ("", thread)
+                matches = matches and fault.after is after
+                if matches and fault.times > 0 and Path(fault.while_file).exists():
                     fault.times -= 1
                     return fault
         return None
 
 
-def _tell(fault: Fault, port: int) -> None:
+def _log_fault(fault: Fault, port: int) -> None:
     line = {"event": "fault", "call": fault.call, "port": port, "error": fault.error}
     sys.stderr.write(json.dumps(line) + "\n")
     sys.stderr.flush()
@@ -99,22 +98,22 @@
     try:
         address = arguments[0] if call == "connect" else sock.getpeername()
     except OSError:
-        return 0  # no longer connected
+        return 0  # not connected any more
     return int(address[1]) if isinstance(address, tuple) else 0  # a Unix socket has none
 
 
-def _wrapped(call: str, real: Callable[..., Any], injector: Injector) -> Callable[..., Any]:
+def _wrap(call: str, original: Callable[..., Any], injector: Injector) -> Callable[..., Any]:
     def faulty(sock: socket.socket, *arguments: Any) -> Any:
         port = _peer_port(sock, call, arguments)
         if (fault := injector.take(call, port, after=False)) is not None:
-            _tell(fault, port)
+            _log_fault(fault, port)
             if fault.error:
-                number = getattr(errno, fault.error)
-                raise OSError(number, os.strerror(number))
+                code = getattr(errno, fault.error)
+                raise OSError(code, os.strerror(code))
             _pause(fault)
-        result = real(sock, *arguments)
+        result = original(sock, *arguments)
         if (fault := injector.take(call, port, after=True)) is not None:
-            _tell(fault, port)
+            _log_fault(fault, port)
             _pause(fault)
         return result
 
@@ -122,10 +121,10 @@
 
 
 def install(faults: list[Fault]) -> None:
-    """Put the plan round this process's sockets."""
+    """Wrap the socket calls of this process."""
     injector = Injector(faults)
     for call in CALLS:
-        setattr(socket.socket, call, _wrapped(call, getattr(socket.socket, call), injector))
+        setattr(socket.socket, call, _wrap(call, getattr(socket.socket, call), injector))
 
 
 if __name__ == "__main__":
