--- a/springspread/faults/daemon.py
+++ b/springspread/faults/daemon.py
@@ -1,10 +1,11 @@
-"""The real daemon whose instances find it through relays.
+"""Runs the real daemon with its instances connected through relays.
 
-``python -m springspread.faults.daemon FLEET.toml`` runs it.
+    python -m springspread.faults.daemon FLEET.toml [AT ACTION FILE]
 
-Each instance may be given a configuration of its own (its directory, say) in ``given.json``.
+``given.json`` may hold settings of single instances, such as their discovery address.
 
-With ``AT DEED FILE`` behind it, it meets its end, or a full disk, at a named moment of a change (``steps``).
+With ``AT ACTION FILE`` the daemon dies, or its disk fills up, at the ``AT``-th failpoint of a policy change
+(``failpoints``), whose name is written to ``FILE``.
 """
 
 from __future__ import annotations
@@ -16,7 +17,7 @@
 from pathlib import Path
 from typing import Any
 
-from springspread.faults.failpoints import Disk, FailpointAction, Steps
+from springspread.faults.failpoints import FailpointAction, FailpointOs, Failpoints
 from springspread.faults.sabotage import SABOTAGES, VARIABLE
 from springspread.fleet import daemon as daemon_module
 from springspread.fleet.allocator_server import AllocatorServer
@@ -27,55 +28,55 @@
 from springspread.logs import make_log
 from springspread.rollout import policy_record
 
-PROGRAM = "FAULTS_PROGRAM"  # what instances run, in place of the program
+PROGRAM = "FAULTS_PROGRAM"  # the module that instances run instead of the program
 ENDS = (signal.SIGTERM, signal.SIGINT)
 
 
 class RelayedDaemon(Daemon):
-    """All of it is the daemon's own, but for the socket that instances are told of."""
+    """A daemon that gives its instances the sockets of their relays."""
 
-    steps: Steps | None = None
+    failpoints: Failpoints | None = None
 
     def daemon_socket(self, name: str) -> Path:
-        """The instance's relay, where there is one."""
+        """The socket of the instance's relay, if there is one."""
         path = relay_path(self.folder, name)
         return path if path.exists() else super().daemon_socket(name)
 
     def instance_settings(self, name: str) -> dict[str, Any]:
-        """What a file in the fleet's folder says of the instance."""
+        """The instance's settings in ``given.json``."""
         path = instance_settings_path(self.folder)
         return dict(json.loads(path.read_text()).get(name, {})) if path.exists() else {}
 
     def propose(self, text: str, within_s: float) -> dict[str, Any]:
-        """As the daemon's; moments are counted from the first one on."""
-        if self.steps is not None:
-            self.steps.arm()
+        """As ``Daemon``; failpoints are counted from the first proposal on."""
+        if self.failpoints is not None:
+            self.failpoints.arm()
         return super().propose(text, within_s)
 
 
 def relay_path(folder: Path, name: str) -> Path:
-    """Where an instance's relay stands."""
+    """The path of an instance's relay socket."""
     return folder / f"relay.{name}"
 
 
 def instance_settings_path(folder: Path) -> Path:
-    """The file with what instances' configurations have of their own, by name."""
+    """The path of the file with settings of single instances, by name."""
     return folder / "given.json"
 
 
-def install(steps: Steps) -> None:
-    """Put the moments in, for this process."""
+def install(failpoints: Failpoints) -> None:
+    """Install the failpoints in this process."""
 
     class Server(AllocatorServer):
         def send(self, owner: Owner, message: Message) -> None:
-            what = f"{type(message).__name__.lower()} to {owner[0]}"
-            steps.moment(f"before {what}", False)
+            target = f"{type(message).__name__.lower()} to {owner[0]}"
+            failpoints.reach(f"before {target}", False)
             super().send(owner, message)
-            steps.moment(f"after {what}", False)
+            failpoints.reach(f"after {target}", False)
 
-    RelayedDaemon.steps = steps
+    RelayedDaemon.failpoints = failpoints
     vars(daemon_module).update(AllocatorServer=Server)
-    vars(policy_record).update(os=Disk(steps))
+    vars(policy_record).update(os=FailpointOs(failpoints))
 
 
 def main() -> None:
@@ -89,7 +90,7 @@
             sabotage.install()
     RelayedDaemon.program = os.environ.get(PROGRAM, RelayedDaemon.program)
     if len(sys.argv) == 5:
-        install(Steps(int(sys.argv[2]), FailpointAction(sys.argv[3]), Path(sys.argv[4])))
+        install(Failpoints(int(sys.argv[2]), FailpointAction(sys.argv[3]), Path(sys.argv[4])))
     daemon = RelayedDaemon(read_fleet(Path(sys.argv[1])), log)
     signal.sigwait(ENDS)
     daemon.stop()
--- a/springspread/faults/failpoints.py
+++ b/springspread/faults/failpoints.py
@@ -1,5 +1,7 @@
-"""Moments of a daemon that changes a policy: before and after each write, sync and message, counted from the
-first proposal on. At one of them it dies, or its disk is full from then on.
+"""Failpoints of a daemon that changes a policy: before and after each write, sync and message.
+
+They are counted from the first proposal on. At a chosen one the daemon dies, or its disk is full from then
+on.
 """
 
 from __future__ import annotations
@@ -13,57 +15,57 @@
 
 
 class FailpointAction(Enum):
-    """What is done at the moment."""
+    """What happens at the failpoint."""
 
     DIE = "die"
     FULL = "full"
 
 
-class Steps:
-    """Counts moments once it is armed. At its ``at``-th it writes its name to ``told`` and acts."""
+class Failpoints:
+    """Counts failpoints once armed. At the ``at``-th it writes its name to ``report_file`` and acts."""
 
-    def __init__(self, at: int, deed: FailpointAction, told: Path) -> None:
-        self._at, self._deed, self._told = at, deed, told
-        self._count, self._armed = 0, False
+    def __init__(self, at: int, action: FailpointAction, report_file: Path) -> None:
+        self._at, self._action, self._report_file = at, action, report_file
+        self._count, self._active = 0, False
 
     def arm(self) -> None:
-        """Count from here."""
-        self._armed = True
+        """Start counting."""
+        self._active = True
 
-    def moment(self, name: str, disk: bool) -> None:
-        """One moment. ``disk``: it stands before a write or a sync. Raises ``OSError`` on a full disk."""
-        if not self._armed or (self._deed is FailpointAction.FULL and not disk):
+    def reach(self, name: str, before_disk_io: bool) -> None:
+        """Reach a failpoint; ``before_disk_io`` marks writes and syncs. Raises ``OSError`` on a full disk."""
+        if not self._active or (self._action is FailpointAction.FULL and not before_disk_io):
             return
         self._count += 1
         if self._count == self._at:
-            self._told.write_text(name)
-            if self._deed is FailpointAction.DIE:
+            self._report_file.write_text(name)
+            if self._action is FailpointAction.DIE:
                 os.kill(os.getpid(), signal.SIGKILL)
-        if self._count >= self._at and self._deed is FailpointAction.FULL:
+        if self._count >= self._at and self._action is FailpointAction.FULL:
             raise OSError(errno.ENOSPC, os.strerror(errno.ENOSPC))
 
 
-class Disk:
-    """Stands for ``os`` in the record: its own but for writes and syncs, which are moments."""
+class FailpointOs:
+    """Replaces ``os`` in the policy record; writes and syncs are failpoints."""
 
-    def __init__(self, steps: Steps) -> None:
-        self._steps = steps
+    def __init__(self, failpoints: Failpoints) -> None:
+        self._failpoints = failpoints
 
     def __getattr__(self, name: str) -> Any:
         return getattr(os, name)
 
     def write(self, file: int, data: bytes) -> int:
-        """As the system's."""
-        what = data.split(b'"')[3].decode()  # the entry's kind
-        self._steps.moment(f"before write of {what}", True)
-        done = os.write(file, data)
-        self._steps.moment(f"after write of {what}", False)
-        return done
+        """As in ``os``."""
+        target = data.split(b'"')[3].decode()  # the entry's kind
+        self._failpoints.reach(f"before write of {target}", True)
+        written = os.write(file, data)
+        self._failpoints.reach(f"after write of {target}", False)
+        return written
 
     def fsync(self, file: int) -> None:
-        """As the system's."""
-        what = os.path.basename(os.readlink(f"/proc/self/fd/{file}"))
-        what = "text" if what.isdigit() else "folder" if what == "policy" else what
-        self._steps.moment(f"before sync of {what}", True)
+        """As in ``os``."""
+        target = os.path.basename(os.readlink(f"/proc/self/fd/{file}"))
+        target = "text" if target.isdigit() else "folder" if target == "policy" else target
+        self._failpoints.reach(f"before sync of {target}", True)
         os.fsync(file)
-        self._steps.moment(f"after sync of {what}", False)
+        self._failpoints.reach(f"after sync of {target}", False)
