--- a/springspread/faults/sender.py
+++ b/springspread/faults/sender.py
@@ -1,4 +1,4 @@
-"""A sabotaged instance: ``python -m springspread.faults.sender``, as the relayed daemon starts it."""
+"""An instance with a sabotage; the relayed daemon starts it as ``python -m springspread.faults.sender``."""
 
 from __future__ import annotations
 
