--- a/tests/faults/test_late_calls.py
+++ b/tests/faults/test_late_calls.py
@@ -1,5 +1,5 @@
-"""No call begins at a drained endpoint later than the grace after its sender counts as notified, whatever
-becomes of list requests, system calls and the sender's own time. Real processes over loopback.
+"""No call begins at a drained endpoint later than the grace after its sender counts as notified, also when
+list requests or system calls fail or the sender is delayed. Real processes over loopback.
 """
 
 from __future__ import annotations
@@ -18,15 +18,15 @@
 from tests.test_config import SETTINGS
 
 GRACE_MS = 500.0 + 50.0  # of the settings, and what the protocol adds on sockets
-NOTIFIED_MS = 6000.0  # after discovery had it and could be reached
-NOTIFIED_WAIT_MS = 2000.0  # after a silent watch's wait
-MOVED_MS = 4000.0  # after SIGHUP; the page names it where lists are pushed
-HELD_UP_S = 0.15  # allowed for between a look at the clock and what follows
+NOTIFIED_MS = 6000.0  # after discovery had the change and was reachable
+NOTIFIED_WAIT_MS = 2000.0  # after the wait of a silent watch
+MOVE_NOTIFIED_MS = 4000.0  # after SIGHUP; the page gives it for pushed lists
+DELAY_S = 0.15  # allowed between reading the clock and acting on it
 MODULE = "springspread.faults.failing_calls"
 
 
-class World:
-    """One sender, one endpoint that is to drain, and a client that never stops."""
+class Scenario:
+    """One sender, one endpoint that will drain, and a client that keeps submitting messages."""
 
     def __init__(self, folder: Path, monkeypatch: pytest.MonkeyPatch) -> None:
         self.folder = folder
@@ -44,12 +44,12 @@
         self.program = Program(self.folder, self.service, known=lines, module=MODULE)
         wait_for(lambda: self.service.list_requests, "the first list request")
 
-    def gate(self, name: str) -> Path:
+    def switch_file(self, name: str) -> Path:
         """A file that puts a fault in force while it exists."""
         return self.folder / name
 
-    def load(self) -> None:
-        """Hand messages in, one after the other, until the world is closed."""
+    def start_client(self) -> None:
+        """Submit messages, one after the other, until ``close``."""
 
         def run() -> None:
             for number in itertools.count():
@@ -61,17 +61,20 @@
         self._client.start()
         wait_for(lambda: len(self.endpoint.calls) > 5, "calls")
 
-    def new_watch(self) -> ListRequest:
-        """Have the open watch answered, so that another begins."""
+    def renew_watch(self) -> ListRequest:
+        """Have the open watch answered, so that another one begins."""
         seen = len(self.service.list_requests)
         self.service.change("s-0", "Ready")
         wait_for(lambda: len(self.service.list_requests) > seen, "the next watch")
         return self.service.list_requests[seen]
 
-    def in_force(self, version: int) -> None:
-        """Wait until the sender has a version, and asks for what is newer."""
+    def wait_until_in_force(self, version: int) -> None:
+        """Wait until the sender asks for changes after a version."""
         wait_for(
-            lambda: any(one.since and one.since >= version for one in list(self.service.list_requests)), "it"
+            lambda: any(
+                request.since and request.since >= version for request in list(self.service.list_requests)
+            ),
+            "the version in force",
         )
 
     def close(self) -> None:
@@ -85,101 +88,107 @@
 
 
 @pytest.fixture
-def world(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> Iterator[World]:
-    made = World(tmp_path, monkeypatch)
+def scenario(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> Iterator[Scenario]:
+    made = Scenario(tmp_path, monkeypatch)
     yield made
     made.close()
 
 
-def test_what_a_silent_watch_missed_is_known_in_time_although_the_next_requests_are_refused(
-    world: World,
+def test_change_missed_by_a_silent_watch_is_known_in_time_when_the_next_requests_are_refused(
+    scenario: Scenario,
 ) -> None:
-    """Evidence 2: the refusal's own deadline must not replace the one that the silent watch left."""
-    world.start()
-    world.load()
-    world.service.plan = [Behavior.SILENT, Behavior.REFUSE, Behavior.REFUSE]
-    begun = world.new_watch()
-    world.service.change("s-0", "Terminating")
-    drained = world.service.version
-    notified = max(begun.at + NOTIFIED_MS, begun.at + begun.wait_ms + NOTIFIED_WAIT_MS)
-    world.in_force(drained)
-    assert not world.endpoint.after(notified + GRACE_MS)
-
-
-def test_what_a_silent_watch_missed_is_known_in_time_although_the_next_request_is_silent_too(
-    world: World,
+    """The deadline of a refused request must not replace the one set by the silent watch."""
+    scenario.start()
+    scenario.start_client()
+    scenario.service.plan = [Behavior.SILENT, Behavior.REFUSE, Behavior.REFUSE]
+    watch = scenario.renew_watch()
+    scenario.service.change("s-0", "Terminating")
+    drained = scenario.service.version
+    notified = max(watch.at + NOTIFIED_MS, watch.at + watch.wait_ms + NOTIFIED_WAIT_MS)
+    scenario.wait_until_in_force(drained)
+    assert not scenario.endpoint.after(notified + GRACE_MS)
+
+
+def test_change_missed_by_a_silent_watch_is_known_in_time_when_the_next_request_is_silent_too(
+    scenario: Scenario,
 ) -> None:
-    world.start()
-    world.load()
-    world.service.plan = [Behavior.SILENT, Behavior.SILENT]
-    begun = world.new_watch()
-    world.service.change("s-0", "Terminating")
-    world.in_force(world.service.version)
-    notified = max(begun.at + NOTIFIED_MS, begun.at + begun.wait_ms + NOTIFIED_WAIT_MS)
-    assert not world.endpoint.after(notified + GRACE_MS)
+    scenario.start()
+    scenario.start_client()
+    scenario.service.plan = [Behavior.SILENT, Behavior.SILENT]
+    watch = scenario.renew_watch()
+    scenario.service.change("s-0", "Terminating")
+    scenario.wait_until_in_force(scenario.service.version)
+    notified = max(watch.at + NOTIFIED_MS, watch.at + watch.wait_ms + NOTIFIED_WAIT_MS)
+    assert not scenario.endpoint.after(notified + GRACE_MS)
 
 
 @pytest.mark.parametrize("first", [Behavior.SILENT, Behavior.RESET, Behavior.REFUSE])
-def test_what_a_new_address_tells_is_known_in_time_although_its_first_request_fails(
-    world: World, first: Behavior
+def test_list_of_a_new_address_is_known_in_time_when_its_first_request_fails(
+    scenario: Scenario, first: Behavior
 ) -> None:
-    world.start()
-    world.load()
-    moved_to = ListService({"s-0": world.endpoint.line("s-0", status="Terminating")}, version=2, plan=[first])
+    scenario.start()
+    scenario.start_client()
+    moved_to = ListService(
+        {"s-0": scenario.endpoint.line("s-0", status="Terminating")}, version=2, plan=[first]
+    )
     moved_at = clock()
-    world.program.move(moved_to)
-    wait_for(lambda: any(one.since == 2 for one in list(moved_to.list_requests)), "its list is in force")
+    scenario.program.move(moved_to)
+    wait_for(
+        lambda: any(request.since == 2 for request in list(moved_to.list_requests)), "its list is in force"
+    )
     moved_to.close()
-    assert not world.endpoint.after(moved_at + MOVED_MS + GRACE_MS)
+    assert not scenario.endpoint.after(moved_at + MOVE_NOTIFIED_MS + GRACE_MS)
 
 
-def test_a_drain_is_in_force_before_the_next_call_where_lists_are_pushed(world: World) -> None:
-    """What the agent has counts as told, whether or not its last answer got through."""
-    world.start(discovery="push")
-    world.load()
-    drained = world.service.reset_watches()
-    world.service.change("s-0", "Terminating")
-    world.in_force(world.service.version)
-    assert not world.endpoint.after(drained + GRACE_MS)
+def test_drain_is_in_force_before_the_next_call_when_lists_are_pushed(scenario: Scenario) -> None:
+    """What the agent has counts as notified, whether or not its last answer arrived."""
+    scenario.start(discovery="push")
+    scenario.start_client()
+    drained = scenario.service.reset_watches()
+    scenario.service.change("s-0", "Terminating")
+    scenario.wait_until_in_force(scenario.service.version)
+    assert not scenario.endpoint.after(drained + GRACE_MS)
 
 
-def test_a_change_is_known_in_time_although_the_senders_own_connects_fail_for_a_moment(world: World) -> None:
-    """Discovery is there all along: only this sender's system calls fail."""
-    gate = world.gate("no-route")
-    port = world.service.port
-    world.start(
-        Fault("connect", str(gate), port=port, thread="discovery", times=6, error="ENETUNREACH"),
+def test_change_is_known_in_time_when_the_senders_own_connects_fail_briefly(scenario: Scenario) -> None:
+    """Discovery is available all the time: only this sender's system calls fail."""
+    switch_file = scenario.switch_file("no-route")
+    port = scenario.service.port
+    scenario.start(
+        Fault("connect", str(switch_file), port=port, thread="discovery", times=6, error="ENETUNREACH"),
     )
-    world.load()
-    gate.touch()
-    broken = world.service.reset_watches()
-    world.service.change("s-0", "Terminating")
-    world.in_force(world.service.version)
-    assert not world.endpoint.after(broken + NOTIFIED_MS + GRACE_MS)
-
-
-def test_a_call_that_is_held_up_keeps_the_grace(world: World) -> None:
-    """It still connects as the drain comes; the sender is held up as it reads the list and as it writes."""
-    connecting, held_up = world.gate("connecting"), world.gate("held-up")
-    port = world.endpoint.port
-    world.start(
+    scenario.start_client()
+    switch_file.touch()
+    broken = scenario.service.reset_watches()
+    scenario.service.change("s-0", "Terminating")
+    scenario.wait_until_in_force(scenario.service.version)
+    assert not scenario.endpoint.after(broken + NOTIFIED_MS + GRACE_MS)
+
+
+def test_delayed_call_keeps_the_grace(scenario: Scenario) -> None:
+    """It is still connecting at the drain; reading the list and writing the call are delayed."""
+    connecting, delayed = scenario.switch_file("connecting"), scenario.switch_file("held-up")
+    port = scenario.endpoint.port
+    scenario.start(
         Fault("connect", str(connecting), port=port, until_file_gone=True),
-        Fault("recv", str(held_up), thread="discovery", pause_s=HELD_UP_S, after=True),
-        Fault("sendall", str(held_up), port=port, pause_s=HELD_UP_S),
+        Fault("recv", str(delayed), thread="discovery", pause_s=DELAY_S, after=True),
+        Fault("sendall", str(delayed), port=port, pause_s=DELAY_S),
     )
     connecting.touch()
-    held_up.touch()
-    assert world.program.hand_in("one", left=2500) == 202
-    wait_for(lambda: faults(world, "connect"), "its call to connect")
-    world.service.change("s-0", "Terminating")
-    drained = world.service.version
-    wait_for(lambda: world.service.answered(drained), "the drain's answer")
-    written = next(one.answered_at for one in world.service.list_requests if one.version >= drained)
+    delayed.touch()
+    assert scenario.program.hand_in("one", left=2500) == 202
+    wait_for(lambda: injected_faults(scenario, "connect"), "its call to connect")
+    scenario.service.change("s-0", "Terminating")
+    drained = scenario.service.version
+    wait_for(lambda: scenario.service.answered(drained), "the drain's answer")
+    written = next(
+        request.answered_at for request in scenario.service.list_requests if request.version >= drained
+    )
     wait_for(lambda: clock() >= written + GRACE_MS - 50.0, "the last of the grace")
     connecting.unlink()
-    wait_for(lambda: world.endpoint.calls or world.service.finals, "its end")
-    assert not world.endpoint.after(written + GRACE_MS)
+    wait_for(lambda: scenario.endpoint.calls or scenario.service.finals, "its end")
+    assert not scenario.endpoint.after(written + GRACE_MS)
 
 
-def faults(world: World, call: str) -> list[object]:
-    return [line for line in world.program.log if line["event"] == "fault" and line["call"] == call]
+def injected_faults(scenario: Scenario, call: str) -> list[object]:
+    return [line for line in scenario.program.log if line["event"] == "fault" and line["call"] == call]
