--- a/benchmarks/policy_chaos.py
+++ b/benchmarks/policy_chaos.py
@@ -18,7 +18,7 @@
 import numpy as np
 
 from benchmarks.tables import add, tell_long
-from springspread.faults.chaos import Chaos, ChaosResult, running_fleet
+from springspread.faults.chaos import ChaosFleet, ChaosResult, running_fleet
 from springspread.faults.schedule import (
     FaultKind,
     ScheduledFault,
@@ -36,7 +36,7 @@
     """One run on a new fleet."""
     limit = (args.limit, LIMIT_MS) if args.limit else None
     made = {"lease_ms": args.lease_ms, "message_interval_s": args.load_s, "limit": limit, "program": args.old}
-    with running_fleet(Chaos, args.instances, **made) as (chaos, _):
+    with running_fleet(ChaosFleet, args.instances, **made) as (chaos, _):
         return chaos.play(acts, 1000.0 * args.seconds)
 
 
--- a/benchmarks/policy_sabotage.py
+++ b/benchmarks/policy_sabotage.py
@@ -12,7 +12,7 @@
 from pathlib import Path
 
 from benchmarks.tables import tell, write_table
-from springspread.faults.chaos import Chaos, ChaosResult, running_fleet
+from springspread.faults.chaos import ChaosFleet, ChaosResult, running_fleet
 from springspread.faults.sabotage import SABOTAGES
 from springspread.faults.schedule import worst_case_schedule
 
@@ -26,7 +26,10 @@
     own = SABOTAGES[sabotage].faults if sabotage else ()
     acts = own or worst_case_schedule(seed, INSTANCES, 1000.0 * seconds)
     limit = LIMIT if limited else None
-    with running_fleet(Chaos, INSTANCES, lease_ms=LEASE_MS, limit=limit, sabotage=sabotage) as (chaos, _):
+    with running_fleet(ChaosFleet, INSTANCES, lease_ms=LEASE_MS, limit=limit, sabotage=sabotage) as (
+        chaos,
+        _,
+    ):
         return chaos.play(acts, 1000.0 * seconds, rival=not own)
 
 
--- a/benchmarks/power_cuts.py
+++ b/benchmarks/power_cuts.py
@@ -16,7 +16,7 @@
 from random import Random
 
 from benchmarks.tables import add, tell_long
-from springspread.faults.chaos import Chaos, running_fleet
+from springspread.faults.chaos import ChaosFleet, running_fleet
 from springspread.faults.observer import peak_ratio
 
 LIMIT = (100, 1_000.0)  # so that there is always something held
@@ -37,7 +37,7 @@
     back = "" if args.whole else str(args.seed)
     made = {"lease_ms": 1000.0, "message_interval_s": args.each_s, "limit": LIMIT, "power": args.durability}
     made |= {"write_back": back}
-    with running_fleet(Chaos, args.instances, **made) as (chaos, outside):
+    with running_fleet(ChaosFleet, args.instances, **made) as (chaos, outside):
         chaos.start_load()
         for _ in range(args.cuts):
             # Some come while the fleet returns from the one before.
--- a/springspread/cli/demo.py
+++ b/springspread/cli/demo.py
@@ -9,7 +9,7 @@
 
 def fleet_demo(instances: int, seconds: float, seed: int) -> int:
     """Run it; returns the exit status: 0 if every promise held, else 1."""
-    from springspread.faults.chaos import Chaos, running_fleet
+    from springspread.faults.chaos import ChaosFleet, running_fleet
     from springspread.faults.schedule import random_schedule
 
     def show(now: float, rows: dict[str, dict[str, Any]], faults: list[str]) -> None:
@@ -17,7 +17,7 @@
         click.echo(f"{now / 1000:5.1f} s  {policies}  {', '.join(faults)}".rstrip())
 
     click.echo("the policy that each instance acts under (-: none), and the injected faults")
-    with running_fleet(Chaos, instances) as (chaos, _):
+    with running_fleet(ChaosFleet, instances) as (chaos, _):
         result = chaos.play(random_schedule(seed, instances, 1000 * seconds, 1500.0), 1000 * seconds, show)
     for line in (
         *result.mixtures,
--- a/springspread/faults/chaos.py
+++ b/springspread/faults/chaos.py
@@ -102,7 +102,7 @@
         return {promise for promise, broken in found.items() if broken}
 
 
-class Chaos:
+class ChaosFleet:
     """A fleet under faults; call ``play`` once, then ``close``."""
 
     def __init__(
@@ -456,14 +456,14 @@
             relay.close()
 
 
-FleetT = TypeVar("FleetT", bound=Chaos)
+FleetT = TypeVar("FleetT", bound=ChaosFleet)
 
 
 @contextmanager
 def running_fleet(
     fleet_type: type[FleetT], instances: int, **options: Any
 ) -> Iterator[tuple[FleetT, ExternalServices]]:
-    """Run a fleet with its external services in a temporary folder; ``options`` are those of ``Chaos``."""
+    """Run a fleet with its external services in a temporary folder; ``options`` as in ``ChaosFleet``."""
     services = ExternalServices()
     with tempfile.TemporaryDirectory(prefix="springspread-fleet-") as workdir:
         try:
--- a/springspread/faults/damage.py
+++ b/springspread/faults/damage.py
@@ -7,7 +7,7 @@
 from dataclasses import dataclass
 from pathlib import Path
 
-from springspread.faults.chaos import Chaos
+from springspread.faults.chaos import ChaosFleet
 
 LOAD_S = 0.8
 TRANSIENT_FILES = {"daemon.log", "lock", "log", "given.json"}
@@ -62,8 +62,8 @@
         return bool(self.lost or self.unsafe_twice or self.conflicting_outcomes)
 
 
-class DamagedFleet(Chaos):
-    """A ``Chaos`` with ``power``; call ``restart_damaged`` any number of times, then ``close``."""
+class DamagedFleet(ChaosFleet):
+    """A ``ChaosFleet`` with ``power``; call ``restart_damaged`` any number of times, then ``close``."""
 
     @property
     def files(self) -> list[str]:
--- a/springspread/faults/fleet_recovery.py
+++ b/springspread/faults/fleet_recovery.py
@@ -14,7 +14,7 @@
 from pathlib import Path
 from threading import Timer
 
-from springspread.faults.chaos import Chaos
+from springspread.faults.chaos import ChaosFleet
 
 OBJECTIVE_MS = 1_000.0
 DEADLINE_MS = 8_000.0
@@ -50,8 +50,8 @@
         return bool(self.unsafe_twice or self.without_outcome)
 
 
-class RecoveringFleet(Chaos):
-    """A ``Chaos`` with ``power``; call ``recover`` once, then ``close``."""
+class RecoveringFleet(ChaosFleet):
+    """A ``ChaosFleet`` with ``power``; call ``recover`` once, then ``close``."""
 
     def recover(self, length_s: float, clock_s: float = 0.0, extra_outage_s: float = 0.0) -> RecoveryResult:
         """Cut the power and recover under load; the partner rejects calls for ``extra_outage_s`` more."""
--- a/springspread/faults/policy_change_rounds.py
+++ b/springspread/faults/policy_change_rounds.py
@@ -15,7 +15,7 @@
 from pathlib import Path
 from random import Random
 
-from springspread.faults.chaos import Chaos
+from springspread.faults.chaos import ChaosFleet
 from springspread.faults.external_services import GROUP, ExternalServices
 from springspread.faults.failpoints import FailpointAction
 from springspread.faults.observer import call_starts, gaps, mixtures, policy_starts, spans_over_limit
@@ -62,8 +62,8 @@
         return sum(len(kind) for kind in kinds)
 
 
-class PolicyChangeRounds(Chaos):
-    """A ``Chaos``; call ``run_arm`` and ``run_failpoint`` any number of times, then ``close``."""
+class PolicyChangeRounds(ChaosFleet):
+    """A ``ChaosFleet``; call ``run_arm`` and ``run_failpoint`` any number of times, then ``close``."""
 
     def __init__(
         self,
--- a/tests/faults/test_chaos.py
+++ b/tests/faults/test_chaos.py
@@ -1,6 +1,6 @@
 from pathlib import Path
 
-from springspread.faults.chaos import Chaos
+from springspread.faults.chaos import ChaosFleet
 from springspread.faults.external_services import ExternalServices
 from springspread.faults.failpoints import FailpointAction
 from springspread.faults.policy_change_rounds import PolicyChangeRounds
@@ -16,7 +16,7 @@
         ScheduledFault(3500.0, FaultKind.REPLAY, 2, 100.0),
     )
     services = ExternalServices()
-    chaos = Chaos(tmp_path, services, 3)
+    chaos = ChaosFleet(tmp_path, services, 3)
     try:
         result = chaos.play(faults, 6000.0)
     finally:
@@ -73,7 +73,7 @@
 def test_call_that_stalls_after_its_admission_keeps_the_limit(tmp_path: Path) -> None:
     services = ExternalServices()
     limit = (30, 1_000.0)
-    chaos = Chaos(
+    chaos = ChaosFleet(
         tmp_path, services, 3, message_interval_s=0.06, limit=limit, instance="springspread.faults.stalls"
     )
     try:
--- a/tests/faults/test_fleet_recovery.py
+++ b/tests/faults/test_fleet_recovery.py
@@ -11,7 +11,7 @@
 from springspread.config import Waits
 from springspread.core.startup_stages import STAGES, Conditions, Progress, Stage, advance
 from springspread.core.wall_clock import TOLERANCE_MS, offset, parse_date
-from springspread.faults.chaos import Chaos, running_fleet
+from springspread.faults.chaos import ChaosFleet, running_fleet
 from springspread.faults.damage import DamagedFleet
 from springspread.faults.observer import peak_ratio
 from tests.peer import until
@@ -68,7 +68,7 @@
 
 
 def test_fleet_with_a_clock_an_hour_ahead_gives_up_no_message_before_its_deadline() -> None:
-    with running_fleet(Chaos, 3, lease_ms=1000.0, message_interval_s=0.05, power="power") as (
+    with running_fleet(ChaosFleet, 3, lease_ms=1000.0, message_interval_s=0.05, power="power") as (
         chaos,
         services,
     ):
@@ -89,7 +89,9 @@
 
 def test_clients_are_refused_until_pending_messages_are_being_sent() -> None:
     own = "owed_ms = 600000.0"
-    with running_fleet(Chaos, 1, lease_ms=1000.0, message_interval_s=0.02, power="power", recovery=own) as (
+    with running_fleet(
+        ChaosFleet, 1, lease_ms=1000.0, message_interval_s=0.02, power="power", recovery=own
+    ) as (
         chaos,
         services,
     ):
@@ -124,7 +126,9 @@
 
 def test_instance_frozen_through_the_outage_continues_beside_restarted_ones() -> None:
     limit = (40, 1_000.0)
-    with running_fleet(Chaos, 3, lease_ms=1000.0, message_interval_s=0.04, power="power", limit=limit) as (
+    with running_fleet(
+        ChaosFleet, 3, lease_ms=1000.0, message_interval_s=0.04, power="power", limit=limit
+    ) as (
         chaos,
         services,
     ):
