--- a/springspread/faults/chaos.py
+++ b/springspread/faults/chaos.py
@@ -24,7 +24,7 @@
 from pathlib import Path
 from typing import Any, TypeVar
 
-from springspread.faults.daemon import PROGRAM, relay_path
+from springspread.faults.daemon import PROGRAM_VARIABLE, relay_path
 from springspread.faults.external_services import GROUP, UNSAFE, ExternalServices
 from springspread.faults.observer import (
     call_starts,
@@ -35,9 +35,9 @@
     read_policy_record,
     undecided_policy_calls,
 )
-from springspread.faults.power import CLOCK, WRITE_BACK
+from springspread.faults.power import CLOCK_VARIABLE, WRITE_BACK_VARIABLE
 from springspread.faults.relay import Direction, Fault, Relay, ignore_line
-from springspread.faults.sabotage import VARIABLE
+from springspread.faults.sabotage import SABOTAGE_VARIABLE
 from springspread.faults.schedule import FaultKind, ScheduledFault
 from springspread.fleet.control_client import send_order
 from springspread.fleet.folder import process_start_ticks
@@ -179,14 +179,14 @@
             time.sleep(0.1)
 
     def _start_daemon(self, *failpoint: str) -> subprocess.Popen[bytes]:
-        env = {**os.environ, "RELAY_LOG_LEVEL": "debug", VARIABLE: self._sabotage}
+        env = {**os.environ, "RELAY_LOG_LEVEL": "debug", SABOTAGE_VARIABLE: self._sabotage}
         command = [sys.executable, "-m", "springspread.faults.daemon", str(self._fleet_file), *failpoint]
         if self._instance:
-            env[PROGRAM] = self._instance
+            env[PROGRAM_VARIABLE] = self._instance
         if self._clock_s:
-            env[CLOCK] = str(self._clock_s)
+            env[CLOCK_VARIABLE] = str(self._clock_s)
         if self._write_back:
-            env[WRITE_BACK] = self._write_back
+            env[WRITE_BACK_VARIABLE] = self._write_back
         if self._program is not None:
             command = [sys.executable, "-m", "springspread.cli", "fleet", "run", str(self._fleet_file)]
             env["PYTHONPATH"] = str(self._program)
--- a/springspread/faults/daemon.py
+++ b/springspread/faults/daemon.py
@@ -18,7 +18,7 @@
 from typing import Any
 
 from springspread.faults.failpoints import FailpointAction, FailpointOs, Failpoints
-from springspread.faults.sabotage import SABOTAGES, VARIABLE
+from springspread.faults.sabotage import SABOTAGE_VARIABLE, SABOTAGES
 from springspread.fleet import daemon as daemon_module
 from springspread.fleet.allocator_server import AllocatorServer
 from springspread.fleet.daemon import Daemon
@@ -28,8 +28,8 @@
 from springspread.logs import make_log
 from springspread.rollout import policy_record
 
-PROGRAM = "FAULTS_PROGRAM"  # the module that instances run instead of the program
-ENDS = (signal.SIGTERM, signal.SIGINT)
+PROGRAM_VARIABLE = "FAULTS_PROGRAM"  # the module that instances run instead of the program
+STOP_SIGNALS = (signal.SIGTERM, signal.SIGINT)
 
 
 class RelayedDaemon(Daemon):
@@ -81,18 +81,18 @@
 
 def main() -> None:
     """Run until SIGTERM."""
-    signal.pthread_sigmask(signal.SIG_BLOCK, ENDS)
+    signal.pthread_sigmask(signal.SIG_BLOCK, STOP_SIGNALS)
     log, sink = make_log("fleet", 1000)
-    if sabotage := SABOTAGES.get(os.environ.get(VARIABLE, "")):
+    if sabotage := SABOTAGES.get(os.environ.get(SABOTAGE_VARIABLE, "")):
         if sabotage.sender:
             RelayedDaemon.program = "springspread.faults.sender"
         else:
             sabotage.install()
-    RelayedDaemon.program = os.environ.get(PROGRAM, RelayedDaemon.program)
+    RelayedDaemon.program = os.environ.get(PROGRAM_VARIABLE, RelayedDaemon.program)
     if len(sys.argv) == 5:
         install(Failpoints(int(sys.argv[2]), FailpointAction(sys.argv[3]), Path(sys.argv[4])))
     daemon = RelayedDaemon(read_fleet(Path(sys.argv[1])), log)
-    signal.sigwait(ENDS)
+    signal.sigwait(STOP_SIGNALS)
     daemon.stop()
     sink.flush()
 
--- a/springspread/faults/failing_calls.py
+++ b/springspread/faults/failing_calls.py
@@ -24,7 +24,7 @@
 
 import springspread.__main__ as program
 
-VARIABLE = "SPRINGSPREAD_FAILING_CALLS"
+PLAN_VARIABLE = "SPRINGSPREAD_FAILING_CALLS"
 CALLS = ("connect", "recv", "sendall")
 POLL_S = 0.002
 
@@ -128,5 +128,5 @@
 
 
 if __name__ == "__main__":
-    install([Fault(**fields) for fields in json.loads(os.environ[VARIABLE])])
+    install([Fault(**fields) for fields in json.loads(os.environ[PLAN_VARIABLE])])
     os._exit(program.main())  # as the program itself ends
--- a/springspread/faults/power.py
+++ b/springspread/faults/power.py
@@ -20,8 +20,8 @@
 from springspread.core.clock import SYSTEM, SystemClock
 from springspread.core.files import Files
 
-WRITE_BACK = "FAULTS_WRITE_BACK"
-CLOCK = "FAULTS_CLOCK_S"  # offset of the wall clock
+WRITE_BACK_VARIABLE = "FAULTS_WRITE_BACK"
+CLOCK_VARIABLE = "FAULTS_CLOCK_S"  # offset of the wall clock
 BLOCK_BYTES = 512
 PREFIX_RATE, BLOCK_RATE = 0.1, 0.05  # share of appends
 
@@ -39,7 +39,7 @@
 
     def __init__(self, folder: Path, rng: Random | None = None) -> None:
         super().__init__(folder)
-        seed = os.environ.get(WRITE_BACK, "")
+        seed = os.environ.get(WRITE_BACK_VARIABLE, "")
         self._rng = rng or (Random(f"{seed}/{folder}/{os.getpid()}") if seed else None)
         self._lock = threading.Lock()
         self._tails: dict[int, Tail] = {}  # by inode
@@ -84,11 +84,11 @@
 
     def wall(self) -> float:
         """Unix time in milliseconds, with the offset."""
-        return super().wall() + 1000.0 * float(os.environ[CLOCK])
+        return super().wall() + 1000.0 * float(os.environ[CLOCK_VARIABLE])
 
 
 if __name__ == "__main__":
-    if CLOCK in os.environ:
+    if CLOCK_VARIABLE in os.environ:
         SYSTEM.__class__ = WrongClock
     vars(journal).update(Files=BufferedFiles)
     os._exit(main())
--- a/springspread/faults/sabotage.py
+++ b/springspread/faults/sabotage.py
@@ -22,7 +22,7 @@
 from springspread.rollout.policy_record import PolicyRecord
 from springspread.rollout.protocol import Decided, Entry, Grant, Prepare, Vote
 
-VARIABLE = "FAULTS_SABOTAGE"
+SABOTAGE_VARIABLE = "FAULTS_SABOTAGE"
 GRANT_MS = 5_000.0
 HALF_OPEN_AT_DAEMON_DEATH = (
     ScheduledFault(3_000.0, FaultKind.HALF_OPEN, 0, 4_000.0),
--- a/springspread/faults/sender.py
+++ b/springspread/faults/sender.py
@@ -5,8 +5,8 @@
 import os
 
 from springspread.__main__ import main
-from springspread.faults.sabotage import SABOTAGES, VARIABLE
+from springspread.faults.sabotage import SABOTAGE_VARIABLE, SABOTAGES
 
 if __name__ == "__main__":
-    SABOTAGES[os.environ[VARIABLE]].install()
+    SABOTAGES[os.environ[SABOTAGE_VARIABLE]].install()
     os._exit(main())  # as the program itself ends
--- a/tests/faults/test_late_calls.py
+++ b/tests/faults/test_late_calls.py
@@ -12,7 +12,7 @@
 import pytest
 
 from springspread.core.types import clock
-from springspread.faults.failing_calls import VARIABLE, Fault, encoded
+from springspread.faults.failing_calls import PLAN_VARIABLE, Fault, encoded
 from tests.list_service import Behavior, CallLog, ListRequest, ListService, wait_for
 from tests.peer import Program
 from tests.test_config import SETTINGS
@@ -37,7 +37,7 @@
         self._client: threading.Thread | None = None
 
     def start(self, *faults: Fault, discovery: str = "ask", senders: int = 2) -> None:
-        self._monkeypatch.setenv(VARIABLE, encoded(faults))
+        self._monkeypatch.setenv(PLAN_VARIABLE, encoded(faults))
         self._monkeypatch.setitem(SETTINGS, "discovery", discovery)
         self._monkeypatch.setitem(SETTINGS, "balancers", senders)
         lines = self.service.snapshot()
--- a/tests/late_call_day.py
+++ b/tests/late_call_day.py
@@ -20,7 +20,7 @@
 import pytest
 
 from springspread.core.types import clock
-from springspread.faults.failing_calls import VARIABLE, Fault, encoded
+from springspread.faults.failing_calls import PLAN_VARIABLE, Fault, encoded
 from tests.list_service import Behavior, CallLog, ListRequest, ListService, RequestQueue, wait_for
 from tests.peer import Program
 from tests.test_config import SETTINGS
@@ -71,7 +71,7 @@
         # here, and with it the messages of its clients.
         monkeypatch.setenv("RELAY_LISTEN", f"127.{1 + os.getpid() % 250}.{seed % 250}.{1 + self._pushed}:0")
         self._name = f"d{seed}{discovery}{os.getpid()}"
-        monkeypatch.setenv(VARIABLE, encoded(self._faults()))
+        monkeypatch.setenv(PLAN_VARIABLE, encoded(self._faults()))
         self._lock = threading.Lock()
         self.accepted: dict[str, str] = {}  # id: class
         self.departures: list[Departure] = []
