--- a/benchmarks/capacity/sender.py
+++ b/benchmarks/capacity/sender.py
@@ -160,9 +160,9 @@
 
 def configuration(folder: Path, max_held: int) -> Path:
     """Write a sender's configuration to a folder."""
-    from springspread.faults.partner import Outside
+    from springspread.faults.external_services import ExternalServices
 
-    outside = Outside()
+    outside = ExternalServices()
     (folder / "state").mkdir(exist_ok=True)
     raw = outside.configuration() | {"name": "n0", "listen": "127.0.0.1:0", "state": str(folder / "state")}
     raw["settings"]["limits"]["mostHeld"] = max_held
--- a/benchmarks/crash_points.py
+++ b/benchmarks/crash_points.py
@@ -12,7 +12,7 @@
 from pathlib import Path
 
 from benchmarks.tables import print_row, write_table
-from springspread.faults.crashes import planted, real, search
+from springspread.faults.crash_points import correct_journal, faulty_journals, search
 
 
 def main() -> None:
@@ -23,12 +23,16 @@
     parser.add_argument("--csv", type=Path)
     args = parser.parse_args()
     rows, passed = [], True
-    for name, factory in (("", real), *planted()):
+    for name, factory in (("", correct_journal), *faulty_journals()):
         states = points = 0
         broken = ""
         for seed in range(args.seeds):
             result = search(seed, args.steps, factory)
-            states, points, broken = states + result.states, points + result.points, broken or result.broken
+            states, points, broken = (
+                states + result.states,
+                points + result.points,
+                broken or result.violation,
+            )
             if broken:
                 break
         passed &= bool(broken) == bool(name)
--- a/benchmarks/damaged_folders.py
+++ b/benchmarks/damaged_folders.py
@@ -15,8 +15,8 @@
 from random import Random
 
 from benchmarks.tables import append_row, print_row
-from springspread.faults.chaos import fleet_of
-from springspread.faults.damage import HOWS, Damaged
+from springspread.faults.chaos import running_fleet
+from springspread.faults.damage import DAMAGE_KINDS, DamagedFleet
 
 
 def main() -> None:
@@ -27,30 +27,32 @@
     parser.add_argument("--csv", type=Path)
     args = parser.parse_args()
     rng, broken = Random(f"{args.seed}/damage"), False
-    options = {"lease_ms": 1000.0, "each_s": 0.05, "power": "power"}
-    with fleet_of(Damaged, 2, **options) as (fleet, _):
+    options = {"lease_ms": 1000.0, "message_interval_s": 0.05, "power": "power"}
+    with running_fleet(DamagedFleet, 2, **options) as (fleet, _):
 
         def run_with(damages: Sequence[tuple[str, str]]) -> bool:
-            result = fleet.return_with(damages)
+            result = fleet.restart_damaged(damages)
             description = " + ".join(f"{name} {how}" for name, how in damages)
-            refused = result.refused[-150:]
+            refused = result.startup_error[-150:]
             row = {
                 "damage": description,
                 "lost": result.lost,
-                "gone": result.gone,
+                "gone": result.lost_with_journal,
                 "unsafe_twice": result.unsafe_twice,
             }
-            row |= {"two_ends": result.two_ends, "refused": refused}
+            row |= {"two_ends": result.conflicting_outcomes, "refused": refused}
             print_row(row)
             append_row(args.csv, row)
-            return result.broken
+            return result.promise_violated
 
         for kind in dict.fromkeys(name.rstrip("0123456789") for name in fleet.files):
-            for how in HOWS:  # a damaged journal continues under a new number
+            for how in DAMAGE_KINDS:  # a damaged journal continues under a new number
                 name = next(name for name in fleet.files if name.startswith(kind))
                 broken |= run_with([(name, how)])
         for _ in range(args.pairs):
-            broken |= run_with([(name, rng.choice(list(HOWS))) for name in rng.sample(fleet.files, 2)])
+            broken |= run_with(
+                [(name, rng.choice(list(DAMAGE_KINDS))) for name in rng.sample(fleet.files, 2)]
+            )
     sys.exit(broken)
 
 
--- a/benchmarks/durability.py
+++ b/benchmarks/durability.py
@@ -24,7 +24,7 @@
 import numpy as np
 
 from benchmarks.tables import print_row, write_table
-from springspread.faults.partner import GROUP, Outside
+from springspread.faults.external_services import GROUP, ExternalServices
 
 READY_S = 20.0
 
@@ -32,7 +32,7 @@
 class Sender:
     """The real program with its own configuration."""
 
-    def __init__(self, folder: Path, partner: Outside, durability: str) -> None:
+    def __init__(self, folder: Path, partner: ExternalServices, durability: str) -> None:
         raw = partner.configuration() | {"name": "n0", "listen": "127.0.0.1:0", "durability": durability}
         raw |= {"state": str(folder)}
         raw["limits"] |= {"disk_mb": 64}
@@ -60,7 +60,7 @@
 
 def measure(durability: str, takers: int, seconds: float) -> dict[str, object]:
     """Measure one run."""
-    partner, ids, done = Outside(), count(1), threading.Event()
+    partner, ids, done = ExternalServices(), count(1), threading.Event()
     times: list[float] = []
     refused: list[float] = []
     headers = {"X-Service-Class": "notice", "X-Consignee": f"dest={GROUP}", "X-Time-Left-Ms": "8000"}
--- a/benchmarks/policy_chaos.py
+++ b/benchmarks/policy_chaos.py
@@ -18,18 +18,30 @@
 import numpy as np
 
 from benchmarks.tables import append_row, print_columns
-from springspread.faults.chaos import Chaos, Told, fleet_of
-from springspread.faults.schedule import Act, Kind, drawn, read, smaller, written
+from springspread.faults.chaos import ChaosFleet, ChaosResult, running_fleet
+from springspread.faults.schedule import (
+    FaultKind,
+    ScheduledFault,
+    format_schedule,
+    minimize_schedule,
+    parse_schedule,
+    random_schedule,
+)
 
 LIMIT_SPAN_MS = 1_000.0
-PROCESSES = (Kind.KILL, Kind.FREEZE, Kind.DAEMON)
+PROCESSES = (FaultKind.KILL, FaultKind.FREEZE, FaultKind.DAEMON)
 
 
-def run_schedule(args: argparse.Namespace, acts: Sequence[Act]) -> Told:
+def run_schedule(args: argparse.Namespace, acts: Sequence[ScheduledFault]) -> ChaosResult:
     """Run a schedule on a new fleet."""
     limit = (args.limit, LIMIT_SPAN_MS) if args.limit else None
-    options = {"lease_ms": args.lease_ms, "each_s": args.load_s, "limit": limit, "program": args.old}
-    with fleet_of(Chaos, args.instances, **options) as (chaos, _):
+    options = {
+        "lease_ms": args.lease_ms,
+        "message_interval_s": args.load_s,
+        "limit": limit,
+        "program": args.old,
+    }
+    with running_fleet(ChaosFleet, args.instances, **options) as (chaos, _):
         return chaos.play(acts, 1000.0 * args.seconds)
 
 
@@ -54,16 +66,18 @@
     parser.add_argument("--csv", type=Path)
     args = parser.parse_args()
     length_ms = 1000.0 * args.seconds
-    acts = () if args.calm else drawn(args.seed, args.instances, length_ms, 1000.0 * args.each_s)
+    acts = () if args.calm else random_schedule(args.seed, args.instances, length_ms, 1000.0 * args.each_s)
     if args.replay is not None:
-        acts = read(args.replay.read_text())
+        acts = parse_schedule(args.replay.read_text())
     if args.processes or args.old:
         acts = tuple(act for act in acts if act.kind in PROCESSES)
     result = run_schedule(args, acts)
-    if not result.held:
+    if not result.promises_kept:
         if args.smaller:
-            acts = smaller(acts, lambda part: not run_schedule(args, part).held, args.smaller)
-        args.keep.write_text(written(acts))
+            acts = minimize_schedule(
+                acts, lambda part: not run_schedule(args, part).promises_kept, args.smaller
+            )
+        args.keep.write_text(format_schedule(acts))
         print(f"{args.keep}: the schedule, {len(acts)} acts; play it again with --replay")
     force_times = np.array(result.in_force or [float("nan")])
     row = {
@@ -76,35 +90,35 @@
         "in_force": len(result.in_force),
         "refused": sum(result.refused.values()),
         "undecided": result.undecided,
-        "unheard": result.unheard,
+        "unheard": result.unanswered,
         "calls": result.calls,
-        "messages": len(result.handed),
+        "messages": len(result.accepted),
         "mixtures": len(result.mixtures),
-        "undone": len(result.undone),
-        "without_end": len(result.without_end),
-        "two_ends": len(result.two_ends),
+        "undone": len(result.contradicted),
+        "without_end": len(result.without_outcome),
+        "two_ends": len(result.conflicting_outcomes),
         "limit_ratio": round(result.limit_ratio, 3),
-        "begun_ratio": round(result.begun_ratio, 3),
+        "begun_ratio": round(result.start_ratio, 3),
         "delivered": result.delivered,
         "p50_s": round(float(np.percentile(force_times, 50)), 2),
         "p99_s": round(float(np.percentile(force_times, 99)), 2),
         "most_s": round(float(force_times.max()), 2),
-        "gap_p99_ms": round(float(np.percentile(result.within or [float("nan")], 99)), 1),
-        "gap_most_ms": round(max(result.within, default=float("nan")), 1),
-        "change_p99_ms": round(float(np.percentile(result.across or [float("nan")], 99)), 1),
-        "change_most_ms": round(max(result.across, default=float("nan")), 1),
+        "gap_p99_ms": round(float(np.percentile(result.gaps_within_policy or [float("nan")], 99)), 1),
+        "gap_most_ms": round(max(result.gaps_within_policy, default=float("nan")), 1),
+        "change_p99_ms": round(float(np.percentile(result.gaps_across_change or [float("nan")], 99)), 1),
+        "change_most_ms": round(max(result.gaps_across_change, default=float("nan")), 1),
     }
     print_columns(row)
-    for what, count in sorted(result.acts.items()):
+    for what, count in sorted(result.fault_counts.items()):
         print(f"  {what:24} {count}")
     for line in [
         *result.mixtures[:10],
-        *result.undone[:10],
+        *result.contradicted[:10],
         *(f"{n} refused: {why}" for why, n in result.refused.items()),
     ]:
         print(f"  {line}")
     append_row(args.csv, row)
-    sys.exit(0 if result.held else 1)
+    sys.exit(0 if result.promises_kept else 1)
 
 
 if __name__ == "__main__":
--- a/benchmarks/policy_rounds.py
+++ b/benchmarks/policy_rounds.py
@@ -15,36 +15,36 @@
 import numpy as np
 
 from benchmarks.tables import print_row, write_table
-from springspread.faults.chaos import fleet_of
-from springspread.faults.rounds import Arm, Rounds, tell_broken
-from springspread.faults.schedule import Kind
+from springspread.faults.chaos import running_fleet
+from springspread.faults.policy_change_rounds import ArmResult, PolicyChangeRounds, print_violations
+from springspread.faults.schedule import FaultKind
 
-ALL_KINDS = tuple(Kind)
-ARMS: dict[str, tuple[tuple[Kind, ...], bool]] = {
+ALL_KINDS = tuple(FaultKind)
+ARMS: dict[str, tuple[tuple[FaultKind, ...], bool]] = {
     "none": ((), False),
     "none, limits move": ((), True),
-    **{kind.value: ((kind,), False) for kind in Kind},
+    **{kind.value: ((kind,), False) for kind in FaultKind},
     "any kind, limits move": (ALL_KINDS, True),
 }
 
 
-def row_of(arm: Arm) -> dict[str, object]:
+def row_of(arm: ArmResult) -> dict[str, object]:
     """Return the row of an arm; times until in force are seconds, the stall is milliseconds."""
-    force_times = np.array(arm.seconds or [float("nan")])
+    force_times = np.array(arm.force_times_s or [float("nan")])
     before, after = (np.mean([pair[n] for pair in arm.service] or [float("nan")]) for n in (0, 1))
     return {
         "fault": arm.name,
         "changes": arm.changes,
-        "faults": arm.acts,
+        "faults": arm.fault_count,
         "messages": arm.messages,
         "calls": arm.calls,
         "mixtures": len(arm.mixtures),
-        "undone": len(arm.undone),
-        "late": len(arm.late),
-        "without_end": len(arm.without_end),
-        "two_ends": len(arm.two_ends),
+        "undone": len(arm.contradicted),
+        "late": len(arm.unresolved),
+        "without_end": len(arm.without_outcome),
+        "two_ends": len(arm.conflicting_outcomes),
         "over_limit": len(arm.over_limit),
-        "unheard": arm.unheard,
+        "unheard": arm.unanswered,
         "p50_s": round(float(np.percentile(force_times, 50)), 2),
         "p99_s": round(float(np.percentile(force_times, 99)), 2),
         "most_s": round(float(force_times.max()), 2),
@@ -67,15 +67,15 @@
     parser.add_argument("--csv", type=Path)
     args = parser.parse_args()
     broken, rows = 0, []
-    options = {"lease_ms": args.lease_ms, "each_s": args.load_s}
-    with fleet_of(Rounds, args.instances, **options) as (rounds, _):
+    options = {"lease_ms": args.lease_ms, "message_interval_s": args.load_s}
+    with running_fleet(PolicyChangeRounds, args.instances, **options) as (rounds, _):
         for name, (kinds, limits) in ARMS.items():
             if args.only in (None, name):
-                arm = rounds.arm(name, kinds, args.changes, args.many, args.seed, limits)
+                arm = rounds.run_arm(name, kinds, args.changes, args.many, args.seed, limits)
                 rows.append(row_of(arm))
                 print_row(rows[-1])
-                tell_broken(arm)
-                broken += arm.broken
+                print_violations(arm)
+                broken += arm.violation_count
     write_table(args.csv, rows)
     sys.exit(1 if broken else 0)
 
--- a/benchmarks/policy_sabotage.py
+++ b/benchmarks/policy_sabotage.py
@@ -12,21 +12,24 @@
 from pathlib import Path
 
 from benchmarks.tables import print_row, write_table
-from springspread.faults.chaos import Chaos, Told, fleet_of
+from springspread.faults.chaos import ChaosFleet, ChaosResult, running_fleet
 from springspread.faults.sabotage import SABOTAGES
-from springspread.faults.schedule import pressed
+from springspread.faults.schedule import worst_case_schedule
 
 INSTANCES = 5
 LEASE_MS = 5_000.0  # exceeds the start and the first decision of a daemon
 LIMIT = (40, 1_000.0)  # slightly below the load, so that messages are always pending
 
 
-def run_build(sabotage: str, limited: bool, seconds: float, seed: int) -> Told:
+def run_build(sabotage: str, limited: bool, seconds: float, seed: int) -> ChaosResult:
     """Run one build."""
-    schedule = SABOTAGES[sabotage].acts if sabotage else ()
-    acts = schedule or pressed(seed, INSTANCES, 1000.0 * seconds)
+    schedule = SABOTAGES[sabotage].faults if sabotage else ()
+    acts = schedule or worst_case_schedule(seed, INSTANCES, 1000.0 * seconds)
     limit = LIMIT if limited else None
-    with fleet_of(Chaos, INSTANCES, lease_ms=LEASE_MS, limit=limit, sabotage=sabotage) as (chaos, _):
+    with running_fleet(ChaosFleet, INSTANCES, lease_ms=LEASE_MS, limit=limit, sabotage=sabotage) as (
+        chaos,
+        _,
+    ):
         return chaos.play(acts, 1000.0 * seconds, rival=not schedule)
 
 
@@ -48,16 +51,16 @@
                     "build": name or "the true one",
                     "limit": limited,
                     "promise": SABOTAGES[name].promise if name else "",
-                    "broken": " ".join(map(str, sorted(result.broken))),
+                    "broken": " ".join(map(str, sorted(result.violated_promises))),
                     "changes": len(result.in_force),
                     "calls": result.calls,
-                    "nowhere": len(result.nowhere),
+                    "nowhere": len(result.undecided_policy_calls),
                     "mixtures": len(result.mixtures),
                     "limit_ratio": round(result.limit_ratio, 3),
-                    "undone": len(result.undone),
-                    "without_end": len(result.without_end),
-                    "interleaved": len(result.interleaved),
-                    "right": bool(result.broken) == bool(name),
+                    "undone": len(result.contradicted),
+                    "without_end": len(result.without_outcome),
+                    "interleaved": len(result.overlapping_changes),
+                    "right": bool(result.violated_promises) == bool(name),
                 }
             )
             print_row(rows[-1])
--- a/benchmarks/policy_steps.py
+++ b/benchmarks/policy_steps.py
@@ -13,9 +13,9 @@
 from pathlib import Path
 
 from benchmarks.tables import print_row, write_table
-from springspread.faults.chaos import fleet_of
-from springspread.faults.rounds import Rounds, tell_broken
-from springspread.faults.steps import Deed
+from springspread.faults.chaos import running_fleet
+from springspread.faults.failpoints import FailpointAction
+from springspread.faults.policy_change_rounds import PolicyChangeRounds, print_violations
 
 MAX_STEPS = 200
 
@@ -27,18 +27,21 @@
     parser.add_argument("--csv", type=Path)
     args = parser.parse_args()
     rows, broken = [], 0
-    with fleet_of(Rounds, args.instances, lease_ms=1000.0, each_s=0.05) as (rounds, _):
-        for deed in Deed:
+    with running_fleet(PolicyChangeRounds, args.instances, lease_ms=1000.0, message_interval_s=0.05) as (
+        rounds,
+        _,
+    ):
+        for deed in FailpointAction:
             for at in range(1, MAX_STEPS):
-                name, arm = rounds.moment(at, deed)
+                name, arm = rounds.run_failpoint(at, deed)
                 if not name:
                     break
-                seconds = round(max(arm.seconds, default=float("nan")), 2)
+                seconds = round(max(arm.force_times_s, default=float("nan")), 2)
                 row = {"deed": deed.value, "at": at, "moment": name, "seconds": seconds, "calls": arm.calls}
-                rows.append({**row, "messages": arm.messages, "broken": arm.broken})
+                rows.append({**row, "messages": arm.messages, "broken": arm.violation_count})
                 print_row(rows[-1])
-                tell_broken(arm)
-                broken += arm.broken
+                print_violations(arm)
+                broken += arm.violation_count
     write_table(args.csv, rows)
     sys.exit(1 if broken else 0)
 
--- a/benchmarks/policy_virtual.py
+++ b/benchmarks/policy_virtual.py
@@ -15,7 +15,7 @@
 import numpy as np
 
 from benchmarks.tables import print_row, write_table
-from springspread.faults.virtual import Costs, Virtual
+from springspread.faults.virtual_fleet import Costs, VirtualFleet
 from springspread.fleet.wire import encode
 from springspread.rollout.document import Policy
 from springspread.rollout.protocol import Grant
@@ -47,13 +47,13 @@
     rows = []
     for size in args.sizes:
         for deaf in (0, size // 4):
-            fleet = Virtual(size, policy, deaf, costs=costs)
-            before = (fleet.said.lines, fleet.said.bytes, time.process_time())
+            fleet = VirtualFleet(size, policy, deaf, costs=costs)
+            before = (fleet.traffic.lines, fleet.traffic.bytes, time.process_time())
             fleet.run(IDLE_MS)
             seconds = size * IDLE_MS / 1000.0
-            idle = (fleet.said.lines - before[0], fleet.said.bytes - before[1])
+            idle = (fleet.traffic.lines - before[0], fleet.traffic.bytes - before[1])
             cpu_us = 1e6 * (time.process_time() - before[2])
-            start = (fleet.said.lines, fleet.said.bytes)
+            start = (fleet.traffic.lines, fleet.traffic.bytes)
             change_ms, changing_ms = [], 0.0
             for _ in range(CHANGES):
                 at = fleet.now
@@ -69,8 +69,8 @@
                     "idle_lines_each_s": round(idle[0] / seconds, 2),
                     "idle_bytes_each_s": round(idle[1] / seconds),
                     "idle_cpu_us_each_s": round(cpu_us / seconds),
-                    "change_lines": round((fleet.said.lines - start[0] - baseline[0]) / CHANGES),
-                    "change_bytes": round((fleet.said.bytes - start[1] - baseline[1]) / CHANGES),
+                    "change_lines": round((fleet.traffic.lines - start[0] - baseline[0]) / CHANGES),
+                    "change_bytes": round((fleet.traffic.bytes - start[1] - baseline[1]) / CHANGES),
                     "force_p50_ms": round(float(np.percentile(change_ms, 50))),
                     "force_most_ms": round(max(change_ms)),
                 }
--- a/benchmarks/power_cuts.py
+++ b/benchmarks/power_cuts.py
@@ -16,8 +16,8 @@
 from random import Random
 
 from benchmarks.tables import append_row, print_columns
-from springspread.faults.chaos import Chaos, fleet_of
-from springspread.faults.observer import fullest
+from springspread.faults.chaos import ChaosFleet, running_fleet
+from springspread.faults.observer import peak_ratio
 
 LIMIT = (100, 1_000.0)  # low, so that messages are always pending
 
@@ -35,38 +35,45 @@
     args = parser.parse_args()
     rng = Random(f"{args.seed}/cuts")
     write_back = "" if args.whole else str(args.seed)
-    options = {"lease_ms": 1000.0, "each_s": args.each_s, "limit": LIMIT, "power": args.durability}
+    options = {
+        "lease_ms": 1000.0,
+        "message_interval_s": args.each_s,
+        "limit": LIMIT,
+        "power": args.durability,
+    }
     options |= {"write_back": write_back}
-    with fleet_of(Chaos, args.instances, **options) as (chaos, outside):
-        chaos.load()
+    with running_fleet(ChaosFleet, args.instances, **options) as (chaos, outside):
+        chaos.start_load()
         for _ in range(args.cuts):
             # Some cuts come while the fleet is still recovering.
             end = time.monotonic() + rng.choice((0.2, 1.0, 2.0, 3.0))
             while time.monotonic() < end:
-                chaos.look()
+                chaos.refresh_status()
                 time.sleep(0.05)
             chaos.power_cut()
-        chaos.until_whole()
-        chaos.end_load()
-    ran_twice = [id for id in chaos.unsafe if outside.applied[id] > 1]
-    ran_and_answered = [id for id in chaos.unsafe if outside.applied[id] and outside.noticed.get(id)]
+        chaos.wait_until_ready()
+        chaos.stop_load()
+    ran_twice = [id for id in chaos.unsafe if outside.call_counts[id] > 1]
+    ran_and_answered = [id for id in chaos.unsafe if outside.call_counts[id] and outside.notices.get(id)]
     row = {
         "durability": args.durability,
         "instances": args.instances,
         "cuts": args.cuts,
         "losses": "whole" if args.whole else "parts, blocks",
-        "messages": len(chaos.told.handed),
+        "messages": len(chaos.result.accepted),
         "unsafe": len(chaos.unsafe),
-        "without_end": len(chaos.told.without_end),
+        "without_end": len(chaos.result.without_outcome),
         "unsafe_twice": len(ran_twice),
-        "two_ends": len(chaos.told.two_ends),
-        "over_limit": round(fullest(outside.arrivals, LIMIT), 3),
+        "two_ends": len(chaos.result.conflicting_outcomes),
+        "over_limit": round(peak_ratio(outside.arrivals, LIMIT), 3),
         "ran_and_told_as_not": len(ran_and_answered),  # the answer was in flight or unrecorded
     }
     print_columns(row)
     append_row(args.csv, row)
-    over_limit = fullest(outside.arrivals, LIMIT) > 1.0
-    violated = bool(chaos.told.without_end or ran_twice or chaos.told.two_ends or over_limit)
+    over_limit = peak_ratio(outside.arrivals, LIMIT) > 1.0
+    violated = bool(
+        chaos.result.without_outcome or ran_twice or chaos.result.conflicting_outcomes or over_limit
+    )
     sys.exit(violated if args.durability == "power" else not violated)
 
 
--- a/benchmarks/power_return.py
+++ b/benchmarks/power_return.py
@@ -16,8 +16,8 @@
 from pathlib import Path
 
 from benchmarks.tables import append_row, print_row
-from springspread.faults.chaos import fleet_of
-from springspread.faults.comeback import Comeback, Returning
+from springspread.faults.chaos import running_fleet
+from springspread.faults.fleet_recovery import RecoveringFleet, RecoveryResult
 
 NO_GATES = "clock_ms = 0.0\npolicy_ms = 0.0\nlist_ms = 0.0\nowed_ms = 0.0\n"
 ARMS = {
@@ -32,13 +32,17 @@
 LIMIT_FACTOR = 1.3  # relative to the load
 
 
-def run_return(args: argparse.Namespace, recovery: str, clock_s: float) -> Comeback:
+def run_return(args: argparse.Namespace, recovery: str, clock_s: float) -> RecoveryResult:
     """Run one power loss and return of a new fleet."""
     load_per_s = args.instances / args.each_s
-    options = {"lease_ms": 1000.0, "each_s": args.each_s, "limit": (int(LIMIT_FACTOR * load_per_s), 1_000.0)}
+    options = {
+        "lease_ms": 1000.0,
+        "message_interval_s": args.each_s,
+        "limit": (int(LIMIT_FACTOR * load_per_s), 1_000.0),
+    }
     options |= {"power": "power", "recovery": recovery}
-    with fleet_of(Returning, args.instances, **options) as (fleet, _):
-        return fleet.come_back(args.seconds, clock_s, args.away_s)
+    with running_fleet(RecoveringFleet, args.instances, **options) as (fleet, _):
+        return fleet.recover(args.seconds, clock_s, args.away_s)
 
 
 def main() -> None:
@@ -69,28 +73,28 @@
                 "clock": clock,
                 "away_s": args.away_s,
                 "instances": args.instances,
-                "owed": result.owed,
-                "kept": result.kept,
+                "owed": result.pending,
+                "kept": result.delivered_in_time,
                 "given_up": result.given_up,
                 "late": result.late,
-                "offered": result.offered,
+                "offered": result.submitted,
                 "refused": result.refused,
-                "taken": result.taken,
+                "taken": result.accepted,
                 "failed": result.failed,
                 "in_aim": result.in_aim,
                 "first_s": round(result.first_s, 2),
-                "usual_s": result.usual_s,
+                "usual_s": result.full_rate_s,
                 "handshakes": result.handshakes,
                 "list_requests": result.list_requests,
                 "unsafe_twice": result.unsafe_twice,
-                "without_end": result.without_end,
+                "without_end": result.without_outcome,
             }
             print_row(row)
             append_row(args.csv, row)
             for second, counts in enumerate(result.seconds):
                 kinds = {kind: counts.get(kind, 0) for kind in ("offered", "taken", "refused", "delivered")}
                 append_row(args.by_second, {"arm": name, "clock": clock, "second": second, **kinds})
-            broken |= result.broken
+            broken |= result.promise_violated
     sys.exit(broken)
 
 
--- a/benchmarks/recovery_size.py
+++ b/benchmarks/recovery_size.py
@@ -71,9 +71,9 @@
     parser.add_argument("--repeats", type=int, default=3)
     parser.add_argument("--csv", type=Path)
     args = parser.parse_args()
-    from springspread.faults.partner import Outside
+    from springspread.faults.external_services import ExternalServices
 
-    partner = Outside()
+    partner = ExternalServices()
     for count in args.owed:
         with tempfile.TemporaryDirectory(prefix="springspread-recovery-") as folder:
             state = Path(folder) / "state"
--- a/benchmarks/rollout_search.py
+++ b/benchmarks/rollout_search.py
@@ -14,8 +14,8 @@
 from multiprocessing import Pool
 from pathlib import Path
 
-from springspread.faults.planted import PLANTED
-from springspread.faults.search import Bounds, Found, search
+from springspread.faults.model_checker import Bounds, SearchResult, search
+from springspread.faults.protocol_mutants import MUTANTS
 
 SIZES = {
     "3 instances, from the first start": (Bounds(3), False),
@@ -29,14 +29,14 @@
 }
 
 
-def run_search(job: tuple[str, int]) -> tuple[str, Found, float]:
+def run_search(job: tuple[str, int]) -> tuple[str, SearchResult, float]:
     """Run one search by name."""
     name, most = job
     start = time.monotonic()
     if name in SIZES:
-        result = search(SIZES[name][0], most=most, running=SIZES[name][1])
+        result = search(SIZES[name][0], max_worlds=most, running=SIZES[name][1])
     else:
-        result = search(FAULT_BOUNDS_BY_NAME.get(name, FAULT_BOUNDS), PLANTED[name], most, running=True)
+        result = search(FAULT_BOUNDS_BY_NAME.get(name, FAULT_BOUNDS), MUTANTS[name], most, running=True)
     return name, result, time.monotonic() - start
 
 
@@ -48,17 +48,26 @@
     )
     parser.add_argument("--csv", type=Path)
     args = parser.parse_args()
-    jobs = [(name, args.most) for name in (*SIZES, *PLANTED)]
+    jobs = [(name, args.most) for name in (*SIZES, *MUTANTS)]
     rows, failures = [], 0
     with Pool() as pool:
         for name, result, took in pool.imap(run_search, jobs):
-            failures += bool(result.broken) == (name in SIZES)
-            complete = result.worlds < args.most and not result.broken
+            failures += bool(result.violation) == (name in SIZES)
+            complete = result.worlds < args.most and not result.violation
             rows.append(
-                (name, result.worlds, complete, result.decided, result.broken, len(result.trace), round(took))
+                (
+                    name,
+                    result.worlds,
+                    complete,
+                    result.decided,
+                    result.violation,
+                    len(result.trace),
+                    round(took),
+                )
             )
             print(
-                f"{name}: {result.worlds} worlds{' (all)' * complete}, {result.broken or 'no promise broken'}"
+                f"{name}: {result.worlds} worlds{' (all)' * complete}, "
+                f"{result.violation or 'no promise broken'}"
             )
             for step in result.trace:
                 print(f"    {step}")
--- a/springspread/faults/partner.py
+++ b/springspread/faults/external_services.py
@@ -1,6 +1,4 @@
-"""What a fleet under test meets outside: one partner, the directory and the platform, all on one loopback
-port.
-"""
+"""Stand-ins for the services around a fleet under test: partner, discovery and platform, on one port."""
 
 from __future__ import annotations
 
@@ -14,39 +12,39 @@
 
 GROUP = 7
 UNSAFE = "payment"  # the class whose calls may run once
-WATCH_S = 5.0  # an unchanged list is told after this
+WATCH_TIMEOUT_S = 5.0  # a watch of an unchanged list is answered after this
 
 
-class Outside:
-    """Serves until ``close``. ``applied`` counts calls by message; ``noticed`` has what notices said of one,
-    ``noticed_at`` when the first of them came (ms, the monotonic clock).
+class ExternalServices:
+    """Serves until ``close``. Times are milliseconds of the monotonic clock.
 
-    ``arrivals``: when each call was there (ms, the monotonic clock), in order; ``first``: by message.
-    While ``shut`` is set the partner turns every call away.
+    By message: ``call_counts``, ``first_call_at``, ``notices`` (the statuses in its notices) and
+    ``notice_at`` (when the first of them came). ``arrivals`` has the time of each call in order. While
+    ``rejecting`` is set the partner rejects every call.
     """
 
     def __init__(self) -> None:
-        self.applied: Counter[str] = Counter()
-        self.noticed: defaultdict[str, set[str]] = defaultdict(set)
-        self.noticed_at: dict[str, float] = {}
+        self.call_counts: Counter[str] = Counter()
+        self.notices: defaultdict[str, set[str]] = defaultdict(set)
+        self.notice_at: dict[str, float] = {}
         self.arrivals: list[float] = []
-        self.first: dict[str, float] = {}
+        self.first_call_at: dict[str, float] = {}
         self.lock = threading.Lock()
-        self.over, self.shut = threading.Event(), threading.Event()
-        self.server = _Server(("127.0.0.1", 0), type("Handler", (_Handler,), {"outside": self}))
+        self.closed, self.rejecting = threading.Event(), threading.Event()
+        self.server = _Server(("127.0.0.1", 0), type("Handler", (_Handler,), {"services": self}))
         self.server.daemon_threads = True
         self.port = int(self.server.server_address[1])
-        threading.Thread(target=self.server.serve_forever, name="outside", daemon=True).start()
+        threading.Thread(target=self.server.serve_forever, name="external-services", daemon=True).start()
 
     def members(self, name: str = "s-1", port: int = 0) -> dict[str, Any]:
-        """The list: one endpoint of one destination, the partner's own or another."""
-        line = {"name": name, "address": f"127.0.0.1:{port or self.port}", "zone": "a", "type": "portal"}
-        line |= {"group": str(GROUP), "status": "Ready"}
-        full: dict[str, Any] = {**line, "group": GROUP, "weight": 1000.0, "since_ms": 0}
-        return {"index": 1, "snapshot": True, "endpoints": [full]}
+        """A discovery answer with one endpoint: the partner's own, or one at another port."""
+        endpoint = {"name": name, "address": f"127.0.0.1:{port or self.port}", "zone": "a", "type": "portal"}
+        endpoint |= {"group": str(GROUP), "status": "Ready"}
+        listed: dict[str, Any] = {**endpoint, "group": GROUP, "weight": 1000.0, "since_ms": 0}
+        return {"index": 1, "snapshot": True, "endpoints": [listed]}
 
     def configuration(self) -> dict[str, Any]:
-        """A sender's, as the fleet's file names it."""
+        """The configuration file of a sender."""
         settings = {
             "classes": [
                 {
@@ -73,32 +71,38 @@
             "rules": {"drainGraceMs": 500, "mustAskInMs": 10000},
             "specifics": {"callsOut": 5},
         }
-        own = {"memory_mb": 192, "sockets": 1024, "disk_mb": 3}
-        where = f"127.0.0.1:{self.port}"
-        return {"discovery": where, "seed": "1", "known": self.members(), "limits": own, "settings": settings}
+        limits = {"memory_mb": 192, "sockets": 1024, "disk_mb": 3}
+        address = f"127.0.0.1:{self.port}"
+        return {
+            "discovery": address,
+            "seed": "1",
+            "known": self.members(),
+            "limits": limits,
+            "settings": settings,
+        }
 
     @property
     def ended(self) -> set[str]:
-        """Messages that came to an end: delivered, or told to the platform."""
+        """Messages with an outcome: delivered, or reported to the platform."""
         with self.lock:
-            return set(self.applied) | set(self.noticed)
+            return set(self.call_counts) | set(self.notices)
 
     def close(self) -> None:
-        """End it."""
-        self.over.set()
+        """Stop serving."""
+        self.closed.set()
         self.server.shutdown()
         self.server.server_close()
 
 
 class _Server(ThreadingHTTPServer):
     def handle_error(self, request: Any, client_address: Any) -> None:
-        """A caller that was killed is no fault of this one."""
+        """Ignore connections that broke because the caller was killed."""
         if not isinstance(sys.exc_info()[1], OSError):
             super().handle_error(request, client_address)
 
 
 class _Handler(BaseHTTPRequestHandler):
-    outside: Outside
+    services: ExternalServices
     protocol_version = "HTTP/1.1"
 
     def _reply(self, status: int, body: bytes = b"") -> None:
@@ -108,40 +112,40 @@
         self.end_headers()
         try:
             self.wfile.write(body)
-        except OSError:  # its process was killed
+        except OSError:  # the caller was killed
             self.close_connection = True
 
     def do_GET(self) -> None:
-        """The list, or a watch of it."""
+        """Answer a list request or a watch."""
         if "since=" not in self.path:
-            self._reply(200, json.dumps(self.outside.members()).encode())
+            self._reply(200, json.dumps(self.services.members()).encode())
             return
-        self.outside.over.wait(WATCH_S)
+        self.services.closed.wait(WATCH_TIMEOUT_S)
         self._reply(200, json.dumps({"index": 1, "snapshot": False, "endpoints": []}).encode())
 
     def do_POST(self) -> None:
-        """A call, or notices."""
+        """Accept a call, or notices to the platform."""
         length = int(self.headers.get("Content-Length", "0"))
         body = self.rfile.read(length)
         if len(body) < length:
             self.close_connection = True
             return
         if self.path == "/v2/finals":
-            with self.outside.lock:
+            with self.services.lock:
                 for notice in map(json.loads, body.splitlines()):
-                    self.outside.noticed[notice["id"]].add(notice["status"])
-                    self.outside.noticed_at.setdefault(notice["id"], time.monotonic() * 1000.0)
+                    self.services.notices[notice["id"]].add(notice["status"])
+                    self.services.notice_at.setdefault(notice["id"], time.monotonic() * 1000.0)
             self._reply(204)
             return
-        if self.outside.shut.is_set():
+        if self.services.rejecting.is_set():
             self._reply(429)
             return
         id, now = self.headers.get("X-Correlation-Id", ""), time.monotonic() * 1000.0
-        with self.outside.lock:
-            self.outside.applied[id] += 1
-            self.outside.arrivals.append(now)
-            self.outside.first.setdefault(id, now)
+        with self.services.lock:
+            self.services.call_counts[id] += 1
+            self.services.arrivals.append(now)
+            self.services.first_call_at.setdefault(id, now)
         self._reply(200)
 
     def log_message(self, format: str, *args: Any) -> None:
-        """Nothing is logged."""
+        """Log nothing."""
--- a/springspread/faults/hollow/comparison.py
+++ b/springspread/faults/hollow/comparison.py
@@ -27,7 +27,7 @@
 from springspread.faults.hollow.meter import Volume
 from springspread.faults.hollow.report import Row
 from springspread.faults.hollow.traffic import Calls, TrafficModel
-from springspread.faults.relay import Relay, Way
+from springspread.faults.relay import Direction, Relay
 from springspread.fleet.client import LEASE_WAIT_MS
 from springspread.fleet.limits import Limit, LimitMode
 from springspread.fleet.messages import LeaseRequest
@@ -180,13 +180,13 @@
         self.limits, self.policies = DirectionVolumes(), DirectionVolumes()
         self.kinds = {kind: Volume() for kind in KINDS}
 
-    def count_line(self, way: Way, line: bytes) -> None:
+    def count_line(self, way: Direction, line: bytes) -> None:
         """Count a line that passes the relay."""
         if not self.counting:
             return
         of_limits = line.startswith(b"[")
         counts = self.limits if of_limits else self.policies
-        (counts.up if way is Way.UP else counts.down).add(1, len(line))
+        (counts.up if way is Direction.UP else counts.down).add(1, len(line))
         if of_limits:
             self.kinds[kind_of(line)].add(1, len(line))
 
@@ -209,7 +209,7 @@
     for number in range(day.senders):
         place = folder / "fleet"
         relay, count = Relay(relay_path(place, instance_name(number)), place / "allot"), LineCounts()
-        relay.seen = count.count_line
+        relay.line_listener = count.count_line
         relays.append(relay)
         counts.append(count)
     window: list[tuple[float, float]] = []  # time of day and clock, at the begin and the end
--- a/springspread/faults/hollow/sender.py
+++ b/springspread/faults/hollow/sender.py
@@ -17,7 +17,7 @@
 from springspread.faults.hollow.events import EventQueue
 from springspread.faults.hollow.meter import Meter
 from springspread.faults.hollow.network import Network, Zone
-from springspread.faults.relay import Way
+from springspread.faults.relay import Direction
 from springspread.fleet.client import LEASE_WAIT_MS, RECONNECT_MS
 from springspread.fleet.lease_cache import LeaseCache
 from springspread.fleet.messages import KeyStatuses, LeaseGrants, Welcome
@@ -37,7 +37,7 @@
 CallListener = Callable[[float, int], None]
 """Called when a call begins, with the time and the destination."""
 
-LineListener = Callable[[Way, bytes], None]
+LineListener = Callable[[Direction, bytes], None]
 """Called with the direction and each line about limits."""
 
 WaitListener = Callable[["HollowSender", WaitingCall, float, bool], None]
@@ -74,7 +74,7 @@
         data = b"".join(map(encode, messages))
         meter.cpu_ns += perf_counter_ns() - start_ns
         meter.sent.add(len(messages), len(data))
-        self.sender.observe_lines(Way.UP, data)
+        self.sender.observe_lines(Direction.UP, data)
         connection.send_up(data)
         self._schedule_send(queue.now)
 
@@ -110,7 +110,7 @@
         meter.cpu_ns += perf_counter_ns() - start_ns
         if due:
             meter.sent.add(len(due), len(data))
-            sender.observe_lines(Way.UP, data)
+            sender.observe_lines(Direction.UP, data)
             connection.send_up(data)
         self._schedule_send(sender.queue.now + max(wait_ms, 0.1))
 
@@ -125,7 +125,7 @@
             self.session.received(clock, message)
         meter.cpu_ns += perf_counter_ns() - start_ns
         meter.received.add(len(messages), len(data))
-        sender.observe_lines(Way.DOWN, data)
+        sender.observe_lines(Direction.DOWN, data)
         for call in list(self.waiting):
             self._try(call)
 
@@ -197,7 +197,7 @@
         self.alive = True
         self.sessions = [ShardSession(self, shard, LeaseCache()) for shard in shards]
 
-    def observe_lines(self, way: Way, data: bytes) -> None:
+    def observe_lines(self, way: Direction, data: bytes) -> None:
         """Pass lines about limits to the listener."""
         if self.line_listener is not None:
             for line in data.splitlines(keepends=True):
--- a/springspread/faults/hollow/sockets.py
+++ b/springspread/faults/hollow/sockets.py
@@ -27,7 +27,7 @@
 from springspread.faults.hollow.report import Row, distribution_rows
 from springspread.faults.hollow.spans import SpanClass, find_spans
 from springspread.faults.hollow.traffic import Traffic, TrafficModel, key_of
-from springspread.faults.relay import Relay, Way
+from springspread.faults.relay import Direction, Relay
 from springspread.fleet.allocator_server import AllocatorServer
 from springspread.fleet.client import FleetShares
 from springspread.logs import make_log
@@ -152,10 +152,10 @@
 
     def __init__(self, begin: float, end: float) -> None:
         self._begin, self._end = begin, end
-        self.lines = dict.fromkeys(Way, 0)
-        self.bytes = dict.fromkeys(Way, 0)
+        self.lines = dict.fromkeys(Direction, 0)
+        self.bytes = dict.fromkeys(Direction, 0)
 
-    def count_line(self, way: Way, line: bytes) -> None:
+    def count_line(self, way: Direction, line: bytes) -> None:
         """Count a line if it passes within the measured time."""
         if self._begin <= SYSTEM.now() < self._end:
             self.lines[way] += 1
@@ -196,7 +196,7 @@
     for sender in range(min(RELAYED_SENDERS, plan.senders) if plan.control else 0):
         paths[sender] = folder / f"r{sender}"
         relay, count = Relay(paths[sender], daemon), LineCounts(*measured)
-        relay.seen = count.count_line
+        relay.line_listener = count.count_line
         relays.append(relay)
         counts.append(count)
     return paths, counts, relays
@@ -239,7 +239,7 @@
         Row("allocator", "processor", "mean", 100.0 * used[0] / seconds, "% of a core"),
         Row("allocator", "memory", "most", used[1], "MB"),
     ]
-    for way, name in ((Way.UP, "up"), (Way.DOWN, "down")) if counts else ():
+    for way, name in ((Direction.UP, "up"), (Direction.DOWN, "down")) if counts else ():
         rows += distribution_rows(
             "sender", f"lines {name}", [one.lines[way] / seconds for one in counts], "1/s"
         )
--- a/springspread/simulator/checker.py
+++ b/springspread/simulator/checker.py
@@ -134,9 +134,7 @@
 
     def unknown_call(self, at: float, endpoint: str, ids: Iterable[str | None]) -> None:
         """A call carried a message that was never submitted."""
-        self._fault(
-            at, "unknown", "", f"a call to {endpoint} with {', '.join(map(repr, ids)) or 'no messages'}"
-        )
+        self._fault(at, "unknown", "", f"a call to {endpoint} with {', '.join(map(repr, ids)) or 'nothing'}")
 
     @property
     def open(self) -> bool:
@@ -200,17 +198,18 @@
         withdrawn_at = self._withdrawn_at.get((sender, endpoint), inf)
         if at > withdrawn_at + self._grace + DRAIN_SLACK_MS:
             self._fault(
-                at, "drain", sender, f"a call to {endpoint} {at - withdrawn_at:.0f} ms after it was withdrawn"
+                at, "drain", sender, f"a call to {endpoint} {at - withdrawn_at:.0f} ms after it was told off"
             )
         if at < self._waiting_until.get((sender, key), -inf):
-            self._fault(at, "wait", sender, f"a call to {endpoint} before its retry-after elapsed")
+            self._fault(at, "wait", sender, f"a call to {endpoint} within a told wait")
         for id in ids:
             record = self._messages[id]
             record.calls += 1
             self.tally.attempts += 1
             if record.notified_at < at:
                 text = (
-                    f"{id} was sent {at - record.notified_at:.0f} ms after its notice: {record.final_status}"
+                    f"{id} was sent {at - record.notified_at:.0f} ms "
+                    f"after it was told as {record.final_status}"
                 )
                 self._fault(at, "answers", sender, text)
             if record.group != group:
@@ -241,9 +240,7 @@
             # A partner may answer after the sender gave up. A deferred unsafe message would then run twice.
             self.tally.after_all += 1
             if record.final_status == "deferred" and record.spec.effect is Effect.UNSAFE:
-                self._fault(
-                    at, "answers", record.sender, f"{id} was delivered after it was reported as deferred"
-                )
+                self._fault(at, "answers", record.sender, f"{id} was delivered after it was told as deferred")
             return
         record.final_status = "delivered"
         self.tally.delivered += 1
@@ -263,14 +260,14 @@
         record = self._messages[id]
         if record.final_status and record.final_status != "delivered" and record.final_status != status:
             self._fault(
-                at, "answers", record.sender, f"{id} was reported as {status} after {record.final_status}"
+                at, "answers", record.sender, f"{id} was told as {status} after {record.final_status}"
             )
         if at > self._due(record) and not record.final_status and record.accepted:
             self._fault(
                 at,
                 "late",
                 record.sender,
-                f"{id} was reported {at - record.deadline:.0f} ms after its deadline",
+                f"{id} heard {at - record.deadline:.0f} ms after its time",
             )
         if not record.final_status:
             record.final_status, record.notified_at = status, at
@@ -314,16 +311,14 @@
         self.tally.pushed_over += 1
         aware = [sender for sender in senders if sender in self._failure_witnesses[endpoint]]
         if 3 * len(aware) >= 2 * len(senders):
-            text = (
-                f"{endpoint} overloaded while cold; {len(aware)} of {len(senders)} calls from aware senders"
-            )
+            text = f"{endpoint} fell over as it came back; {len(aware)} of {len(senders)} calls knew"
             self._fault(at, "cold", ",".join(sorted(set(aware))), text)
 
     def close(self, at: float) -> None:
         """End of the day: overdue messages without a final status are lost."""
         for id, record in self._messages.items():
             if record.accepted and not record.final_status and at > self._due(record):
-                text = f"{id} got no final status by its deadline ({record.calls} attempts)"
+                text = f"{id} got no final answer in its time ({record.calls} attempts made)"
                 self._fault(record.deadline, "lost", record.sender, text)
         for first in range(max(self._worth_by_second, default=0) - 8):
             window = [self._worth_by_second[second] for second in range(first, first + 10)]
--- a/springspread/simulator/fleet.py
+++ b/springspread/simulator/fleet.py
@@ -13,7 +13,7 @@
 from pathlib import Path
 from typing import Any
 
-from springspread.faults.daemon import given_path
+from springspread.faults.daemon import instance_settings_path
 from springspread.fleet.control_client import send_order
 from springspread.fleet.limits import Limit, LimitMode
 
@@ -50,7 +50,7 @@
         """Start the daemon; the addresses when all serve. ``directories``: the instances' discovery ports."""
         (self._root / "sender.json").write_text(json.dumps(config))
         own = {instance_name(n): {"discovery": f"127.0.0.1:{port}"} for n, port in directories.items()}
-        given_path(self._folder).write_text(json.dumps(own))
+        instance_settings_path(self._folder).write_text(json.dumps(own))
         command = [sys.executable, "-m", "springspread.faults.daemon", str(self._plan_file)]
         with (self._root / "daemon.log").open("wb") as log:
             self._daemon = subprocess.Popen(command, stderr=log, start_new_session=True)
--- a/springspread/simulator/virtual.py
+++ b/springspread/simulator/virtual.py
@@ -311,7 +311,7 @@
         now, endpoint = self.sim.clock.now(), call.endpoint.name
         address_owner = self.sim.address_owner(call.endpoint.port)
         if address_owner != endpoint:
-            text = f"a call for {endpoint} reached {address_owner}, which has taken over its address"
+            text = f"a call for {endpoint} came to {address_owner}, which has its address now"
             self.sim.checker.misdirected(now, self.name, text)
         answer = self.sim.arrive(address_owner, len(call.attempts), self.name)
         if answer.end is not End.DONE:
--- a/tests/faults/test_chaos.py
+++ b/tests/faults/test_chaos.py
@@ -1,74 +1,85 @@
 from pathlib import Path
 
-from springspread.faults.chaos import Chaos
-from springspread.faults.partner import Outside
-from springspread.faults.rounds import Rounds
-from springspread.faults.schedule import Act, Kind, drawn
-from springspread.faults.steps import Deed
+from springspread.faults.chaos import ChaosFleet
+from springspread.faults.external_services import ExternalServices
+from springspread.faults.failpoints import FailpointAction
+from springspread.faults.policy_change_rounds import PolicyChangeRounds
+from springspread.faults.schedule import FaultKind, ScheduledFault, random_schedule
 
 
-def test_changes_go_on_through_faults_between_processes(tmp_path: Path) -> None:
-    acts = (
-        Act(500.0, Kind.DEAF, 0, 1500.0),
-        Act(1000.0, Kind.DAEMON, 0, 200.0),
-        Act(1500.0, Kind.FREEZE, 1, 2500.0),
-        Act(2500.0, Kind.KILL, 2, 100.0),
-        Act(3500.0, Kind.REPLAY, 2, 100.0),
+def test_changes_continue_under_faults_between_processes(tmp_path: Path) -> None:
+    faults = (
+        ScheduledFault(500.0, FaultKind.DEAF, 0, 1500.0),
+        ScheduledFault(1000.0, FaultKind.DAEMON, 0, 200.0),
+        ScheduledFault(1500.0, FaultKind.FREEZE, 1, 2500.0),
+        ScheduledFault(2500.0, FaultKind.KILL, 2, 100.0),
+        ScheduledFault(3500.0, FaultKind.REPLAY, 2, 100.0),
     )
-    outside = Outside()
-    chaos = Chaos(tmp_path, outside, 3)
+    services = ExternalServices()
+    chaos = ChaosFleet(tmp_path, services, 3)
     try:
-        told = chaos.play(acts, 6000.0)
+        result = chaos.play(faults, 6000.0)
     finally:
         chaos.close()
-        outside.close()
-    assert told.held, (told.mixtures, told.undone, told.without_end)
-    assert len(told.in_force) >= 2 and sum(told.acts.values()) == 5 and told.calls > 50
+        services.close()
+    assert result.promises_kept, (result.mixtures, result.contradicted, result.without_outcome)
+    assert len(result.in_force) >= 2 and sum(result.fault_counts.values()) == 5 and result.calls > 50
 
 
-def test_a_schedule_is_drawn_from_its_seed_and_is_over_before_the_end() -> None:
-    first, again, other = (drawn(seed, 4, 30_000.0, 500.0) for seed in (1, 1, 2))
-    assert first == again != other
-    assert {act.kind for act in first + other} == set(Kind)
-    assert all(act.at + act.lasts <= 28_000.0 and 0 <= act.who < 4 for act in first)
+def test_random_schedule_depends_on_its_seed_and_ends_in_time() -> None:
+    first, same, other = (random_schedule(seed, 4, 30_000.0, 500.0) for seed in (1, 1, 2))
+    assert first == same != other
+    assert {fault.kind for fault in first + other} == set(FaultKind)
+    assert all(fault.at_ms + fault.duration_ms <= 28_000.0 and 0 <= fault.instance < 4 for fault in first)
 
 
-def test_a_round_ends_in_one_answer_and_its_limits_are_counted_at_the_partner(tmp_path: Path) -> None:
-    outside = Outside()
-    rounds = Rounds(tmp_path, outside, 2, 1000.0)
+def test_round_has_one_answer_and_limits_are_checked_at_the_partner(tmp_path: Path) -> None:
+    services = ExternalServices()
+    rounds = PolicyChangeRounds(tmp_path, services, 2, 1000.0)
     try:
-        calm = rounds.arm("calm", (), 1, 0, 1, True)
-        killed = rounds.arm("killed", (Kind.KILL, Kind.DAEMON), 2, 1, 1, False)
+        undisturbed = rounds.run_arm("calm", (), 1, 0, 1, True)
+        killed = rounds.run_arm("killed", (FaultKind.KILL, FaultKind.DAEMON), 2, 1, 1, False)
     finally:
         rounds.close()
-        outside.close()
-    assert (calm.changes, killed.changes, killed.acts) == (1, 2, 2)
-    assert not calm.broken and not killed.broken, (calm, killed)
-    assert len(calm.seconds) == 1 and calm.service and calm.calls and killed.messages
+        services.close()
+    assert (undisturbed.changes, killed.changes, killed.fault_count) == (1, 2, 2)
+    assert not undisturbed.violation_count and not killed.violation_count, (undisturbed, killed)
+    assert (
+        len(undisturbed.force_times_s) == 1 and undisturbed.service and undisturbed.calls and killed.messages
+    )
 
 
-def test_a_daemon_meets_its_end_or_a_full_disk_at_a_named_moment(tmp_path: Path) -> None:
-    outside = Outside()
-    rounds = Rounds(tmp_path, outside, 2, 1000.0, 0.05)
+def test_daemon_dies_or_has_a_full_disk_at_a_named_failpoint(tmp_path: Path) -> None:
+    services = ExternalServices()
+    rounds = PolicyChangeRounds(tmp_path, services, 2, 1000.0, 0.05)
     try:
-        met = [rounds.moment(at, deed) for at, deed in ((3, Deed.DIE), (1, Deed.FULL), (500, Deed.DIE))]
+        outcomes = [
+            rounds.run_failpoint(at, action)
+            for at, action in (
+                (3, FailpointAction.DIE),
+                (1, FailpointAction.FULL),
+                (500, FailpointAction.DIE),
+            )
+        ]
     finally:
         rounds.close()
-        outside.close()
-    (died, first), (full, second), (never, third) = met
+        services.close()
+    (died, first), (full, second), (never, third) = outcomes
     assert died and full == "before sync of text" and never == ""
     for arm in (first, second, third):
-        assert not arm.broken and len(arm.seconds) == 1 and arm.calls, arm
+        assert not arm.violation_count and len(arm.force_times_s) == 1 and arm.calls, arm
 
 
-def test_a_call_that_was_held_up_since_it_got_its_right_does_not_break_the_limit(tmp_path: Path) -> None:
-    outside = Outside()
+def test_call_that_stalls_after_its_admission_keeps_the_limit(tmp_path: Path) -> None:
+    services = ExternalServices()
     limit = (30, 1_000.0)
-    chaos = Chaos(tmp_path, outside, 3, each_s=0.06, limit=limit, instance="springspread.faults.stalls")
+    chaos = ChaosFleet(
+        tmp_path, services, 3, message_interval_s=0.06, limit=limit, instance="springspread.faults.stalls"
+    )
     try:
-        told = chaos.play((), 6_500.0)
+        result = chaos.play((), 6_500.0)
     finally:
         chaos.close()
-        outside.close()
-    assert told.held, (told.limit_ratio, told.begun_ratio, told.without_end)
-    assert told.calls > 60 and told.limit_ratio > 0.5
+        services.close()
+    assert result.promises_kept, (result.limit_ratio, result.start_ratio, result.without_outcome)
+    assert result.calls > 60 and result.limit_ratio > 0.5
