--- a/springspread/faults/virtual_fleet.py
+++ b/springspread/faults/virtual_fleet.py
@@ -150,4 +150,8 @@
                     latency, lambda: self._carry_out(coordinator.voted(self._state, self.now, owner, vote))
                 )
         elif not isinstance(message, Document):
-            self._participants[owner] = participant.granted(participant_state, message, self.now)  # type: ignore[arg-type]
+            self._participants[owner] = participant.granted(
+                participant_state,
+                message,  # type: ignore[arg-type]
+                self.now,
+            )
